--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 BIN := $(VENV)/bin
 STAMP := $(VENV)/.installed-$(shell cat requirements.txt pyproject.toml | cksum | cut -d' ' -f1)
 
-.PHONY: local test lint format
+.PHONY: local test lint format types
 
 local: $(STAMP)
 	$(BIN)/mintcleatd local
@@ -20,6 +20,10 @@
 	$(BIN)/ruff format src testing bench
 	$(BIN)/ruff check --fix --unsafe-fixes src testing bench
 
+# Type findings of the sources, a line each; not a gate yet.
+types: $(STAMP)
+	-$(BIN)/mypy --no-error-summary --ignore-missing-imports src
+
 $(STAMP):
 	$(PYTHON) -m venv $(VENV)
 	$(BIN)/pip install --quiet -r requirements.txt
