--- a/bench/config_state.py
+++ b/bench/config_state.py
@@ -75,7 +75,7 @@
 def audited(count: int) -> machine.ConfigMachine:
     """Returns a machine with so many pushes behind it."""
     held = machine.ConfigMachine()
-    held.apply(1, commands.encode(commands.TakeOffice("control-0", 0.0)))
+    held.apply(1, commands.encode(commands.StartLeaderEpoch("control-0", 0.0)))
     for number in range(count):
         push = commands.Push(
             1,
--- a/src/mintcleat/configuration/commands.py
+++ b/src/mintcleat/configuration/commands.py
@@ -1,9 +1,9 @@
 """Commands of the config group's log, as msgpack arrays `[tag, fields...]`.
 
-Each command that decides something carries `office`, the number its leader
-got from TakeOffice, and `at`, the proposer's wall clock in seconds since
-1970. The machine reads no clock of its own, so every replica gets the same
-result.
+Each command that decides something carries `leader_epoch`, the number its
+leader got from StartLeaderEpoch, and `at`, the proposer's wall clock in
+seconds since 1970. The machine reads no clock of its own, so every replica
+gets the same result.
 """
 
 from typing import Any
@@ -15,7 +15,7 @@
 from mintcleat.domain import member_messages
 
 
-class TakeOffice(NamedTuple):
+class StartLeaderEpoch(NamedTuple):
     """A new leader asks for its number; commands of older ones are void."""
 
     instance: str
@@ -31,7 +31,7 @@
         summary: Paths of changed fields, for the audit trail.
     """
 
-    office: int
+    leader_epoch: int
     expected: int
     push_id: str
     changed: dict[str, str]
@@ -50,7 +50,7 @@
         source: What the manifest was generated from.
     """
 
-    office: int
+    leader_epoch: int
     version: int
     push_id: str
     sections: dict[str, str]
@@ -67,7 +67,7 @@
         at: Seconds since 1970, for people who read the log.
     """
 
-    office: int
+    leader_epoch: int
     registration: member_messages.Registration
     at: float
 
@@ -82,7 +82,7 @@
         started: Start of the life that is meant; 0 for the registered one.
     """
 
-    office: int
+    leader_epoch: int
     upstream: str
     final: bool
     at: float
@@ -103,7 +103,7 @@
 class TakeFence(NamedTuple):
     """Takes `count` fencing numbers; the answer is the highest of them."""
 
-    office: int
+    leader_epoch: int
     count: int
 
 
@@ -115,7 +115,7 @@
         burst: Size of the bucket, from the manifest.
     """
 
-    office: int
+    leader_epoch: int
     holder: str
     per_minute: float
     burst: int
@@ -178,7 +178,7 @@
         previous: Target to return to when the new one fails.
     """
 
-    office: int
+    leader_epoch: int
     service: str
     target: str
     previous: str
@@ -191,7 +191,7 @@
     The same step of the same rollout always gets the same number.
     """
 
-    office: int
+    leader_epoch: int
     service: str
     instance: str
     epoch: int
@@ -203,7 +203,7 @@
 class EndOrder(NamedTuple):
     """Records what came of an order: `done` or `failed`."""
 
-    office: int
+    leader_epoch: int
     service: str
     instance: str
     fence: int
@@ -214,7 +214,7 @@
 class SetRollout(NamedTuple):
     """Changes the state of a rollout; see `rollouts`."""
 
-    office: int
+    leader_epoch: int
     service: str
     state: str
     reason: str
@@ -222,7 +222,7 @@
 
 
 KINDS = (
-    TakeOffice,
+    StartLeaderEpoch,
     Push,
     Note,
     TakeFence,
--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -36,7 +36,7 @@
     failure_domain: str
 
 
-class Office(NamedTuple):
+class LeaderEpoch(NamedTuple):
     """The leader that may decide now; a higher number voids older ones."""
 
     number: int
@@ -56,7 +56,7 @@
     """
 
     def __init__(self) -> None:
-        self.office = Office(0, "", 0.0)
+        self.leader_epoch = LeaderEpoch(0, "", 0.0)
         self.document = document.Document()
         self.trail = audit.Trail()
         self.ledger = rollouts.Ledger()
@@ -72,8 +72,11 @@
     def apply(self, index: int, command: bytes) -> Any:
         """Applies one command; a refusal is returned as a typed error."""
         decoded = commands.decode(command)
-        office = getattr(decoded, "office", None)
-        if office is not None and office != self.office.number:
+        leader_epoch = getattr(decoded, "leader_epoch", None)
+        if (
+            leader_epoch is not None
+            and leader_epoch != self.leader_epoch.number
+        ):
             # A leader that was replaced may still have commands in flight.
             # Applied late, they would decide against the new leader's state.
             result: Any = errors.NotLeader("")
@@ -91,7 +94,7 @@
         return msgspec.msgpack.encode(
             [
                 FORMAT,
-                list(self.office),
+                list(self.leader_epoch),
                 self.document.state(),
                 self.trail.state(),
                 self.ledger.state(),
@@ -112,7 +115,7 @@
                 f"The config snapshot has format {items[0]}, not {FORMAT}.",
                 remedy="Run the release that wrote it, or a newer one.",
             )
-        self.office = Office(*items[1])
+        self.leader_epoch = LeaderEpoch(*items[1])
         self.document.load(items[2])
         self.trail.load(items[3])
         self.ledger.load(items[4])
@@ -138,11 +141,11 @@
 
     def _apply(self, command: Any) -> Any:
         match command:
-            case commands.TakeOffice():
-                self.office = Office(
-                    self.office.number + 1, command.instance, command.at
+            case commands.StartLeaderEpoch():
+                self.leader_epoch = LeaderEpoch(
+                    self.leader_epoch.number + 1, command.instance, command.at
                 )
-                return self.office
+                return self.leader_epoch
             case commands.Push():
                 return self._push(command)
             case commands.PushVersion():
@@ -300,7 +303,7 @@
         self, at: float, action: str, subject: str, outcome: str
     ) -> None:
         """Notes what the system did by itself."""
-        origin = self.office.instance
+        origin = self.leader_epoch.instance
         self.trail.add(
             audit.Entry(at, "mintcleat", origin, action, subject, outcome)
         )
--- a/src/mintcleat/roles/control/configuration/registrar.py
+++ b/src/mintcleat/roles/control/configuration/registrar.py
@@ -29,7 +29,7 @@
     machine: machine.ConfigMachine
     timers: timer_ports.Timers
     events: event_ports.Events
-    office: int
+    leader_epoch: int
 
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
@@ -88,7 +88,7 @@
             return
         at = self.leader.date()
         if self.leader.propose(
-            commands.Register(self.leader.office, registration, at)
+            commands.Register(self.leader.leader_epoch, registration, at)
         ):
             self._tell(registration)
 
@@ -170,5 +170,5 @@
     def _propose_leave(self, name: str, final: bool, started: int) -> None:
         at = self.leader.date()
         self.leader.propose(
-            commands.Leave(self.leader.office, name, final, at, started)
+            commands.Leave(self.leader.leader_epoch, name, final, at, started)
         )
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -62,7 +62,7 @@
     timers: timer_ports.Timers
     events: event_ports.Events
     log: log_ports.ReplicatedLog
-    office: int
+    leader_epoch: int
 
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
@@ -189,7 +189,7 @@
         summary = ", ".join([*delta.changed, *delta.removed])
         accepted = self.leader.propose(
             commands.Push(
-                self.leader.office,
+                self.leader.leader_epoch,
                 message.expected,
                 message.push_id,
                 delta.changed,
@@ -220,7 +220,7 @@
             )
         accepted = self.leader.propose(
             commands.PushVersion(
-                self.leader.office,
+                self.leader.leader_epoch,
                 message.version,
                 message.push_id,
                 sections.split(parsed),
@@ -261,7 +261,7 @@
             control_events.ConfigurationRead(
                 document.version,
                 document.revision,
-                self.leader.office,
+                self.leader.leader_epoch,
                 position.term,
                 position.commit,
                 position.applied,
--- a/src/mintcleat/roles/control/configuration/rollout.py
+++ b/src/mintcleat/roles/control/configuration/rollout.py
@@ -29,7 +29,7 @@
     membership: membership.Membership
     streams: stream_ports.Streams
     timers: timer_ports.Timers
-    office: int
+    leader_epoch: int
     decides_at: float
 
     def propose(self, command: Any) -> Any:
@@ -152,18 +152,20 @@
             del self.seen[sidecar]
 
     def _commit(self, name: str, step: plan.Step) -> None:
-        office = self.leader.office
+        leader_epoch = self.leader.leader_epoch
         at = self.leader.date()
         match step:
             case plan.Start(target=target, previous=previous):
                 command: Any = commands.StartRollout(
-                    office, name, target, previous, at
+                    leader_epoch, name, target, previous, at
                 )
             case plan.Turn(state=state, reason=reason):
-                command = commands.SetRollout(office, name, state, reason, at)
+                command = commands.SetRollout(
+                    leader_epoch, name, state, reason, at
+                )
             case plan.Send():
                 command = commands.PlanOrder(
-                    office,
+                    leader_epoch,
                     name,
                     step.instance,
                     step.epoch,
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -38,8 +38,8 @@
 # How often a change of leadership is looked for. A leader that lost its lease
 # stops granting at once; this only bounds how soon a new one starts.
 TICK = 0.1
-# Restrictions and members change far less often than this under one office.
-OFFICE_STEP = 10**9
+# Restrictions and members change far less often than this under one epoch.
+LEADER_EPOCH_STEP = 10**9
 
 
 class ConfigService:
@@ -47,7 +47,7 @@
 
     Attributes:
         machine: This instance's replica of the config group.
-        office: The number under which this instance leads; 0 for none.
+        leader_epoch: The epoch in which this instance leads; 0 for none.
         decides_at: Clock from which a push may be accepted here.
     """
 
@@ -77,9 +77,9 @@
         self.machine = replica or machine.ConfigMachine()
         self.membership = membership.Membership(timers)
         self.table: members.Table = self.membership.table
-        self.office = 0
+        self.leader_epoch = 0
         self.decides_at = float("inf")
-        self.taking_office = False
+        self.starting_leader_epoch = False
         self.subscriptions: list[timer_ports.Subscription] = []
         self.served = (0, 0, 0)
         self.feed = config_feed.Feed(node.instance, self, timers, times)
@@ -125,13 +125,13 @@
     def leads(self) -> bool:
         """Tells whether this instance may decide and grant leases now."""
         return (
-            self.office > 0
-            and self.machine.office.number == self.office
+            self.leader_epoch > 0
+            and self.machine.leader_epoch.number == self.leader_epoch
             and self.log.leads(machine.GROUP)
         )
 
     def date(self) -> float:
-        """Returns seconds since 1970, going on from the office's start.
+        """Returns seconds since 1970, going on from the epoch's start.
 
         Expiry, pauses and permits of the group's state are counted with it.
         With a time of day that jumps by minutes, a quarantine would end early
@@ -207,7 +207,7 @@
         state = self.machine
         listed = {member.address for member in state.members.values()}
         return config_messages.Restrictions(
-            self.office * OFFICE_STEP
+            self.leader_epoch * LEADER_EPOCH_STEP
             + state.restrictions
             + self.members_changes,
             sorted(state.drains),
@@ -230,13 +230,16 @@
 
     def _tick(self) -> None:
         leads = self.log.leads(machine.GROUP)
-        holds = self.office and self.machine.office.number == self.office
-        if leads and not holds and not self.taking_office:
-            self.taking_office = True
-            self.timers.spawn(self._take_office)
-        if not leads and self.office:
+        holds = (
+            self.leader_epoch
+            and self.machine.leader_epoch.number == self.leader_epoch
+        )
+        if leads and not holds and not self.starting_leader_epoch:
+            self.starting_leader_epoch = True
+            self.timers.spawn(self._start_leader_epoch)
+        if not leads and self.leader_epoch:
             logger.info("No longer the config leader")
-            self.office = 0
+            self.leader_epoch = 0
             self.feed.close_control()
         self.relay.active = not leads
         if self.leads():
@@ -248,7 +251,7 @@
     def _tell_members(self) -> None:
         """Tells nodes of control instances that came or went.
 
-        What nodes are told is numbered by the leader's office first, which
+        What nodes are told is numbered by the leader's epoch first, which
         the log makes grow. Numbered by a wall clock, a new leader's changes
         could look older than those of the one before, and would be dropped.
         """
@@ -269,7 +272,7 @@
         if stream.address and leader not in ("", stream.address):
             stream.close()
 
-    def _take_office(self) -> None:
+    def _start_leader_epoch(self) -> None:
         """Takes a number, after which older leaders' commands are void.
 
         Its commit also shows that every earlier command was applied here.
@@ -278,22 +281,22 @@
         control instance still renews the old revision to its nodes.
         """
         self.dated_at = self.timers.now()
-        self.dated = max(self.timers.wall(), self.machine.office.at)
+        self.dated = max(self.timers.wall(), self.machine.leader_epoch.at)
         try:
-            command = commands.TakeOffice(self.node.instance, self.dated)
-            office = self.propose(command)
+            command = commands.StartLeaderEpoch(self.node.instance, self.dated)
+            leader_epoch = self.propose(command)
         except errors.MintcleatError as error:
             logger.info("Did not take the lead: {}", error.detail)
             return
         finally:
-            self.taking_office = False
-        first = office.number == 1
+            self.starting_leader_epoch = False
+        first = leader_epoch.number == 1
         wait = 0.0 if first else self.times.max_lease
         self.decides_at = self.timers.now() + wait
-        self.office = office.number
+        self.leader_epoch = leader_epoch.number
         self.membership.take_lead()
         self.registrar.take_lead()
-        logger.info("Config leader under office {}", office.number)
+        logger.info("Config leader under office {}", leader_epoch.number)
         self.feed.wake_all()
 
     def _tick_members(self) -> None:
--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -35,7 +35,7 @@
     machine: machine.ConfigMachine
     streams: stream_ports.Streams
     timers: timer_ports.Timers
-    office: int
+    leader_epoch: int
 
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
@@ -99,7 +99,7 @@
         if order.action != "load":
             return True
         command = commands.TakePermit(
-            self.leader.office,
+            self.leader.leader_epoch,
             str(order.fence),
             policies.loads_per_minute,
             policies.load_burst,
@@ -147,7 +147,7 @@
     ) -> None:
         self.leader.propose(
             commands.EndOrder(
-                self.leader.office,
+                self.leader.leader_epoch,
                 service,
                 announced.sidecar.instance,
                 order.fence,
--- a/testing/test_configuration.py
+++ b/testing/test_configuration.py
@@ -39,7 +39,7 @@
         super().setUp()
         self.machine = machine.ConfigMachine()
         self.index = 0
-        self.apply(commands.TakeOffice("control-0", 0.0))
+        self.apply(commands.StartLeaderEpoch("control-0", 0.0))
 
     def apply(self, command: Any) -> Any:
         self.index += 1
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -47,7 +47,7 @@
         self.machine = state
         self.timers = SteppedTimers()
         self.events = events.Silent()
-        self.office = 0
+        self.leader_epoch = 0
         self.index = 0
 
     def propose(self, command: Any) -> Any:
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -113,7 +113,7 @@
         self.timers = fleet.timers
         self.membership = membership.Membership(fleet.timers)
         self.streams = fleet
-        self.office = 0
+        self.leader_epoch = 0
         self.decides_at = 0.0
         self.planner = rollout.Planner(self)
         self.planner.start()
@@ -129,14 +129,16 @@
     def leads(self) -> bool:
         """Tells whether it holds the office."""
         return self.log.leads(machine.GROUP) and (
-            self.machine.office.number == self.office
+            self.machine.leader_epoch.number == self.leader_epoch
         )
 
-    def take_office(self) -> None:
+    def start_leader_epoch(self) -> None:
         """Leads from now on."""
         self.log.cluster.elect(self.log.address)
-        command = commands.TakeOffice(self.log.address, self.timers.wall())
-        self.office = self.propose(command).number
+        command = commands.StartLeaderEpoch(
+            self.log.address, self.timers.wall()
+        )
+        self.leader_epoch = self.propose(command).number
 
 
 class RolloutTest(testtools.TestCase):
@@ -149,7 +151,7 @@
             Leader(self.cluster, self.fleet, name) for name in ("a", "b")
         ]
         self.leader = self.leaders[0]
-        self.leader.take_office()
+        self.leader.start_leader_epoch()
         self.timers.every(0.5, self.announce)
         self.announce()
         self.push("1")
@@ -170,7 +172,7 @@
         revision = self.leader.machine.document.revision
         self.leader.propose(
             commands.Push(
-                self.leader.office,
+                self.leader.leader_epoch,
                 revision,
                 f"push-{revision}",
                 sections.split(whole),
@@ -259,7 +261,7 @@
         self.assertTrue(first)
         self.fleet.lost = set()
         self.leader = self.leaders[1]
-        self.leader.take_office()
+        self.leader.start_leader_epoch()
         self.timers.advance(120.0)
         self.assertEqual(rollouts.DONE, self.state())
         numbers: dict[str, set[int]] = {}
@@ -270,8 +272,8 @@
 
     def test_command_of_a_replaced_leader_is_void(self) -> None:
         """A leader that was cut off proposes under its old office."""
-        old = self.leader.office
-        self.leaders[1].take_office()
+        old = self.leader.leader_epoch
+        self.leaders[1].start_leader_epoch()
         stale = commands.PlanOrder(
             old, "chat", "engine-0", 1, "load", "m@9", 0.0
         )
@@ -291,7 +293,7 @@
         begin = self.timers.now()
         self.assertEqual(2, self.loads())
         self.leader = self.leaders[1]
-        self.leader.take_office()
+        self.leader.start_leader_epoch()
         while self.loads() < 6:
             self.timers.advance(0.1)
             passed = self.timers.now() - begin
