--- a/src/mintcleat/adapters/engine_http.py
+++ b/src/mintcleat/adapters/engine_http.py
@@ -138,9 +138,9 @@
         """Takes in a cache that another engine exported."""
         self._call("POST", "import", exported)
 
-    def order(self, fence: int, action: str, model: str) -> None:
+    def order(self, fencing_token: int, action: str, model: str) -> None:
         """Carries out an order."""
-        body = {"fence": fence, "action": action, "model": model}
+        body = {"fence": fencing_token, "action": action, "model": model}
         self._post("orders", body, _ORDER_SECONDS)
 
     def _get(self, path: str, kind: type, extra: float = 0.0) -> Any:
--- a/src/mintcleat/configuration/commands.py
+++ b/src/mintcleat/configuration/commands.py
@@ -100,7 +100,7 @@
     at: float
 
 
-class TakeFence(NamedTuple):
+class TakeFencingTokens(NamedTuple):
     """Takes `count` fencing numbers; the answer is the highest of them."""
 
     leader_epoch: int
@@ -206,7 +206,7 @@
     leader_epoch: int
     service: str
     instance: str
-    fence: int
+    fencing_token: int
     outcome: str
     at: float
 
@@ -225,7 +225,7 @@
     StartLeaderEpoch,
     Push,
     Note,
-    TakeFence,
+    TakeFencingTokens,
     TakePermit,
     SetDrain,
     Suspect,
--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -159,8 +159,8 @@
                     command, command.action, command.subject, command.outcome
                 )
                 return True
-            case commands.TakeFence(count=count):
-                return self.ledger.take(count)
+            case commands.TakeFencingTokens(count=count):
+                return self.ledger.take_fencing_tokens(count)
             case commands.TakePermit():
                 return self.bucket.take(
                     command.holder,
--- a/src/mintcleat/domain/config_messages.py
+++ b/src/mintcleat/domain/config_messages.py
@@ -122,13 +122,13 @@
     """An order to an upstream, through its sidecar.
 
     Attributes:
-        fence: Fencing number, from the replicated counter.
+        fencing_token: Fencing token, from the replicated counter.
         action: `load`, `unload` or `role`.
         model: Model, adapter and version.
     """
 
     sidecar: identities.Incarnation
-    fence: int
+    fencing_token: int
     action: str
     model: str
 
@@ -163,4 +163,4 @@
 class Fence(NamedTuple):
     """No order of the instance committed so far has a higher number."""
 
-    fence: int
+    fencing_token: int
--- a/src/mintcleat/ports/upstream.py
+++ b/src/mintcleat/ports/upstream.py
@@ -143,7 +143,7 @@
     def import_cache(self, exported: bytes) -> None:
         """Takes in a cache that another engine exported."""
 
-    def order(self, fence: int, action: str, model: str) -> None:
+    def order(self, fencing_token: int, action: str, model: str) -> None:
         """Carries out an order.
 
         Raises:
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -95,7 +95,7 @@
                 )
             case config_messages.ReadFence(instance=instance):
                 return config_messages.Fence(
-                    self.leader.machine.ledger.highest(instance)
+                    self.leader.machine.ledger.highest_fencing_token(instance)
                 )
             case _:
                 return self._answer_more(message)
--- a/src/mintcleat/roles/sidecar/orders.py
+++ b/src/mintcleat/roles/sidecar/orders.py
@@ -65,8 +65,8 @@
     would still be carried out.
     """
 
-    def read_fence() -> int:
+    def read_fencing_token() -> int:
         read = config_messages.ReadFence(node.instance)
-        return directory.ask(read, _READ_SECONDS).fence
+        return directory.ask(read, _READ_SECONDS).fencing_token
 
-    return orders.OrderReceiver(node, target, timers, read_fence)
+    return orders.OrderReceiver(node, target, timers, read_fencing_token)
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -65,7 +65,7 @@
         self.lease = True
         self.duplicate = False
         self.drained = False
-        self.fence = 0
+        self.fencing_token = 0
         self.quarantine: set[bytes] = set()
         self.suspects: set[bytes] = set()
         self.asked: list[Any] = []
@@ -106,7 +106,7 @@
         if self.held is not None:
             self.held.wait()
         if isinstance(message, config_messages.ReadFence):
-            return config_messages.Fence(self.fence)
+            return config_messages.Fence(self.fencing_token)
         return identities.Done()
 
 
--- a/testing/test_configuration.py
+++ b/testing/test_configuration.py
@@ -73,7 +73,9 @@
         self.apply(commands.EndOrder(1, "s", "engine", first, "failed", 0.0))
         self.assertEqual(first + 1, self.order("v2"))
         self.assertEqual(first + 2, self.order("v2", epoch=2))
-        self.assertEqual(first + 2, self.machine.ledger.highest("engine"))
+        self.assertEqual(
+            first + 2, self.machine.ledger.highest_fencing_token("engine")
+        )
 
     def test_outcome_of_an_older_order_changes_nothing(self) -> None:
         first = self.order("v1")
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -5,7 +5,7 @@
 import testtools
 
 from mintcleat.adapters import timers
-from mintcleat.configuration import fence
+from mintcleat.configuration import fencing
 from mintcleat.domain import config_messages
 from mintcleat.domain import errors
 from mintcleat.domain import identities
@@ -102,7 +102,7 @@
         def cut_off() -> int:
             raise errors.ControlUnavailable("No leader.")
 
-        self.receiver.read_fence = cut_off
+        self.receiver.read_fencing_token = cut_off
         self.assertRaises(errors.ControlUnavailable, self.give, 9, "v2")
         self.assertEqual([], self.engine.taken)
 
@@ -154,10 +154,10 @@
 
 class GateTest(testtools.TestCase):
     def test_learned_number_itself_may_still_pass(self) -> None:
-        gate = fence.Gate()
+        gate = fencing.Gate()
         gate.learn(4)
         self.assertTrue(gate.admit(4))
         self.assertRaises(errors.FencedOff, gate.admit, 3)
 
     def test_unlearned_gate_lets_nothing_pass(self) -> None:
-        self.assertRaises(errors.FencedOff, fence.Gate().admit, 1)
+        self.assertRaises(errors.FencedOff, fencing.Gate().admit, 1)
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -164,8 +164,10 @@
         self.rig = service_rig.Rig(self.engine)
         self.addCleanup(self.rig.stop)
 
-    def order(self, fence: int, model: str = "model-2") -> object:
-        order = config_messages.Order(service_rig.NODE, fence, "load", model)
+    def order(self, fencing_token: int, model: str = "model-2") -> object:
+        order = config_messages.Order(
+            service_rig.NODE, fencing_token, "load", model
+        )
         return self.rig.client.ask(self.rig.server.address, order, 5.0)
 
     def test_old_order_stops_at_the_sidecar(self) -> None:
@@ -174,7 +176,7 @@
         The sidecar is new and has seen no order, so it reads the highest
         number first and drops what lies below.
         """
-        self.rig.directory.fence = 9
+        self.rig.directory.fencing_token = 9
         self.assertRaises(errors.FencedOff, self.order, 8)
         self.assertEqual([], self.engine.orders)
         self.order(9)
