--- a/src/mintcleat/configuration/commands.py
+++ b/src/mintcleat/configuration/commands.py
@@ -89,7 +89,7 @@
     started: int = 0
 
 
-class Note(NamedTuple):
+class AddAuditEntry(NamedTuple):
     """Adds an audit entry for something that changed nothing."""
 
     operator: str
@@ -137,7 +137,7 @@
     at: float
 
 
-class Suspect(NamedTuple):
+class RecordCrash(NamedTuple):
     """An upstream crashed while it ran the requests of these digests.
 
     Attributes:
@@ -160,7 +160,7 @@
     at: float
 
 
-class SetMember(NamedTuple):
+class SetControlInstance(NamedTuple):
     """Adds, changes or removes (empty address) a control instance."""
 
     instance: str
@@ -224,13 +224,13 @@
 KINDS = (
     StartLeaderEpoch,
     Push,
-    Note,
+    AddAuditEntry,
     TakeFencingTokens,
     TakePermit,
     SetDrain,
-    Suspect,
+    RecordCrash,
     Release,
-    SetMember,
+    SetControlInstance,
     StartRollout,
     PlanOrder,
     EndOrder,
--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -28,7 +28,7 @@
 ACCEPTED = "accepted"
 
 
-class Member(NamedTuple):
+class ControlInstance(NamedTuple):
     """A control instance as operators added it."""
 
     instance: str
@@ -49,7 +49,8 @@
 
     Attributes:
         drains: Draining scopes by `scope/name`, with when it was ordered.
-        restrictions: Grows when `drains`, `quarantine` or `members` changes.
+        restrictions_version: Grows when `drains`, `quarantine` or
+            `control_instances` changes.
         subscribers: Called after each applied command or restore.
         pushed_index: Entry that carried the version in force; 0 when it came
             in a snapshot. For the log only, not a part of the state.
@@ -63,8 +64,8 @@
         self.bucket = permits.Bucket()
         self.quarantine = quarantine.Registry()
         self.drains: dict[str, float] = {}
-        self.members: dict[str, Member] = {}
-        self.restrictions = 0
+        self.control_instances: dict[str, ControlInstance] = {}
+        self.restrictions_version = 0
         self.directory = directory.Directory()
         self.subscribers: list[Callable[[], None]] = []
         self.pushed_index = 0
@@ -101,8 +102,8 @@
                 self.bucket.state(),
                 self.quarantine.state(),
                 self.drains,
-                [list(member) for member in self.members.values()],
-                self.restrictions,
+                [list(member) for member in self.control_instances.values()],
+                self.restrictions_version,
                 self.directory.state(),
             ]
         )
@@ -122,9 +123,9 @@
         self.bucket.load(items[5])
         self.quarantine.load(items[6])
         self.drains = items[7]
-        members = [Member(*item) for item in items[8]]
-        self.members = {member.instance: member for member in members}
-        self.restrictions = items[9]
+        members = [ControlInstance(*item) for item in items[8]]
+        self.control_instances = {member.instance: member for member in members}
+        self.restrictions_version = items[9]
         self.pushed_index = 0
         self.directory = directory.Directory()
         if items[0] == FORMAT:
@@ -154,7 +155,7 @@
                 return self.directory.register(registration)
             case commands.Leave(upstream=upstream, final=final):
                 return self.directory.leave(upstream, final, command.started)
-            case commands.Note():
+            case commands.AddAuditEntry():
                 self._audit(
                     command, command.action, command.subject, command.outcome
                 )
@@ -170,12 +171,12 @@
                 )
             case commands.SetDrain():
                 return self._drain(command)
-            case commands.Suspect():
+            case commands.RecordCrash():
                 return self._suspect(command)
             case commands.Release():
                 return self._release(command)
-            case commands.SetMember():
-                return self._set_member(command)
+            case commands.SetControlInstance():
+                return self._set_control_instance(command)
             case _:
                 return self._apply_order(command)
 
@@ -243,12 +244,12 @@
             self.drains.setdefault(key, command.at)
         else:
             self.drains.pop(key, None)
-        self.restrictions += 1
+        self.restrictions_version += 1
         action = "drain" if command.drain else "undrain"
         self._audit(command, action, key, ACCEPTED)
         return True
 
-    def _suspect(self, command: commands.Suspect) -> list[bytes]:
+    def _suspect(self, command: commands.RecordCrash) -> list[bytes]:
         new = self.quarantine.crash(
             command.crash,
             command.upstream,
@@ -256,7 +257,7 @@
             command.seconds,
             command.at,
         )
-        self.restrictions += 1
+        self.restrictions_version += 1
         for digest in new:
             self._audit_own(
                 command.at,
@@ -268,19 +269,21 @@
 
     def _release(self, command: commands.Release) -> bool:
         found = self.quarantine.release(command.digest)
-        self.restrictions += 1
+        self.restrictions_version += 1
         outcome = ACCEPTED if found else "refused: not listed"
         self._audit(command, "release", command.digest.hex(), outcome)
         return found
 
-    def _set_member(self, command: commands.SetMember) -> bool:
+    def _set_control_instance(
+        self, command: commands.SetControlInstance
+    ) -> bool:
         if command.address:
-            self.members[command.instance] = Member(
+            self.control_instances[command.instance] = ControlInstance(
                 command.instance, command.address, command.failure_domain
             )
         else:
-            self.members.pop(command.instance, None)
-        self.restrictions += 1
+            self.control_instances.pop(command.instance, None)
+        self.restrictions_version += 1
         subject = f"{command.instance} {command.address}".strip()
         self._audit(command, "member", subject, ACCEPTED)
         return True
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -154,11 +154,11 @@
             case member_messages.LeaveUpstream(upstream=upstream):
                 self.leader.registrar.leave(upstream, message.started)
             case operator_messages.SetControl():
-                self.leader.propose(commands.SetMember(*message, at))
+                self.leader.propose(commands.SetControlInstance(*message, at))
             case member_messages.ReportCrash(sidecar=sidecar, number=number):
                 policies = self.leader.machine.document.manifest().policies
                 self.leader.propose(
-                    commands.Suspect(
+                    commands.RecordCrash(
                         f"{sidecar.instance}/{sidecar.epoch}/{number}",
                         sidecar.instance,
                         message.digests,
@@ -307,7 +307,7 @@
         error: errors.MintcleatError,
     ) -> None:
         self.leader.propose(
-            commands.Note(
+            commands.AddAuditEntry(
                 message.operator,
                 message.origin,
                 "push",
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -205,10 +205,10 @@
         if not self.leads():
             return self.relay.restrictions
         state = self.machine
-        listed = {member.address for member in state.members.values()}
+        listed = {member.address for member in state.control_instances.values()}
         return config_messages.Restrictions(
             self.leader_epoch * LEADER_EPOCH_STEP
-            + state.restrictions
+            + state.restrictions_version
             + self.members_changes,
             sorted(state.drains),
             state.quarantine.quarantined(),
@@ -310,7 +310,7 @@
             return
         served = (
             self.machine.document.revision,
-            self.machine.restrictions,
+            self.machine.restrictions_version,
             self.machine.directory.version,
         )
         if served != self.served:
--- a/testing/test_admin_http.py
+++ b/testing/test_admin_http.py
@@ -422,5 +422,5 @@
             [("control-9", "control-3", "127.0.0.1:7003", "hall-c")],
             control.replaced,
         )
-        members = self.cluster.control[0].machine.members
+        members = self.cluster.control[0].machine.control_instances
         self.assertEqual(["control-3"], list(members))
--- a/testing/test_configuration.py
+++ b/testing/test_configuration.py
@@ -90,8 +90,10 @@
         self.order("v1")
         self.apply(commands.TakePermit(1, "x", 60.0, 2, 5.0))
         self.apply(commands.SetDrain("instance", "e", True, "a", "ip", 6.0))
-        self.apply(commands.Suspect("c", "u", [b"d"], 60.0, 7.0))
-        self.apply(commands.SetMember("c1", "addr", "fd", "a", "ip", 8.0))
+        self.apply(commands.RecordCrash("c", "u", [b"d"], 60.0, 7.0))
+        self.apply(
+            commands.SetControlInstance("c1", "addr", "fd", "a", "ip", 8.0)
+        )
         self.apply(commands.StartRollout(1, "s", "v2", "v1", 9.0))
         state = self.machine.snapshot()
         other = machine.ConfigMachine()
