--- a/src/mintcleat/configuration/directory.py
+++ b/src/mintcleat/configuration/directory.py
@@ -12,7 +12,7 @@
 # Lives remembered as over. A late registration of one that is forgotten would
 # be believed until it falls silent. With 480 restarts and replacements a day
 # this many last for a week; registrations are held up for seconds.
-LEFT_KEPT = 4_096
+ENDED_KEPT = 4_096
 # Removals told to nodes; nodes further behind get the whole directory.
 REMOVALS_KEPT = 4_096
 
@@ -29,7 +29,7 @@
         entries: The registrations in force.
         changed_at: Version of the last change, by upstream.
         removed_at: Version of the removal, by upstream, oldest first.
-        left: Start of the last life that is over for good, by upstream, the
+        ended: Start of the last life that is over for good, by upstream, the
             one that left first first; 0 for lives that do not tell it.
         horizon: Nodes below this version cannot be brought up by a delta.
     """
@@ -40,11 +40,11 @@
         self.entries: dict[str, member_messages.Registration] = {}
         self.changed_at: dict[str, int] = {}
         self.removed_at: dict[str, int] = {}
-        self.left: dict[str, int] = {}
+        self.ended: dict[str, int] = {}
 
-    def over(self, upstream: str, started: int) -> bool:
+    def has_ended(self, upstream: str, started: int) -> bool:
         """Tells whether this life left for good, or a later one did."""
-        return upstream in self.left and started <= self.left[upstream]
+        return upstream in self.ended and started <= self.ended[upstream]
 
     def register(self, registration: member_messages.Registration) -> bool:
         """Takes a registration; returns whether it is in force afterwards.
@@ -54,10 +54,10 @@
         is gone, or whose address another one has by now.
         """
         name = registration.upstream
-        if self.over(name, registration.started):
+        if self.has_ended(name, registration.started):
             return False
         held = self.entries.get(name)
-        if held is not None and order(held) > order(registration):
+        if held is not None and recency_key(held) > recency_key(registration):
             return False
         others = [
             other
@@ -84,8 +84,8 @@
         held = self.entries.get(upstream)
         if not started and held is not None:
             started = held.started
-        if final and not self.over(upstream, started):
-            self._remember_left(upstream, started)
+        if final and not self.has_ended(upstream, started):
+            self._remember_ended(upstream, started)
         if held is None or held.started > started:
             return False
         self._remove(upstream, self.version + 1)
@@ -108,7 +108,7 @@
             self.version, False, changed, gone
         )
 
-    def follow(self, update: member_messages.DirectoryUpdate) -> bool:
+    def apply_update(self, update: member_messages.DirectoryUpdate) -> bool:
         """Takes an update of another directory; False for an older one."""
         if update.version <= self.version:
             return False
@@ -135,7 +135,7 @@
             [list(item) for item in self.entries.values()],
             self.changed_at,
             self.removed_at,
-            self.left,
+            self.ended,
         ]
 
     def load(self, state: list[Any]) -> None:
@@ -146,7 +146,7 @@
         self.changed_at, self.removed_at = state[3:5]
         # Releases before the starts of lives kept the time of leaving here,
         # as a float, of upstreams that told no start.
-        self.left = {
+        self.ended = {
             name: started if isinstance(started, int) else 0
             for name, started in state[5].items()
         }
@@ -155,7 +155,7 @@
         name = registration.upstream
         held = self.entries.get(name)
         self.entries[name] = registration
-        if held is not None and same_in_force(held, registration):
+        if held is not None and same_except_renewal(held, registration):
             return
         self.version += 1
         self.changed_at[name] = self.version
@@ -171,19 +171,19 @@
             oldest = next(iter(self.removed_at))
             self.horizon = self.removed_at.pop(oldest)
 
-    def _remember_left(self, name: str, started: int) -> None:
-        self.left.pop(name, None)
-        self.left[name] = started
-        while len(self.left) > LEFT_KEPT:
-            del self.left[next(iter(self.left))]
+    def _remember_ended(self, name: str, started: int) -> None:
+        self.ended.pop(name, None)
+        self.ended[name] = started
+        while len(self.ended) > ENDED_KEPT:
+            del self.ended[next(iter(self.ended))]
 
 
-def order(registration: member_messages.Registration) -> tuple[int, int]:
+def recency_key(registration: member_messages.Registration) -> tuple[int, int]:
     """Returns what tells which of two registrations of an id is newer."""
     return registration.started, registration.sequence
 
 
-def same_in_force(
+def same_except_renewal(
     one: member_messages.Registration, other: member_messages.Registration
 ) -> bool:
     """Tells whether two registrations of one upstream mean the same."""
--- a/src/mintcleat/configuration/document.py
+++ b/src/mintcleat/configuration/document.py
@@ -48,7 +48,7 @@
         unread: Sections changed since the manifest was last assembled.
         version: Highest number of a numbered push; 0 before the first.
         source: What that push was generated from, as its sender gave it.
-        key_since: When each key of a customer was added, by its digest.
+        key_added_at: When each key of a customer was added, by its digest.
     """
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         self.unread: dict[str, str] = {}
         self.version = 0
         self.source = ""
-        self.key_since: dict[str, float] = {}
+        self.key_added_at: dict[str, float] = {}
 
     def push_version(self, command: commands.PushVersion) -> Accepted:
         """Applies a numbered push, unless one as high was applied before.
@@ -123,7 +123,7 @@
             self.cached[revision] = self._update_since(revision)
         return self.cached[revision]
 
-    def follow(self, update: Update) -> None:
+    def apply_update(self, update: Update) -> None:
         """Takes an update from another document; lower ones change nothing.
 
         Changes of several revisions count as changes of the last, also where
@@ -164,7 +164,7 @@
             {key: list(push) for key, push in self.pushes.items()},
             self.version,
             self.source,
-            self.key_since,
+            self.key_added_at,
         ]
 
     def load(self, state: list[Any]) -> None:
@@ -178,7 +178,7 @@
         self.pushes = {key: Accepted(*push) for key, push in state[5].items()}
         # Releases without numbered pushes end before these.
         self.version, self.source = state[6:8] or (0, "")
-        self.key_since = state[8] if len(state) > 8 else {}
+        self.key_added_at = state[8] if len(state) > 8 else {}
         self._read_anew()
 
     def _note_keys(self, touched: list[str], at: float) -> None:
@@ -186,8 +186,8 @@
         if not any(key.startswith(sections.CUSTOMERS) for key in touched):
             return
         customers = self.manifest().policies.customers
-        self.key_since = {
-            key: self.key_since.get(key, at)
+        self.key_added_at = {
+            key: self.key_added_at.get(key, at)
             for customer in customers.values()
             for key in customer.keys
         }
--- a/src/mintcleat/configuration/members.py
+++ b/src/mintcleat/configuration/members.py
@@ -70,7 +70,7 @@
             expires = now + lease.MEMBER_LEASE
             records[sidecar] = Record(record.announcement, now, expires)
 
-    def relay(
+    def apply_update(
         self, source: str, update: member_messages.MembersUpdate, now: float
     ) -> None:
         """Takes what another control instance passes on."""
@@ -84,7 +84,7 @@
         for sidecar in update.gone:
             self._drop(source, sidecar)
 
-    def lose(self, source: str, now: float, grace: float) -> None:
+    def expire_source(self, source: str, now: float, grace: float) -> None:
         """Lets a source's records run out, unless they come back."""
         for sidecar, record in self.sources.get(source, {}).items():
             limit = min(record.expires, now + grace)
@@ -131,7 +131,7 @@
             self.cached = {key: self._update_since(version)}
         return self.cached[key]
 
-    def direct(
+    def direct_announcements(
         self,
     ) -> dict[identities.Incarnation, member_messages.Announcement]:
         """Returns what was announced to this instance itself."""
--- a/src/mintcleat/roles/control/configuration/feed.py
+++ b/src/mintcleat/roles/control/configuration/feed.py
@@ -222,7 +222,7 @@
                 table.announce(announcement, now)
                 peer.duplicate = None
             case member_messages.MembersUpdate():
-                table.relay(peer.follow.node.instance, message, now)
+                table.apply_update(peer.follow.node.instance, message, now)
         peer.wake()
 
     def detach(self, peer: Peer) -> None:
@@ -238,7 +238,7 @@
             return
         self._note(peer, lost_at=now)
         if peer.follow.role == CONTROL:
-            self.source.table.lose(
+            self.source.table.expire_source(
                 peer.follow.node.instance, now, self.times.member_lease
             )
 
--- a/src/mintcleat/roles/control/configuration/membership.py
+++ b/src/mintcleat/roles/control/configuration/membership.py
@@ -39,7 +39,7 @@
         almost every upstream had left.
         """
         grace = 2 * lease.MEMBER_LEASE
-        self.table.lose(config_relay.LEADER, self.timers.now(), grace)
+        self.table.expire_source(config_relay.LEADER, self.timers.now(), grace)
 
     def views(
         self, draining: Callable[[str, str], bool]
--- a/src/mintcleat/roles/control/configuration/registrar.py
+++ b/src/mintcleat/roles/control/configuration/registrar.py
@@ -62,7 +62,7 @@
         now = self.leader.timers.now()
         held = self.leader.machine.directory.entries
         self.heard = {
-            name: Heard(now, directory.order(item))
+            name: Heard(now, directory.recency_key(item))
             for name, item in held.items()
         }
 
@@ -75,16 +75,18 @@
         """
         state = self.leader.machine.directory
         name = registration.upstream
-        order = directory.order(registration)
+        order = directory.recency_key(registration)
         newest = self.heard.get(name)
-        if state.over(name, registration.started):
+        if state.has_ended(name, registration.started):
             return
         if newest is not None and order < newest.order:
             return
         held = state.entries.get(name)
         self._check_service(registration, held)
         self.heard[name] = Heard(self.leader.timers.now(), order)
-        if held is not None and directory.same_in_force(held, registration):
+        if held is not None and directory.same_except_renewal(
+            held, registration
+        ):
             return
         at = self.leader.date()
         if self.leader.propose(
@@ -102,7 +104,7 @@
         state = self.leader.machine.directory
         held = state.entries.get(upstream)
         if held is None or (started and started < held.started):
-            if state.over(upstream, started):
+            if state.has_ended(upstream, started):
                 return
         else:
             self.heard.pop(upstream, None)
@@ -115,7 +117,7 @@
         now = self.leader.timers.now()
         for name, held in list(self.leader.machine.directory.entries.items()):
             heard = self.heard.setdefault(
-                name, Heard(now, directory.order(held))
+                name, Heard(now, directory.recency_key(held))
             )
             if now - heard.at > SILENCE and name not in self.leaving:
                 self.leaving.add(name)
--- a/src/mintcleat/roles/control/configuration/relay.py
+++ b/src/mintcleat/roles/control/configuration/relay.py
@@ -94,7 +94,7 @@
 
     def outgoing(self, first: bool) -> list[Any]:
         """Returns the changes of the members announced here."""
-        present = self.table.direct()
+        present = self.table.direct_announcements()
         if first:
             self.told = present
             return [
@@ -117,10 +117,10 @@
             case config_messages.ConfigUpdate():
                 self._take_config(message)
             case member_messages.DirectoryUpdate():
-                self.directory.follow(message)
+                self.directory.apply_update(message)
                 self.on_change()
             case member_messages.MembersUpdate():
-                self.table.relay(LEADER, message, self.timers.now())
+                self.table.apply_update(LEADER, message, self.timers.now())
             case config_messages.Restrictions():
                 if message.version > self.restrictions.version:
                     self.restrictions = message
@@ -136,7 +136,7 @@
             return
         if not update.whole and update.base > before:
             return
-        self.document.follow(
+        self.document.apply_update(
             document.Update(update.revision, update.whole, update.sections)
         )
         self.lease.renew(update.echo, update.lease)
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -367,7 +367,9 @@
             operator_messages.CustomerView(
                 name,
                 [
-                    operator_messages.KeyView(key, held.key_since.get(key, 0.0))
+                    operator_messages.KeyView(
+                        key, held.key_added_at.get(key, 0.0)
+                    )
                     for key in customer.keys
                 ],
                 customer.rate,
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -95,7 +95,7 @@
             self.gone(life)
         for life, item in entries.items():
             held = self.known.get(life)
-            if held is None or not directory.same_in_force(held, item):
+            if held is None or not directory.same_except_renewal(held, item):
                 self._tell(item, registered.version)
         self.known = entries
         self.by_service = {}
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -246,7 +246,7 @@
             case config_messages.Restrictions():
                 self._take_restrictions(message)
             case member_messages.DirectoryUpdate():
-                if self.registered.follow(message):
+                if self.registered.apply_update(message):
                     self._notify()
             case member_messages.Announced(duplicate=duplicate):
                 self.duplicate = duplicate
--- a/testing/test_configuration.py
+++ b/testing/test_configuration.py
@@ -129,7 +129,7 @@
             source.push(push(number, str(number), target, removed))
             held.append(dict(source.sections))
             if data.draw(strategies.booleans()):
-                relay.follow(source.update_since(relay.revision))
+                relay.apply_update(source.update_since(relay.revision))
         start = data.draw(strategies.integers(0, relay.revision))
         for serving in (source, relay):
             update = serving.update_since(start)
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -223,18 +223,18 @@
 class MemoryTest(testtools.TestCase):
     def test_lives_remembered_as_over_are_bounded(self) -> None:
         held = directory.Directory()
-        for number in range(directory.LEFT_KEPT + 10):
+        for number in range(directory.ENDED_KEPT + 10):
             held.leave(f"e{number}", True, 5)
-        self.assertEqual(directory.LEFT_KEPT, len(held.left))
-        self.assertTrue(held.over(f"e{number}", 5))
+        self.assertEqual(directory.ENDED_KEPT, len(held.ended))
+        self.assertTrue(held.has_ended(f"e{number}", 5))
 
     def test_state_of_a_release_without_starts_is_read(self) -> None:
         held = directory.Directory()
         old = list(life(0))[:-1]
         held.load([3, 0, [old], {"e1": 3}, {}, {"e0": 1_764_000_000.5}])
         self.assertEqual(0, held.entries["e1"].started)
-        self.assertTrue(held.over("e0", 0))
-        self.assertFalse(held.over("e0", 7))
+        self.assertTrue(held.has_ended("e0", 0))
+        self.assertFalse(held.has_ended("e0", 7))
 
 
 class LivesMachine(stateful.RuleBasedStateMachine):
@@ -297,14 +297,14 @@
         # A successor knows the counts of changes alone: renewals are kept
         # by the leader.
         self.newest = {
-            name: directory.order(item)
+            name: directory.recency_key(item)
             for name, item in state.directory.entries.items()
         }
 
     @stateful.rule()
     def follow(self) -> None:
         source = self.leader.machine.directory
-        self.node.follow(source.update_since(self.node.version))
+        self.node.apply_update(source.update_since(self.node.version))
         assert self.lives(self.node) == self.lives(source)
 
     def lives(self, held: directory.Directory) -> dict[str, tuple]:
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -239,7 +239,7 @@
         table = members.Table()
         self.announce(table, "a", 5, "draining")
         old = table.view["a"]._replace(counter=4, state="ready")
-        table.relay(
+        table.apply_update(
             "other", member_messages.MembersUpdate(True, [old], []), 0.0
         )
         self.assertEqual("draining", table.view["a"].state)
