--- a/src/mintcleat/configuration/lease.py
+++ b/src/mintcleat/configuration/lease.py
@@ -77,7 +77,7 @@
         return max(0.0, self.expires + grace - now)
 
 
-def wait(revision: int, attempt: int, move_after: float) -> float:
+def silence_timeout(revision: int, attempt: int, move_after: float) -> float:
     """Returns the seconds for which a node waits for an instance's word.
 
     Args:
--- a/src/mintcleat/configuration/plan.py
+++ b/src/mintcleat/configuration/plan.py
@@ -60,14 +60,14 @@
     now: float
 
 
-class Start(NamedTuple):
+class StartRollout(NamedTuple):
     """Start a rollout to `target`; return to `previous` if it fails."""
 
     target: str
     previous: str
 
 
-class Send(NamedTuple):
+class SendOrder(NamedTuple):
     """Order one upstream."""
 
     instance: str
@@ -76,14 +76,14 @@
     model: str
 
 
-class Turn(NamedTuple):
+class SetState(NamedTuple):
     """Set the rollout's state."""
 
     state: str
     reason: str
 
 
-Step = Start | Send | Turn
+Step = StartRollout | SendOrder | SetState
 
 
 def target_of(service: manifest.Service) -> str:
@@ -98,15 +98,15 @@
     """Returns what to do now; an empty list means to wait."""
     rollout = view.rollout
     if rollout is None or rollout.target != view.target:
-        return [Start(view.target, _previous(view))]
+        return [StartRollout(view.target, _previous(view))]
     match rollout.state:
         case rollouts.RUNNING:
             return _run(view, rollout)
-        case rollouts.RETURNING:
+        case rollouts.ROLLING_BACK:
             return _return(view, rollout)
         case rollouts.DONE:
             return _orders(view, rollout.target, rollout)
-        case rollouts.RETURNED:
+        case rollouts.ROLLED_BACK:
             return _orders(view, rollout.previous, rollout)
         case _:
             return []
@@ -115,20 +115,20 @@
 def _run(view: View, rollout: rollouts.Rollout) -> list[Step]:
     fault = _fault(view, rollout, rollout.target)
     if fault and rollout.previous:
-        return [Turn(rollouts.RETURNING, fault)]
+        return [SetState(rollouts.ROLLING_BACK, fault)]
     if fault:
-        return [Turn(rollouts.PAUSED, f"{fault}; no version to return to")]
+        return [SetState(rollouts.PAUSED, f"{fault}; no version to return to")]
     if _complete(view, rollout.target) and _paused_enough(view, rollout):
-        return [Turn(rollouts.DONE, "")]
+        return [SetState(rollouts.DONE, "")]
     return _orders(view, rollout.target, rollout)
 
 
 def _return(view: View, rollout: rollouts.Rollout) -> list[Step]:
     fault = _fault(view, rollout, rollout.previous)
     if fault:
-        return [Turn(rollouts.PAUSED, f"the return failed: {fault}")]
+        return [SetState(rollouts.PAUSED, f"the return failed: {fault}")]
     if _complete(view, rollout.previous):
-        return [Turn(rollouts.RETURNED, rollout.reason)]
+        return [SetState(rollouts.ROLLED_BACK, rollout.reason)]
     return _orders(view, rollout.previous, rollout)
 
 
@@ -201,7 +201,9 @@
             if allowed <= 0:
                 continue
             allowed -= 1
-        steps.append(Send(upstream.instance, upstream.epoch, action, model))
+        steps.append(
+            SendOrder(upstream.instance, upstream.epoch, action, model)
+        )
     return steps
 
 
--- a/src/mintcleat/configuration/rollouts.py
+++ b/src/mintcleat/configuration/rollouts.py
@@ -12,8 +12,8 @@
 
 RUNNING = "running"
 PAUSED = "paused"
-RETURNING = "returning"
-RETURNED = "returned"
+ROLLING_BACK = "returning"
+ROLLED_BACK = "returned"
 DONE = "done"
 FAILED = "failed"
 SENT = "sent"
--- a/src/mintcleat/configuration/transfer.py
+++ b/src/mintcleat/configuration/transfer.py
@@ -19,7 +19,7 @@
 from mintcleat.domain import member_messages
 
 # Bytes of one part. A link of 15 Mbit/s carries one in 9 ms.
-PART = 16 * 1024
+PART_BYTES = 16 * 1024
 # Text of sections, in bytes, and registrations in one message at most.
 SMALL_SECTIONS = 16 * 1024
 SMALL_DIRECTORY = 80
@@ -43,14 +43,14 @@
     data: bytes
 
 
-class Point(NamedTuple):
+class Progress(NamedTuple):
     """How much of which update a node holds; 0 bytes for none."""
 
     digest: bytes
     size: int
 
 
-NOTHING = Point(b"", 0)
+NO_PROGRESS = Progress(b"", 0)
 
 
 def is_large(update: Any) -> bool:
@@ -70,14 +70,14 @@
     return Packed(xxhash.xxh3_128_digest(data), data)
 
 
-class Shelf:
+class UpdateCache:
     """Updates that were packed for one node and serve the next ones."""
 
     def __init__(self) -> None:
         self.packed: dict[tuple[str, int, int], Packed] = {}
 
     def parts(
-        self, key: tuple[str, int, int], update: Any, held: Point
+        self, key: tuple[str, int, int], update: Any, held: Progress
     ) -> list[config_messages.UpdatePart]:
         """Returns the parts that a node lacks.
 
@@ -94,13 +94,13 @@
         begin = held.size if held.digest == digest else 0
         return [
             config_messages.UpdatePart(
-                digest, len(data), at, data[at : at + PART]
+                digest, len(data), at, data[at : at + PART_BYTES]
             )
-            for at in range(begin, len(data), PART)
+            for at in range(begin, len(data), PART_BYTES)
         ]
 
 
-class Incoming:
+class Reassembler:
     """Puts updates together on the node's side.
 
     Attributes:
@@ -112,9 +112,11 @@
         self.digest = b""
         self.data = bytearray()
 
-    def point(self) -> Point:
+    def progress(self) -> Progress:
         """Returns what an instance need not send again."""
-        return Point(self.digest, len(self.data)) if self.data else NOTHING
+        return (
+            Progress(self.digest, len(self.data)) if self.data else NO_PROGRESS
+        )
 
     def take(self, message: Any) -> Any:
         """Returns the whole update with its last part, None before.
--- a/src/mintcleat/roles/control/configuration/feed.py
+++ b/src/mintcleat/roles/control/configuration/feed.py
@@ -91,7 +91,7 @@
         self.echo = NO_CLOCK
         self.members_sent = 0
         self.directory_sent = follow.directory
-        self.held = transfer.Point(follow.digest, follow.held)
+        self.held = transfer.Progress(follow.digest, follow.held)
         self.restrictions_sent = -1
         self.announced: member_messages.Announcement | None = None
         self.duplicate: bool | None = None
@@ -129,7 +129,7 @@
         # In the order of their coming, so that a test repeats.
         self.peers: dict[Peer, None] = {}
         self.statuses: dict[identities.Incarnation, Status] = {}
-        self.shelf = transfer.Shelf()
+        self.update_cache = transfer.UpdateCache()
 
     def serve(
         self, exchange: stream_ports.Exchange, follow: config_messages.Follow
@@ -296,7 +296,7 @@
         if not transfer.is_large(update):
             return [update]
         key = ("directory", since, registered.version)
-        return self.shelf.parts(key, update, peer.held)
+        return self.update_cache.parts(key, update, peer.held)
 
     def _config(self, peer: Peer) -> list[Any]:
         if peer.sent == 0 and self.source.confirmed_at() < peer.opened:
@@ -324,7 +324,7 @@
             echo=echo,
             base=changes.revision,
         )
-        return [*self.shelf.parts(key, update, peer.held), renewal]
+        return [*self.update_cache.parts(key, update, peer.held), renewal]
 
     def _grant(self, peer: Peer, revision: int) -> float:
         """Returns the lease that goes with `revision`; 0 for none."""
--- a/src/mintcleat/roles/control/configuration/rollout.py
+++ b/src/mintcleat/roles/control/configuration/rollout.py
@@ -155,15 +155,15 @@
         leader_epoch = self.leader.leader_epoch
         at = self.leader.date()
         match step:
-            case plan.Start(target=target, previous=previous):
+            case plan.StartRollout(target=target, previous=previous):
                 command: Any = commands.StartRollout(
                     leader_epoch, name, target, previous, at
                 )
-            case plan.Turn(state=state, reason=reason):
+            case plan.SetState(state=state, reason=reason):
                 command = commands.SetRollout(
                     leader_epoch, name, state, reason, at
                 )
-            case plan.Send():
+            case plan.SendOrder():
                 command = commands.PlanOrder(
                     leader_epoch,
                     name,
--- a/src/mintcleat/roles/control/configuration/stream.py
+++ b/src/mintcleat/roles/control/configuration/stream.py
@@ -62,7 +62,7 @@
         homeward: Whether the preferred instance is tried next.
         passed_over: Whether the preferred instance was left for having
             nothing to give.
-        incoming: A large update that is arriving in parts.
+        reassembler: A large update that is arriving in parts.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.homeward = False
         self.passed_over = False
         self.stopped = False
-        self.incoming = transfer.Incoming()
+        self.reassembler = transfer.Reassembler()
 
     def start(self) -> None:
         """Runs the stream in a green thread until `stop`."""
@@ -144,7 +144,7 @@
                 self.timers.sleep(self._pause(attempt))
 
     def _follow(self, address: str, attempt: int) -> None:
-        held = self.incoming.point()
+        held = self.reassembler.progress()
         follow = self.owner.follow()._replace(
             digest=held.digest, held=held.size
         )
@@ -156,7 +156,7 @@
         self.timers.spawn(self._beat, exchange)
         while not self.stopped:
             message = exchange.receive(self._wait(attempt))
-            update = self.incoming.take(message)
+            update = self.reassembler.take(message)
             if update is None:
                 # A part of an update is a sign of life. Parts are finite, so
                 # they keep a node at no instance that renews nothing.
@@ -173,7 +173,9 @@
 
     def _wait(self, attempt: int) -> float:
         """Returns the seconds for which the instance may say nothing."""
-        return lease.wait(self.owner.applied(), attempt, self.move_after)
+        return lease.silence_timeout(
+            self.owner.applied(), attempt, self.move_after
+        )
 
     def _beat(self, exchange: stream_ports.Exchange) -> None:
         first = True
--- a/testing/fakes/config_links.py
+++ b/testing/fakes/config_links.py
@@ -101,7 +101,7 @@
         self.due = 0.0
         self.received: list[Any] = []
         self.stopped = False
-        self.incoming = transfer.Incoming()
+        self.reassembler = transfer.Reassembler()
         clock.every(STEP, self.step)
 
     def start(self) -> None:
@@ -140,7 +140,7 @@
                 self._renew(service)
             for message in service.feed.pending(self.peer):
                 self.received.append(message)
-                update = self.incoming.take(message)
+                update = self.reassembler.take(message)
                 if update is not None:
                     self.owner.take(update)
         since = max(self.opened, self.owner.lease.echo)
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -224,7 +224,7 @@
         self.fleet.broken.add("m@2")
         self.push("2")
         self.timers.advance(60.0)
-        self.assertEqual(rollouts.RETURNED, self.state())
+        self.assertEqual(rollouts.ROLLED_BACK, self.state())
         self.assertEqual({"m@1"}, set(self.fleet.models.values()))
         touched = {order.sidecar.instance for order in self.fleet.taken}
         self.assertTrue(touched <= {"engine-0", "engine-3"}, touched)
@@ -239,13 +239,13 @@
         broken = next(n for n, m in self.fleet.models.items() if m == "m@2")
         self.fleet.state[broken] = "down"
         self.timers.advance(2.0)
-        self.assertEqual(rollouts.RETURNING, self.state())
+        self.assertEqual(rollouts.ROLLING_BACK, self.state())
         self.timers.advance(8.0)
         tried = {o.sidecar.instance for o in self.fleet.taken}
         self.assertEqual({"engine-0", "engine-3"}, tried)
         self.fleet.state[broken] = "ready"
         self.timers.advance(60.0)
-        self.assertEqual(rollouts.RETURNED, self.state())
+        self.assertEqual(rollouts.ROLLED_BACK, self.state())
         self.assertEqual({"m@1"}, set(self.fleet.models.values()))
 
     def test_leader_lost_halfway_gives_no_order_twice(self) -> None:
@@ -314,7 +314,7 @@
         ]
         view = plan.View("s", "m", 1, 2, 0.0, upstreams, held, 100.0)
         self.assertEqual(
-            [plan.Send("e2", 1, plan.UNLOAD, "m")], plan.next_steps(view)
+            [plan.SendOrder("e2", 1, plan.UNLOAD, "m")], plan.next_steps(view)
         )
 
     def test_restarted_upstream_gets_the_version_in_force(self) -> None:
@@ -323,7 +323,7 @@
         upstream = plan.Upstream("e", 2, "d", "ready", "", False, old)
         view = plan.View("s", "m", 0, 1, 0.0, [upstream], held, 100.0)
         self.assertEqual(
-            [plan.Send("e", 2, plan.LOAD, "m")], plan.next_steps(view)
+            [plan.SendOrder("e", 2, plan.LOAD, "m")], plan.next_steps(view)
         )
 
     def test_adapters_and_version_are_part_of_the_target(self) -> None:
--- a/testing/test_transfer.py
+++ b/testing/test_transfer.py
@@ -227,7 +227,8 @@
         took = link.start()
         self.assertEqual(10_000, len(link.node.manifest().routes))
         self.assertThat(
-            link.carried, matchers.LessThan(whole.carried + 2 * transfer.PART)
+            link.carried,
+            matchers.LessThan(whole.carried + 2 * transfer.PART_BYTES),
         )
         self.assertThat(took, matchers.LessThan(0.6))
 
@@ -292,39 +293,39 @@
         super().setUp()
         update = config_messages.ConfigUpdate(3, True, routes(600), 0.0, 0.0)
         self.update = update
-        self.parts = transfer.Shelf().parts(
-            ("x", 0, 3), update, transfer.NOTHING
+        self.parts = transfer.UpdateCache().parts(
+            ("x", 0, 3), update, transfer.NO_PROGRESS
         )
-        self.incoming = transfer.Incoming()
+        self.reassembler = transfer.Reassembler()
 
     def test_update_is_whole_with_its_last_part(self) -> None:
-        taken = [self.incoming.take(part) for part in self.parts]
+        taken = [self.reassembler.take(part) for part in self.parts]
         self.assertThat(len(taken), matchers.GreaterThan(1))
         self.assertEqual([None] * (len(taken) - 1), taken[:-1])
         self.assertEqual(self.update, taken[-1])
-        self.assertEqual(transfer.NOTHING, self.incoming.point())
+        self.assertEqual(transfer.NO_PROGRESS, self.reassembler.progress())
 
     def test_missing_part_is_refused_and_drops_the_rest(self) -> None:
-        self.incoming.take(self.parts[0])
+        self.reassembler.take(self.parts[0])
         last = self.parts[-1]._replace(offset=self.parts[-1].offset + 1)
-        self.assertRaises(errors.BadRequest, self.incoming.take, last)
-        self.assertEqual(transfer.NOTHING, self.incoming.point())
+        self.assertRaises(errors.BadRequest, self.reassembler.take, last)
+        self.assertEqual(transfer.NO_PROGRESS, self.reassembler.progress())
 
     def test_damaged_bytes_are_refused(self) -> None:
         for part in self.parts[:-1]:
-            self.incoming.take(part)
+            self.reassembler.take(part)
         bad = self.parts[-1]
         bad = bad._replace(data=bad.data[:-1] + bytes([bad.data[-1] ^ 1]))
-        self.assertRaises(errors.BadRequest, self.incoming.take, bad)
+        self.assertRaises(errors.BadRequest, self.reassembler.take, bad)
 
     def test_part_without_bytes_is_refused(self) -> None:
         # It would count as a sign of life for ever.
         empty = self.parts[0]._replace(data=b"")
-        self.assertRaises(errors.BadRequest, self.incoming.take, empty)
+        self.assertRaises(errors.BadRequest, self.reassembler.take, empty)
 
     def test_other_messages_pass_as_they_are(self) -> None:
         ping = config_messages.Ping()
-        self.assertIs(ping, self.incoming.take(ping))
+        self.assertIs(ping, self.reassembler.take(ping))
 
     def test_directory_of_many_upstreams_travels_in_parts(self) -> None:
         items = [
@@ -342,6 +343,8 @@
         ]
         update = member_messages.DirectoryUpdate(9, True, items, [])
         self.assertTrue(transfer.is_large(update))
-        parts = transfer.Shelf().parts(("d", 0, 9), update, transfer.NOTHING)
-        taken = [self.incoming.take(part) for part in parts]
+        parts = transfer.UpdateCache().parts(
+            ("d", 0, 9), update, transfer.NO_PROGRESS
+        )
+        taken = [self.reassembler.take(part) for part in parts]
         self.assertEqual(update, taken[-1])
