--- a/src/mintcleat/configuration/__init__.py
+++ b/src/mintcleat/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration group's state machine, free of I/O."""
+"""The state machine of the configuration group, without I/O."""
--- a/src/mintcleat/configuration/commands.py
+++ b/src/mintcleat/configuration/commands.py
@@ -1,9 +1,9 @@
-"""Commands of the config group's log, as msgpack arrays `[tag, fields...]`.
+"""Commands in the log of the config group, as msgpack `[tag, fields...]`.
 
-Each command that decides something carries `leader_epoch`, the number its
-leader got from StartLeaderEpoch, and `at`, the proposer's wall clock in
-seconds since 1970. The machine reads no clock of its own, so every replica
-gets the same result.
+A command that depends on the leader's view of the state carries
+`leader_epoch`, the number that its leader got from StartLeaderEpoch. `at` is
+the proposer's wall clock in seconds since 1970: the machine reads no clock, so
+that every replica gets the same result.
 """
 
 from typing import Any
@@ -16,19 +16,28 @@
 
 
 class StartLeaderEpoch(NamedTuple):
-    """A new leader asks for its number; commands of older ones are void."""
+    """Starts the epoch of a new config leader.
+
+    The result is the machine's LeaderEpoch. Commands that carry the number
+    of an earlier epoch are rejected from here on.
+    """
 
     instance: str
     at: float
 
 
 class Push(NamedTuple):
-    """Compare-and-set of the manifest.
+    """Replaces the manifest if its revision is `expected`.
 
     Attributes:
-        changed: JSON text of the sections that differ from `expected`.
-        removed: Sections that `expected` has and the new manifest lacks.
-        summary: Paths of changed fields, for the audit trail.
+        expected: Revision that the new manifest is based on.
+        push_id: Id of the push; a repeated push takes effect once.
+        changed: JSON text of each section that was added or changed since
+            `expected`, by key.
+        removed: Keys of the sections that the new manifest lacks.
+        operator: Who pushed.
+        origin: Address that the push came from.
+        summary: Keys of the changed sections, for the audit trail.
     """
 
     leader_epoch: int
@@ -43,11 +52,12 @@
 
 
 class PushVersion(NamedTuple):
-    """A push of a numbered version; the highest wins.
+    """Replaces the manifest if `version` is higher than the present one.
 
     Attributes:
-        sections: JSON text of every section of the manifest.
-        source: What the manifest was generated from.
+        version: Number that the operator gave to the manifest.
+        sections: JSON text of every section of the manifest, by key.
+        source: What the manifest was generated from, as its sender gave it.
     """
 
     leader_epoch: int
@@ -61,10 +71,13 @@
 
 
 class Register(NamedTuple):
-    """A registration that differs from the one on record.
+    """Registers an upstream, or changes its registration.
+
+    Renewals that change nothing aren't proposed.
 
     Attributes:
-        at: Seconds since 1970, for people who read the log.
+        at: Seconds since 1970. For people who read the log; the machine
+            ignores it.
     """
 
     leader_epoch: int
@@ -73,13 +86,16 @@
 
 
 class Leave(NamedTuple):
-    """Takes an upstream out of the directory.
+    """Removes an upstream from the directory.
 
     Attributes:
-        final: Whether it said so itself: this life never comes back. One
-            that only fell silent may register again.
-        at: Seconds since 1970, for people who read the log.
-        started: Start of the life that is meant; 0 for the registered one.
+        final: Whether the upstream signed off itself, so that this
+            incarnation never comes back. One that was only silent for too
+            long may register again.
+        at: Seconds since 1970. For people who read the log; the machine
+            ignores it.
+        started: Start of the incarnation in ms since 1970, by the upstream's
+            clock; 0 for the one that is registered.
     """
 
     leader_epoch: int
@@ -90,7 +106,10 @@
 
 
 class AddAuditEntry(NamedTuple):
-    """Adds an audit entry for something that changed nothing."""
+    """Adds an entry to the audit trail and changes nothing else.
+
+    It records requests that were refused before they became a command.
+    """
 
     operator: str
     origin: str
@@ -101,18 +120,20 @@
 
 
 class TakeFencingTokens(NamedTuple):
-    """Takes `count` fencing numbers; the answer is the highest of them."""
+    """Allocates `count` fencing tokens; the result is the highest one."""
 
     leader_epoch: int
     count: int
 
 
 class TakePermit(NamedTuple):
-    """Takes a permit of the weight store for `holder`, once per `holder`.
+    """Takes a permit to load from the weight store, once per `holder`.
 
     Attributes:
-        per_minute: Refill rate of the bucket, from the manifest.
-        burst: Size of the bucket, from the manifest.
+        holder: Fencing token of the order that loads, as a decimal number.
+        per_minute: Refill rate of the bucket in permits per minute, from the
+            manifest.
+        burst: Capacity of the bucket in permits, from the manifest.
     """
 
     leader_epoch: int
@@ -123,10 +144,13 @@
 
 
 class SetDrain(NamedTuple):
-    """Drains an instance or a failure domain, or ends the draining.
+    """Starts or ends a drain.
 
     Attributes:
-        scope: `instance` or `failure_domain`.
+        scope: One of `machine.SCOPES`: `instance`, `failure_domain` or
+            `control`.
+        name: Name of the instance or failure domain.
+        drain: Whether the drain starts; False ends it.
     """
 
     scope: str
@@ -138,10 +162,13 @@
 
 
 class RecordCrash(NamedTuple):
-    """An upstream crashed while it ran the requests of these digests.
+    """Records that an upstream crashed while it ran these requests.
 
     Attributes:
-        crash: Id of the crash (`instance/epoch/number`), to count it once.
+        crash: Id of the crash, `instance/epoch/number`; a report that is
+            sent again counts once.
+        digests: Digests of the requests that were in flight.
+        seconds: Time that the requests stay listed.
     """
 
     crash: str
@@ -152,7 +179,7 @@
 
 
 class Release(NamedTuple):
-    """Takes a digest off the quarantine list."""
+    """Removes a request from the quarantine list."""
 
     digest: bytes
     operator: str
@@ -161,7 +188,12 @@
 
 
 class SetControlInstance(NamedTuple):
-    """Adds, changes or removes (empty address) a control instance."""
+    """Adds or changes a control instance.
+
+    Attributes:
+        address: Address of its stream listener; an empty one removes the
+            instance.
+    """
 
     instance: str
     address: str
@@ -172,10 +204,15 @@
 
 
 class StartRollout(NamedTuple):
-    """Starts the rollout of a service to a target; one at a time.
+    """Starts the rollout of a service to a target.
+
+    It replaces the service's rollout to another target. The result is the
+    rollout in force.
 
     Attributes:
-        previous: Target to return to when the new one fails.
+        target: Model, version and adapters; see `plan.target_of`.
+        previous: Target to roll back to when the new one fails; empty for
+            none.
     """
 
     leader_epoch: int
@@ -186,9 +223,15 @@
 
 
 class PlanOrder(NamedTuple):
-    """Commits an order before it is sent; the answer is its fencing number.
+    """Commits an order before it is sent; the result is its fencing token.
+
+    A step that was planned and has no outcome yet gets the same token again.
 
-    The same step of the same rollout always gets the same number.
+    Attributes:
+        instance: Upstream that the order is for.
+        epoch: Epoch of that upstream's incarnation.
+        action: `load` or `unload`.
+        model: Target that is loaded or unloaded; see `plan.target_of`.
     """
 
     leader_epoch: int
@@ -201,7 +244,11 @@
 
 
 class EndOrder(NamedTuple):
-    """Records what came of an order: `done` or `failed`."""
+    """Records the outcome of an order.
+
+    Attributes:
+        outcome: `done` or `failed`.
+    """
 
     leader_epoch: int
     service: str
@@ -212,7 +259,12 @@
 
 
 class SetRollout(NamedTuple):
-    """Changes the state of a rollout; see `rollouts`."""
+    """Changes the state of a service's rollout.
+
+    Attributes:
+        state: One of the states in `rollouts`.
+        reason: Why a rollout was rolled back or paused; empty otherwise.
+    """
 
     leader_epoch: int
     service: str
@@ -221,6 +273,7 @@
     at: float
 
 
+# The position of a command, from 1, is its tag in the log: only append.
 KINDS = (
     StartLeaderEpoch,
     Push,
@@ -243,12 +296,15 @@
 
 
 def encode(command: Any) -> bytes:
-    """Returns the command as bytes for the log."""
+    """Returns a command as msgpack bytes for the log."""
     return msgspec.msgpack.encode([_TAG_OF[type(command)], *command])
 
 
 def decode(data: bytes) -> Any:
-    """Returns the typed command that `encode` made these bytes from."""
+    """Returns the command that was encoded to these bytes.
+
+    Section keys that an earlier release wrote get their present names.
+    """
     items = msgspec.msgpack.decode(data)
     command = msgspec.convert(items[1:], KINDS[items[0] - 1])
     match command:
@@ -258,6 +314,6 @@
                 removed=list(sections.upgraded_keys(dict.fromkeys(removed))),
             )
         case PushVersion():
-            held = sections.upgraded(command.sections)
-            return command._replace(sections=held)
+            upgraded = sections.upgraded(command.sections)
+            return command._replace(sections=upgraded)
     return command
--- a/src/mintcleat/configuration/document.py
+++ b/src/mintcleat/configuration/document.py
@@ -1,4 +1,8 @@
-"""The manifest in force, by section, with the revision of each change."""
+"""The manifest in force by section, with the revision of each change.
+
+The revision of each section's last change is kept, so that a node at any
+recent revision can be sent just the sections that it lacks.
+"""
 
 from typing import Any
 from typing import NamedTuple
@@ -8,21 +12,28 @@
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 
-# A push may be sent again for as long as its id is kept. The design size of
-# 9,600 changes a day fits twice; a resend comes within minutes.
+# Ids of accepted pushes that are kept to recognise resends, which come within
+# minutes. Enough for two days at the design load of 9,600 changes a day.
 PUSHES_KEPT = 20_000
-# A removed section must be told to nodes that still hold it. Nodes that are
-# behind the oldest removal kept get the whole manifest instead.
+# Removals of sections that are kept for deltas. Nodes that are older than the
+# oldest one get the whole manifest instead.
 REMOVALS_KEPT = 5_000
-# Above this share of the whole, a delta saves nothing worth two code paths
-# at the node, and a whole manifest also mends whatever the node holds.
+# Share of the manifest's text above which a node gets all sections instead of
+# a delta: that costs hardly more and also repairs whatever the node holds.
 WHOLE_SHARE = 0.8
-# Nodes lag by few distinct revisions at a time.
+# Updates kept for further nodes. At any time the nodes are spread over few
+# distinct revisions.
 UPDATES_CACHED = 64
 
 
 class Accepted(NamedTuple):
-    """A push that won its revision."""
+    """A push that was accepted.
+
+    Attributes:
+        revision: Revision that it created.
+        operator: Who pushed.
+        at: When it was accepted, in seconds since 1970.
+    """
 
     revision: int
     operator: str
@@ -30,7 +41,12 @@
 
 
 class Update(NamedTuple):
-    """What brings a node to `revision`; an empty text removes a section."""
+    """Sections that bring a node to `revision`.
+
+    Attributes:
+        whole: Whether these are all sections; otherwise the changed ones.
+        sections: JSON text by key; an empty text removes the section.
+    """
 
     revision: int
     whole: bool
@@ -38,17 +54,24 @@
 
 
 class Document:
-    """Sections of the manifest and the pushes that made them.
+    """Sections of the manifest and the pushes that created them.
 
     Attributes:
-        changed_at: Revision of the last change, by section.
-        removed_at: Revision of the removal, by section, oldest first.
-        horizon: Nodes below this revision cannot be brought up by a delta.
-        pushes: Accepted pushes by id, oldest first.
-        unread: Sections changed since the manifest was last assembled.
+        revision: Revision in force; each push that is accepted adds 1.
+        sections: JSON text by key; see `sections`.
+        changed_at: Revision of the last change, by section key.
+        removed_at: Revision of the removal, by section key, oldest first.
+        horizon: Oldest revision from which a delta can be made.
+        pushes: Accepted compare-and-set pushes by id, oldest first.
+        cached: Updates by the revision that they start from.
+        assembly: The decoded sections.
+        assembled: Manifest assembled from them last.
+        undecoded: Sections changed since then, by key; an empty text for a
+            removed one.
         version: Highest number of a numbered push; 0 before the first.
         source: What that push was generated from, as its sender gave it.
-        key_added_at: When each key of a customer was added, by its digest.
+        key_added_at: When each customer key was added, in seconds since 1970,
+            by the key's digest.
     """
 
     def __init__(self) -> None:
@@ -61,17 +84,20 @@
         self.cached: dict[int, Update] = {}
         self.assembly = sections.Assembly()
         self.assembled = manifest.Manifest()
-        self.unread: dict[str, str] = {}
+        self.undecoded: dict[str, str] = {}
         self.version = 0
         self.source = ""
         self.key_added_at: dict[str, float] = {}
 
     def push_version(self, command: commands.PushVersion) -> Accepted:
-        """Applies a numbered push, unless one as high was applied before.
+        """Applies a numbered push if its version is the highest so far.
 
-        A lower or equal number is a late or repeated one: whoever sent it is
-        told what is in force. Equal numbers with other content change
-        nothing, so that what was read back under a number stays true.
+        A push with a lower or equal version arrived late or was repeated; it
+        changes nothing. That holds for an equal version with other content
+        too: the content that was read back under a version must not change.
+
+        Returns:
+            The revision in force.
         """
         if command.version > self.version:
             delta = sections.difference(self.sections, command.sections)
@@ -82,18 +108,18 @@
                 self._remove(key, self.revision)
             self.version = command.version
             self.source = command.source
-            self._note_keys([*delta.changed, *delta.removed], command.at)
+            self._update_key_times([*delta.changed, *delta.removed], command.at)
             self._forget_old()
         return Accepted(self.revision, command.operator, command.at)
 
     def push(
         self, command: commands.Push
     ) -> Accepted | errors.RevisionConflict:
-        """Applies a push, or answers a resend with its first outcome.
+        """Applies a push, or returns the outcome of the same push before.
 
         The id is looked up before the revision is compared. Otherwise an
-        operator who lost the answer and resends would be told of a conflict
-        with his own push.
+        operator who lost the answer and sends the push again would get a
+        conflict with that same push.
         """
         known = self.pushes.get(command.push_id)
         if known is not None:
@@ -105,17 +131,17 @@
             self._put(key, text, self.revision)
         for key in command.removed:
             self._remove(key, self.revision)
-        self._note_keys([*command.changed, *command.removed], command.at)
+        self._update_key_times([*command.changed, *command.removed], command.at)
         accepted = Accepted(self.revision, command.operator, command.at)
         self.pushes[command.push_id] = accepted
         self._forget_old()
         return accepted
 
     def update_since(self, revision: int) -> Update:
-        """Returns what brings a node from `revision` to the one in force.
+        """Returns an update from `revision` to the one in force.
 
-        The cost follows the sections that changed, however many revisions
-        lie between.
+        Its size depends on the number of sections that changed, not on the
+        number of revisions in between. An update from 0 has all sections.
         """
         if revision not in self.cached:
             if len(self.cached) >= UPDATES_CACHED:
@@ -124,19 +150,21 @@
         return self.cached[revision]
 
     def apply_update(self, update: Update) -> None:
-        """Takes an update from another document; lower ones change nothing.
+        """Applies an update made by another document.
+
+        An update to the present or an earlier revision changes nothing.
 
-        Changes of several revisions count as changes of the last, also where
-        a section came back to what it was: a node in between, served by
-        another instance, may hold the section as it was for one revision.
-        A whole update does not tell what was touched, so nodes below it get
-        the whole too.
+        All sections of a delta count as changed at its last revision, even
+        one whose text is the same as here: a node that another instance
+        brought to a revision in between may hold a different text. An update
+        with all sections doesn't say which of them changed, so that nodes at
+        earlier revisions get all sections in turn.
         """
         if update.revision <= self.revision:
             return
         if update.whole:
             self.sections = dict(update.sections)
-            self._read_anew()
+            self._decode_from_scratch()
             self.changed_at = dict.fromkeys(update.sections, update.revision)
             self.removed_at = {}
             self.horizon = update.revision
@@ -146,15 +174,22 @@
         self._forget_old()
 
     def manifest(self) -> manifest.Manifest:
-        """Returns the manifest in force; decodes only new sections."""
-        if self.unread:
-            unread, self.unread = self.unread, {}
-            self.assembly.put(list(unread.items()))
+        """Returns the manifest in force.
+
+        Only sections that changed since the last call are decoded.
+
+        Raises:
+            msgspec.ValidationError: A section doesn't match the schema of
+                this release.
+        """
+        if self.undecoded:
+            undecoded, self.undecoded = self.undecoded, {}
+            self.assembly.put(list(undecoded.items()))
             self.assembled = self.assembly.manifest()
         return self.assembled
 
     def state(self) -> list[Any]:
-        """Returns everything as plain data."""
+        """Returns the state as plain data for a snapshot."""
         return [
             self.revision,
             self.sections,
@@ -168,7 +203,11 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Takes what `state` returned."""
+        """Replaces the state by what `state` returned, here or earlier.
+
+        Snapshots of releases without numbered pushes have 6 items, and those
+        without the times of keys have 8.
+        """
         self.cached.clear()
         self.revision = state[0]
         self.sections = sections.upgraded(state[1])
@@ -176,13 +215,12 @@
         self.removed_at = sections.upgraded_keys(state[3])
         self.horizon = state[4]
         self.pushes = {key: Accepted(*push) for key, push in state[5].items()}
-        # Releases without numbered pushes end before these.
         self.version, self.source = state[6:8] or (0, "")
         self.key_added_at = state[8] if len(state) > 8 else {}
-        self._read_anew()
+        self._decode_from_scratch()
 
-    def _note_keys(self, touched: list[str], at: float) -> None:
-        """Notes when keys came, after a push that touched sections."""
+    def _update_key_times(self, touched: list[str], at: float) -> None:
+        """Updates `key_added_at` after a push changed these sections."""
         if not any(key.startswith(sections.CUSTOMERS) for key in touched):
             return
         customers = self.manifest().policies.customers
@@ -193,7 +231,7 @@
         }
 
     def _conflict(self, expected: int) -> errors.RevisionConflict:
-        # The pushes are in the order of their revisions.
+        # `pushes` is in the order of revisions, so the newest come first here.
         wanted = min(expected + 1, self.revision)
         for push_id, push in reversed(self.pushes.items()):
             if push.revision == wanted:
@@ -208,10 +246,10 @@
 
     def _update_since(self, revision: int) -> Update:
         if revision >= self.revision:
-            # A node that is ahead of this instance is never taken back.
+            # A node that is ahead of this instance keeps its revision.
             return Update(self.revision, False, {})
         if revision < self.horizon or not revision:
-            return Update(self.revision, True, self._everything())
+            return Update(self.revision, True, self._all_sections())
         found = {
             key: self.sections[key]
             for key, at in self.changed_at.items()
@@ -219,24 +257,24 @@
         }
         size = sum(map(len, found.values()))
         if size > WHOLE_SHARE * sum(map(len, self.sections.values())):
-            return Update(self.revision, True, self._everything())
+            return Update(self.revision, True, self._all_sections())
         for key, at in self.removed_at.items():
             if at > revision:
                 found[key] = ""
         return Update(self.revision, False, found)
 
-    def _everything(self) -> dict[str, str]:
-        """Returns all sections in an order that every instance shares.
+    def _all_sections(self) -> dict[str, str]:
+        """Returns all sections, sorted by key.
 
-        A node that got a part of them from one instance gets the rest from
-        another, so both must make the same bytes.
+        A node may get the first parts of an update from one control instance
+        and the rest from another, so both must encode the same bytes.
         """
         return dict(sorted(self.sections.items()))
 
-    def _read_anew(self) -> None:
+    def _decode_from_scratch(self) -> None:
         self.assembly.clear()
         self.assembled = manifest.Manifest()
-        self.unread = dict(self.sections)
+        self.undecoded = dict(self.sections)
 
     def _merge(self, update: Update) -> None:
         for key, text in update.sections.items():
@@ -249,14 +287,14 @@
         self.sections[key] = text
         self.changed_at[key] = revision
         self.removed_at.pop(key, None)
-        self.unread[key] = text
+        self.undecoded[key] = text
 
     def _remove(self, key: str, revision: int) -> None:
         self.sections.pop(key, None)
         self.changed_at.pop(key, None)
         self.removed_at.pop(key, None)
         self.removed_at[key] = revision
-        self.unread[key] = ""
+        self.undecoded[key] = ""
 
     def _forget_old(self) -> None:
         self.cached.clear()
--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -1,7 +1,7 @@
 """The state machine of the config group; see `ports.log.StateMachine`.
 
-It reads no clock and no chance: time comes in the commands, so that every
-replica applies the same command to the same result.
+It is deterministic: it reads no clock and draws no random numbers. Times come
+with the commands, so that every replica reaches the same state.
 """
 
 from collections.abc import Callable
@@ -20,16 +20,22 @@
 from mintcleat.domain import errors
 
 GROUP = "config"
+# Version of the snapshot format that `snapshot` writes.
 FORMAT = 2
-# Releases before the directory wrote this one.
+# Still read: snapshots of releases that had no directory of upstreams.
 _FORMAT_WITHOUT_DIRECTORY = 1
+# Draining in this scope moves all replicas off a control instance.
 CONTROL_SCOPE = "control"
 SCOPES = ("instance", "failure_domain", CONTROL_SCOPE)
 ACCEPTED = "accepted"
 
 
 class ControlInstance(NamedTuple):
-    """A control instance as operators added it."""
+    """A control instance that an operator added.
+
+    Attributes:
+        address: Address of its stream listener, as `host:port`.
+    """
 
     instance: str
     address: str
@@ -37,7 +43,14 @@
 
 
 class LeaderEpoch(NamedTuple):
-    """The leader that may decide now; a higher number voids older ones."""
+    """The epoch of the present config leader.
+
+    Attributes:
+        number: Grows by 1 with each new leader; commands that carry another
+            number are rejected.
+        instance: Control instance that leads.
+        at: Start of the epoch, in seconds since 1970.
+    """
 
     number: int
     instance: str
@@ -45,15 +58,24 @@
 
 
 class ConfigMachine:
-    """Manifest, orders, permits, quarantine, draining, members and audit.
+    """The replicated state of the config group.
 
     Attributes:
-        drains: Draining scopes by `scope/name`, with when it was ordered.
+        leader_epoch: Epoch of the present config leader.
+        document: The manifest in force.
+        trail: The audit trail.
+        ledger: Orders to upstreams, and rollouts.
+        bucket: Permits to load from the weight store.
+        quarantine: Requests that crash upstreams, and suspects.
+        drains: Start of each drain in seconds since 1970, by `scope/name`.
+        control_instances: Control instances that operators added, by name.
         restrictions_version: Grows when `drains`, `quarantine` or
             `control_instances` changes.
-        subscribers: Called after each applied command or restore.
-        pushed_index: Entry that carried the version in force; 0 when it came
-            in a snapshot. For the log only, not a part of the state.
+        directory: Upstreams that registered themselves.
+        subscribers: Called after each applied command and each restore.
+        pushed_index: Log index of the numbered push in force; 0 when it came
+            with a snapshot. Used in log events only; it isn't replicated
+            state.
     """
 
     def __init__(self) -> None:
@@ -71,15 +93,19 @@
         self.pushed_index = 0
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Applies one command; a refusal is returned as a typed error."""
+        """Applies one command and returns its result.
+
+        A rejected command changes nothing but the audit trail; its result is
+        a typed error, which is returned, not raised.
+        """
         decoded = commands.decode(command)
         leader_epoch = getattr(decoded, "leader_epoch", None)
         if (
             leader_epoch is not None
             and leader_epoch != self.leader_epoch.number
         ):
-            # A leader that was replaced may still have commands in flight.
-            # Applied late, they would decide against the new leader's state.
+            # A leader that was replaced may still have commands in flight,
+            # which it based on state that the new leader has changed since.
             result: Any = errors.NotLeader("")
         else:
             before = self.document.version
@@ -91,7 +117,7 @@
         return result
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the state as msgpack bytes in the present format."""
         return msgspec.msgpack.encode(
             [
                 FORMAT,
@@ -102,18 +128,23 @@
                 self.bucket.state(),
                 self.quarantine.state(),
                 self.drains,
-                [list(member) for member in self.control_instances.values()],
+                [list(item) for item in self.control_instances.values()],
                 self.restrictions_version,
                 self.directory.state(),
             ]
         )
 
     def restore(self, state: bytes) -> None:
-        """Replaces the whole state by a snapshot."""
+        """Replaces the state by that of a snapshot.
+
+        Raises:
+            errors.StorageDamaged: The snapshot has an unknown format.
+        """
         items = msgspec.msgpack.decode(state)
         if items[0] not in (FORMAT, _FORMAT_WITHOUT_DIRECTORY):
             raise errors.StorageDamaged(
-                f"The config snapshot has format {items[0]}, not {FORMAT}.",
+                f"The config snapshot has format {items[0]}; this release "
+                f"reads formats up to {FORMAT}.",
                 remedy="Run the release that wrote it, or a newer one.",
             )
         self.leader_epoch = LeaderEpoch(*items[1])
@@ -123,8 +154,8 @@
         self.bucket.load(items[5])
         self.quarantine.load(items[6])
         self.drains = items[7]
-        members = [ControlInstance(*item) for item in items[8]]
-        self.control_instances = {member.instance: member for member in members}
+        instances = [ControlInstance(*item) for item in items[8]]
+        self.control_instances = {item.instance: item for item in instances}
         self.restrictions_version = items[9]
         self.pushed_index = 0
         self.directory = directory.Directory()
@@ -134,7 +165,7 @@
             callback()
 
     def draining(self, instance: str, failure_domain: str) -> bool:
-        """Tells whether an operator drains the instance or its domain."""
+        """Returns whether the instance or its failure domain is drained."""
         return (
             f"instance/{instance}" in self.drains
             or f"failure_domain/{failure_domain}" in self.drains
@@ -172,7 +203,7 @@
             case commands.SetDrain():
                 return self._drain(command)
             case commands.RecordCrash():
-                return self._suspect(command)
+                return self._record_crash(command)
             case commands.Release():
                 return self._release(command)
             case commands.SetControlInstance():
@@ -191,7 +222,7 @@
             case commands.SetRollout(service=service, reason=reason):
                 changed = self.ledger.set_state(command)
                 if changed:
-                    self._audit_own(
+                    self._audit_automatic(
                         command.at,
                         f"rollout {command.state}",
                         service,
@@ -199,7 +230,9 @@
                     )
                 return changed
             case _:
-                return errors.BadRequest(f"No command {command!r}.")
+                return errors.BadRequest(
+                    f"The config group has no command {command!r}."
+                )
 
     def _push(self, command: commands.Push) -> Any:
         known = command.push_id in self.document.pushes
@@ -228,7 +261,11 @@
         return result
 
     def emptied(self) -> frozenset[str]:
-        """Returns the control instances that are to hold no replica."""
+        """Returns the control instances that shall hold no replica.
+
+        Those are the ones that are drained in `CONTROL_SCOPE`; some of their
+        replicas may not have been moved yet.
+        """
         prefix = f"{CONTROL_SCOPE}/"
         return frozenset(
             key.removeprefix(prefix)
@@ -238,7 +275,10 @@
 
     def _drain(self, command: commands.SetDrain) -> Any:
         if command.scope not in SCOPES:
-            return errors.BadRequest(f"No scope {command.scope!r} to drain.")
+            return errors.BadRequest(
+                f"A drain has the scope {command.scope!r}; expected instance, "
+                "failure_domain or control."
+            )
         key = f"{command.scope}/{command.name}"
         if command.drain:
             self.drains.setdefault(key, command.at)
@@ -249,8 +289,8 @@
         self._audit(command, action, key, ACCEPTED)
         return True
 
-    def _suspect(self, command: commands.RecordCrash) -> list[bytes]:
-        new = self.quarantine.crash(
+    def _record_crash(self, command: commands.RecordCrash) -> list[bytes]:
+        new = self.quarantine.record_crash(
             command.crash,
             command.upstream,
             command.digests,
@@ -259,7 +299,7 @@
         )
         self.restrictions_version += 1
         for digest in new:
-            self._audit_own(
+            self._audit_automatic(
                 command.at,
                 "quarantine",
                 digest.hex(),
@@ -302,10 +342,10 @@
             )
         )
 
-    def _audit_own(
+    def _audit_automatic(
         self, at: float, action: str, subject: str, outcome: str
     ) -> None:
-        """Notes what the system did by itself."""
+        """Adds an audit entry for an action that no operator asked for."""
         origin = self.leader_epoch.instance
         self.trail.add(
             audit.Entry(at, "mintcleat", origin, action, subject, outcome)
@@ -313,5 +353,5 @@
 
 
 def plain_copy(state: list[Any]) -> list[Any]:
-    """Returns a copy of plain data that shares nothing that changes."""
+    """Returns a deep copy of data that msgpack can encode."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(state))
--- a/src/mintcleat/configuration/quarantine.py
+++ b/src/mintcleat/configuration/quarantine.py
@@ -1,17 +1,19 @@
-"""Requests that crash the upstreams which run them.
+"""Quarantine of requests that crash the upstreams which run them.
 
-A request that was in flight at a crash becomes a suspect. Sidecars run a
-suspect where no other suspect runs, so a later crash convicts one request.
+A request that was in flight during a crash becomes a suspect. Sidecars run no
+two suspects on one upstream at a time, so the next crash singles out the
+request that caused it.
 """
 
 from typing import Any
 from typing import NamedTuple
 
-# One request may crash one upstream by chance (the upstream was dying); the
-# same request alone under suspicion at two upstreams is no chance.
+# Upstreams that a request must crash before it is quarantined. One crash may
+# have another cause, such as an upstream that was failing anyway.
 CRASHES_TO_QUARANTINE = 2
-# Bounds the list that travels to every node; the oldest are dropped first.
+# Bounds the list that is sent to every node; the oldest are dropped first.
 ENTRIES_KEPT = 1_000
+# Ids of crashes remembered to recognise repeated reports.
 CRASHES_KEPT = 1_000
 
 
@@ -19,19 +21,21 @@
     """A suspect or quarantined request.
 
     Attributes:
-        upstreams: Upstreams that crashed with it as the only suspect.
-        until: Wall clock at which the entry expires.
-        first: Upstream whose crash made it a suspect beside others.
+        digest: Digest of the request.
+        upstreams: Upstreams whose crash is attributed to the request.
+        expires_at: Wall clock at which the entry expires, in seconds since
+            1970.
+        first_upstream: Upstream whose crash made the request a suspect.
     """
 
     digest: bytes
     upstreams: list[str]
-    until: float
-    first: str = ""
+    expires_at: float
+    first_upstream: str = ""
 
     @property
     def quarantined(self) -> bool:
-        """Whether the request is refused everywhere."""
+        """Whether every node refuses the request."""
         return len(self.upstreams) >= CRASHES_TO_QUARANTINE
 
 
@@ -39,15 +43,17 @@
     """Suspects and quarantined requests by digest.
 
     Attributes:
-        crashes: Ids of crashes already counted, so that a sidecar that
-            resends its report convicts nobody twice.
+        entries: Suspects and quarantined requests, least recently seen
+            first.
+        crashes: Time of each crash that was counted, by id, so that a report
+            that is sent again counts once.
     """
 
     def __init__(self) -> None:
         self.entries: dict[bytes, Entry] = {}
         self.crashes: dict[str, float] = {}
 
-    def crash(
+    def record_crash(
         self,
         crash: str,
         upstream: str,
@@ -55,72 +61,84 @@
         seconds: float,
         at: float,
     ) -> list[bytes]:
-        """Counts a crash once; returns the requests it quarantined."""
+        """Records a crash, once per id.
+
+        Args:
+            crash: Id of the crash.
+            upstream: Upstream that crashed.
+            digests: Digests of the requests that were in flight.
+            seconds: Time that the requests stay listed.
+            at: Wall clock of the report, in seconds since 1970.
+
+        Returns:
+            The digests that this crash put into quarantine.
+        """
         self.expire(at)
         if crash in self.crashes:
             return []
         self.crashes[crash] = at
         _trim(self.crashes, CRASHES_KEPT)
-        convicted = self._only_suspect(digests)
+        culprit = self._only_suspect(digests)
         new = []
         for digest in digests:
             unknown = Entry(digest, [], 0.0, upstream)
             entry = self.entries.pop(digest, unknown)
-            was = entry.quarantined
-            if digest == convicted:
-                entry = _convict(entry, upstream)
-            self.entries[digest] = entry._replace(until=at + seconds)
-            if not was and entry.quarantined:
+            was_quarantined = entry.quarantined
+            if digest == culprit:
+                entry = _attribute_crash(entry, upstream)
+            self.entries[digest] = entry._replace(expires_at=at + seconds)
+            if not was_quarantined and entry.quarantined:
                 new.append(digest)
         _trim(self.entries, ENTRIES_KEPT)
         return new
 
     def release(self, digest: bytes) -> bool:
-        """Forgets a request; tells whether it was listed."""
+        """Removes a request; returns whether it was listed."""
         return self.entries.pop(digest, None) is not None
 
     def expire(self, at: float) -> None:
-        """Drops entries whose time is over."""
+        """Removes the entries that expired at or before `at`."""
         for digest, entry in list(self.entries.items()):
-            if entry.until <= at:
+            if entry.expires_at <= at:
                 del self.entries[digest]
 
     def quarantined(self) -> list[bytes]:
-        """Returns the digests that are refused everywhere."""
+        """Returns the digests that every node refuses."""
         return [key for key, e in self.entries.items() if e.quarantined]
 
     def suspects(self) -> list[bytes]:
-        """Returns the digests that run where no other suspect runs."""
+        """Returns the digests of suspects that aren't quarantined."""
         return [key for key, e in self.entries.items() if not e.quarantined]
 
     def state(self) -> list[Any]:
-        """Returns everything as plain data."""
+        """Returns the state as plain data for a snapshot."""
         return [[list(e) for e in self.entries.values()], self.crashes]
 
     def load(self, state: list[Any]) -> None:
-        """Takes what `state` returned."""
+        """Replaces the state by what `state` returned."""
         entries = [Entry(*item) for item in state[0]]
         self.entries = {entry.digest: entry for entry in entries}
         self.crashes = state[1]
 
     def _only_suspect(self, digests: list[bytes]) -> bytes | None:
-        """Returns the one that must have done it, if there is just one.
+        """Returns the only request that can have caused a crash, if any.
 
-        Calls that merely stood beside an old suspect are not convicted.
+        Where a request in flight was a suspect before, those that weren't
+        are not blamed.
         """
         known = [digest for digest in digests if digest in self.entries]
         candidates = known or digests
         return candidates[0] if len(candidates) == 1 else None
 
 
-def _convict(entry: Entry, upstream: str) -> Entry:
-    """Counts a crash that the request must have caused.
+def _attribute_crash(entry: Entry, upstream: str) -> Entry:
+    """Counts a crash that only this request can have caused.
 
-    It also explains the crash that made it a suspect: counted anew from
-    here, a request would take three upstreams down instead of two.
+    The crash that made it a suspect is attributed to it as well. Otherwise a
+    request would crash three upstreams, not two, before its quarantine.
     """
     upstreams = list(entry.upstreams)
-    for one in (entry.first, upstream):
+    for one in (entry.first_upstream, upstream):
         if one and one not in upstreams:
             upstreams.append(one)
     return entry._replace(upstreams=upstreams)
--- a/testing/test_configuration.py
+++ b/testing/test_configuration.py
@@ -1,4 +1,4 @@
-"""The state machine of the config group, by its commands alone."""
+"""The state machine of the config group, tested by its commands."""
 
 from typing import Any
 
@@ -50,7 +50,7 @@
             commands.PlanOrder(1, "s", "engine", epoch, "load", model, 0.0)
         )
 
-    def test_every_push_is_audited_refused_ones_too(self) -> None:
+    def test_every_push_is_audited_even_if_refused(self) -> None:
         self.apply(push(0, "a"))
         self.apply(push(0, "b"))
         self.apply(push(0, "a"))
@@ -66,8 +66,10 @@
         self.assertIsInstance(error, errors.RevisionConflict)
         self.assertIn("won revision 2 with push b", error.detail)
 
-    def test_same_step_gets_one_number_until_it_ends(self) -> None:
-        """Two leaders plan the same order, one after the other."""
+    def test_repeated_order_keeps_its_token_until_it_has_an_outcome(
+        self,
+    ) -> None:
+        """A new leader plans the order that the one before it committed."""
         first = self.order("v2")
         self.assertEqual(first, self.order("v2"))
         self.apply(commands.EndOrder(1, "s", "engine", first, "failed", 0.0))
@@ -77,7 +79,7 @@
             first + 2, self.machine.ledger.highest_fencing_token("engine")
         )
 
-    def test_outcome_of_an_older_order_changes_nothing(self) -> None:
+    def test_outcome_of_an_older_order_is_ignored(self) -> None:
         first = self.order("v1")
         self.order("v2")
         self.assertFalse(
@@ -85,7 +87,7 @@
         )
         self.assertEqual("sent", self.machine.ledger.orders["engine"].outcome)
 
-    def test_snapshot_holds_everything(self) -> None:
+    def test_restored_snapshot_has_the_whole_state(self) -> None:
         self.apply(push(0, "a", {"policies": "{}"}))
         self.order("v1")
         self.apply(commands.TakePermit(1, "x", 60.0, 2, 5.0))
@@ -101,7 +103,7 @@
         self.assertEqual(state, other.snapshot())
         self.assertEqual(1, other.apply(9, commands.encode(push(0, "a")))[0])
 
-    def test_snapshot_of_another_format_is_refused(self) -> None:
+    def test_snapshot_of_an_unknown_format_is_refused(self) -> None:
         state = b"\x91\x63"
         self.assertRaises(errors.StorageDamaged, self.machine.restore, state)
 
@@ -118,7 +120,7 @@
         ),
         strategies.data(),
     )
-    def test_delta_from_any_revision_gives_the_whole(
+    def test_update_from_any_revision_yields_the_revision_in_force(
         self, wanted: list[dict[str, str]], data: strategies.DataObject
     ) -> None:
         source = document.Document()
@@ -138,10 +140,11 @@
             got = {key: text for key, text in got.items() if text}
             self.assertEqual(held[serving.revision], got)
 
-    def test_node_behind_the_kept_removals_gets_the_whole(self) -> None:
-        """A section is removed and its removal forgotten after 5,000 more.
+    def test_node_older_than_the_kept_removals_gets_all_sections(self) -> None:
+        """A removal is dropped after `REMOVALS_KEPT` later ones.
 
-        A delta would leave the section in force at the node for good.
+        A delta without it would leave the removed section in force at the
+        node for good.
         """
         source = document.Document()
         sections = {f"k{n}": "x" for n in range(document.REMOVALS_KEPT + 2)}
@@ -151,7 +154,7 @@
         self.assertTrue(source.update_since(1).whole)
         self.assertEqual({"k5001": "x"}, source.update_since(1).sections)
 
-    def test_node_that_is_ahead_is_not_taken_back(self) -> None:
+    def test_node_that_is_ahead_keeps_its_revision(self) -> None:
         source = document.Document()
         source.push(push(0, "a", {"a": "1"}))
         update = source.update_since(7)
@@ -159,7 +162,7 @@
 
 
 class UpgradeTest(testtools.TestCase):
-    """A disk that a release with other names wrote must not stay unread."""
+    """State stored by a release that named the sections differently."""
 
     stored = {
         "partners/farmers": '{"max_running":0,"share":2.0}',
@@ -171,14 +174,14 @@
         self.assertEqual("farmers", policies.default_customer)
         self.assertEqual(2.0, policies.customers["farmers"].share)
 
-    def test_snapshot_of_earlier_names_is_read(self) -> None:
+    def test_snapshot_with_earlier_names_is_read(self) -> None:
         held = document.Document()
         changed = dict.fromkeys(self.stored, 7)
         held.load([7, self.stored, changed, {}, 0, {}, 3, ""])
         self.check(held)
         self.assertIn("customers/farmers", held.update_since(6).sections)
 
-    def test_push_of_earlier_names_in_the_log_is_read(self) -> None:
+    def test_logged_push_with_earlier_names_is_read(self) -> None:
         held = document.Document()
         pushed = commands.PushVersion(0, 3, "a", self.stored, "", "o", "h", 0.0)
         held.push_version(commands.decode(commands.encode(pushed)))
@@ -189,11 +192,8 @@
     def take(self, bucket: permits.Bucket, holder: str, at: float) -> bool:
         return bucket.take(holder, 60.0, 2, at) is True
 
-    def test_clock_of_a_new_leader_behind_credits_nothing_twice(self) -> None:
-        """The new leader's wall clock is 10 s behind the old one's.
-
-        The seconds that it lives through again give no second permits.
-        """
+    def test_clock_that_steps_back_refills_no_interval_twice(self) -> None:
+        """The wall clock of a new leader is 10 s behind the old one's."""
         bucket = permits.Bucket()
         taken = [self.take(bucket, f"a{n}", 100.0) for n in range(3)]
         self.assertEqual([True, True, False], taken)
@@ -201,7 +201,7 @@
         self.assertFalse(self.take(bucket, "c", 100.0))
         self.assertTrue(self.take(bucket, "d", 101.0))
 
-    def test_repeated_request_takes_one_permit(self) -> None:
+    def test_repeated_request_of_a_holder_takes_one_permit(self) -> None:
         bucket = permits.Bucket()
         self.assertTrue(all(self.take(bucket, "a", 0.0) for _ in range(5)))
         self.assertTrue(self.take(bucket, "b", 0.0))
@@ -215,28 +215,28 @@
 
     def crash(self, upstream: str, *digests: bytes) -> list[bytes]:
         self.crashes += 1
-        return self.registry.crash(
+        return self.registry.record_crash(
             str(self.crashes), upstream, list(digests), 60.0, 0.0
         )
 
-    def test_lone_suspect_of_two_upstreams_is_quarantined(self) -> None:
-        """A request crashes upstream after upstream; calls stand beside it.
+    def test_only_common_suspect_of_two_crashes_is_quarantined(self) -> None:
+        """A request crashes each upstream that runs it, among other requests.
 
-        At the first it is one of three suspects, at the second the only one
-        among those in flight, so it loses two upstreams and not a third. The
-        innocent calls that stood beside it never are quarantined.
+        In the first crash it is one of three suspects. In the second it is
+        the only suspect in flight, so it is quarantined before it crashes a
+        third upstream. The other requests never are.
         """
         self.assertEqual([], self.crash("u1", b"bad", b"x", b"y"))
         self.assertEqual([b"bad"], self.crash("u2", b"bad", b"z"))
         self.assertEqual([], self.crash("u3", b"x", b"w", b"y"))
         self.assertEqual([b"bad"], self.registry.quarantined())
 
-    def test_resent_report_counts_once(self) -> None:
+    def test_report_of_a_crash_sent_twice_counts_once(self) -> None:
         for upstream in ("u1", "u2"):
-            self.registry.crash("same", upstream, [b"bad"], 60.0, 0.0)
+            self.registry.record_crash("same", upstream, [b"bad"], 60.0, 0.0)
         self.assertEqual([], self.registry.quarantined())
 
-    def test_two_crashes_of_one_upstream_convict_nobody(self) -> None:
+    def test_two_crashes_of_one_upstream_quarantine_nothing(self) -> None:
         self.crash("u1", b"x")
         self.assertEqual([], self.crash("u1", b"x"))
 
@@ -245,7 +245,7 @@
     def entry(self, at: float) -> audit.Entry:
         return audit.Entry(at, "anna", "ip", "push", "s" * 1000, "ok")
 
-    def test_old_entries_leave_by_age_and_numbers_go_on(self) -> None:
+    def test_expired_entry_is_dropped_and_its_number_not_reused(self) -> None:
         trail = audit.Trail()
         trail.add(self.entry(0.0))
         trail.add(self.entry(audit.KEPT_SECONDS + 1))
@@ -253,7 +253,7 @@
         self.assertEqual([2], [entry.number for entry in found])
         self.assertEqual(audit.SUMMARY_CHARACTERS, len(found[0].subject))
 
-    def test_pages_go_on_after_a_number(self) -> None:
+    def test_page_starts_after_the_given_number(self) -> None:
         trail = audit.Trail()
         for _ in range(5):
             trail.add(self.entry(0.0))
