--- a/src/mintcleat/configuration/audit.py
+++ b/src/mintcleat/configuration/audit.py
@@ -4,17 +4,24 @@
 from typing import Any
 from typing import NamedTuple
 
-# Stated in the operators' page: a week, or the newest 20,000 entries.
+# Age and number of the entries kept, as documented for operators.
 KEPT_SECONDS = 7 * 86_400.0
 KEPT_ENTRIES = 20_000
-# A push may change thousands of fields; the trail names the first ones.
+# Longest subject or outcome that is kept; a push may list thousands of
+# changed sections.
 SUMMARY_CHARACTERS = 400
 
 
 class Entry(NamedTuple):
-    """One audited act; `at` is in seconds since 1970.
+    """One audited action.
 
     Attributes:
+        at: When it happened, in seconds since 1970.
+        operator: Who did it; `mintcleat` for actions nobody asked for.
+        origin: Address that the request came from.
+        action: Kind of the action, such as `push` or `drain`.
+        subject: What the action was applied to.
+        outcome: How it ended, such as `accepted` or why it was refused.
         number: Position in the trail, from 1; 0 before it is added.
     """
 
@@ -28,19 +35,19 @@
 
 
 class Trail:
-    """Entries in order; old ones are dropped by age and by count."""
+    """Entries in the order of their numbers, dropped by age and count."""
 
     def __init__(self) -> None:
         self.entries: deque[Entry] = deque()
         self.next_number = 1
 
     def add(self, entry: Entry) -> None:
-        """Adds an entry under the next number; drops those too old to keep."""
+        """Adds an entry under the next number and drops expired ones."""
         self.entries.append(
             entry._replace(
                 number=self.next_number,
-                subject=shortened(entry.subject),
-                outcome=shortened(entry.outcome),
+                subject=truncated(entry.subject),
+                outcome=truncated(entry.outcome),
             )
         )
         self.next_number += 1
@@ -55,11 +62,11 @@
         return list(self.entries)[skip : skip + limit]
 
     def state(self) -> list[Any]:
-        """Returns everything as plain data."""
+        """Returns the state as plain data for a snapshot."""
         return [self.next_number, [list(entry) for entry in self.entries]]
 
     def load(self, state: list[Any]) -> None:
-        """Takes what `state` returned."""
+        """Replaces the state by what `state` returned."""
         self.next_number = state[0]
         self.entries = deque(Entry(*entry) for entry in state[1])
 
@@ -67,8 +74,8 @@
         return bool(self.entries) and (at - self.entries[0].at > KEPT_SECONDS)
 
 
-def shortened(text: str) -> str:
-    """Returns the text, cut to the length that the trail keeps."""
+def truncated(text: str) -> str:
+    """Returns the text, cut to at most SUMMARY_CHARACTERS."""
     if len(text) <= SUMMARY_CHARACTERS:
         return text
     return text[: SUMMARY_CHARACTERS - 3] + "..."
--- a/src/mintcleat/configuration/directory.py
+++ b/src/mintcleat/configuration/directory.py
@@ -1,37 +1,41 @@
 """Upstreams that registered themselves, as part of the config group's state.
 
-It changes when an upstream comes, changes its state or goes, which is rare;
-renewals that change nothing are kept by the leader alone. What was
-acknowledged to an upstream that leaves therefore survives the leader.
+It is replicated, so that a registration or a leave that was acknowledged
+survives the leader. It changes only when an upstream joins, changes its state
+or leaves, which is rare. Renewals that change nothing are kept in the leader's
+memory.
+
+An upstream may restart under the same id; each run is an incarnation of it.
 """
 
 from typing import Any
 
 from mintcleat.domain import member_messages
 
-# Lives remembered as over. A late registration of one that is forgotten would
-# be believed until it falls silent. With 480 restarts and replacements a day
-# this many last for a week; registrations are held up for seconds.
+# Upstreams whose ended incarnations are remembered. A delayed registration of
+# one that was dropped from here would be in force until it expires. Enough for
+# a week of 480 restarts and replacements a day; delays are in seconds.
 ENDED_KEPT = 4_096
-# Removals told to nodes; nodes further behind get the whole directory.
+# Removals that are kept for deltas. Nodes that are older than the oldest one
+# get the whole directory instead.
 REMOVALS_KEPT = 4_096
 
 
 class Directory:
     """Registrations by upstream, with the version of each change.
 
-    An upstream may start again under its id. Its lives are ordered by their
-    starts, by the upstream's own clock; within a life the sequence orders.
-    Neither is ever compared with a clock of ours.
+    Incarnations of an upstream are ordered by their start, which is a time of
+    the upstream's own clock; registrations of one incarnation are ordered by
+    their sequence number. Neither is compared with a clock of this system.
 
     Attributes:
-        version: Grows with each visible change.
-        entries: The registrations in force.
+        version: Grows with each change that nodes must hear of.
+        horizon: Oldest version from which a delta can be made.
+        entries: The registrations in force, by upstream.
         changed_at: Version of the last change, by upstream.
         removed_at: Version of the removal, by upstream, oldest first.
-        ended: Start of the last life that is over for good, by upstream, the
-            one that left first first; 0 for lives that do not tell it.
-        horizon: Nodes below this version cannot be brought up by a delta.
+        ended: Start of the latest incarnation that ended for good, by
+            upstream, oldest end first; 0 where it stated no start.
     """
 
     def __init__(self) -> None:
@@ -43,15 +47,16 @@
         self.ended: dict[str, int] = {}
 
     def has_ended(self, upstream: str, started: int) -> bool:
-        """Tells whether this life left for good, or a later one did."""
+        """Returns whether this incarnation or a later one ended for good."""
         return upstream in self.ended and started <= self.ended[upstream]
 
     def register(self, registration: member_messages.Registration) -> bool:
-        """Takes a registration; returns whether it is in force afterwards.
+        """Puts a registration in force and returns whether it is.
 
-        A registration of a life that is over, or an older one of the same
-        life, was late. Taken in, it would send requests to an upstream that
-        is gone, or whose address another one has by now.
+        A registration of an ended incarnation, or one that is older than that
+        in force, was delayed on its way and is ignored. It would route
+        requests to an upstream that is gone, or to an address that another
+        upstream has by now.
         """
         name = registration.upstream
         if self.has_ended(name, registration.started):
@@ -65,8 +70,8 @@
             if other.address == registration.address and other.upstream != name
         ]
         if any(registration.started < other.started for other in others):
-            # One process has an address. The other one started later, so
-            # this registration was held up until after its sender's end.
+            # Only one process can listen on an address. The other one started
+            # later, so the sender of this registration has ended.
             return False
         for other in others:
             self.leave(other.upstream, True, other.started)
@@ -74,12 +79,13 @@
         return True
 
     def leave(self, upstream: str, final: bool, started: int = 0) -> bool:
-        """Takes a life of an upstream out; returns whether it was there.
+        """Removes an incarnation; returns whether it was registered.
 
         Args:
-            upstream: Its id.
-            final: Whether this life and all before it never come back.
-            started: Start of the life; 0 for the one that is registered.
+            upstream: Id of the upstream.
+            final: Whether to ignore all later registrations of this
+                incarnation and of earlier ones.
+            started: Start of the incarnation; 0 for the registered one.
         """
         held = self.entries.get(upstream)
         if not started and held is not None:
@@ -92,7 +98,10 @@
         return True
 
     def update_since(self, version: int) -> member_messages.DirectoryUpdate:
-        """Returns what brings a node from `version` to the present one."""
+        """Returns an update from `version` to the present version.
+
+        An update from 0 has all registrations.
+        """
         if not version or version < self.horizon:
             everything = list(self.entries.values())
             return member_messages.DirectoryUpdate(
@@ -109,7 +118,12 @@
         )
 
     def apply_update(self, update: member_messages.DirectoryUpdate) -> bool:
-        """Takes an update of another directory; False for an older one."""
+        """Applies an update made by another directory.
+
+        Returns:
+            False for an update to the present or an earlier version, which
+            changes nothing.
+        """
         if update.version <= self.version:
             return False
         if update.whole:
@@ -128,7 +142,7 @@
         return True
 
     def state(self) -> list[Any]:
-        """Returns everything as plain data."""
+        """Returns the state as plain data for a snapshot."""
         return [
             self.version,
             self.horizon,
@@ -139,13 +153,13 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Takes what `state` returned."""
+        """Replaces the state by what `state` returned, here or earlier."""
         self.version, self.horizon = state[:2]
         found = [member_messages.Registration(*item) for item in state[2]]
         self.entries = {item.upstream: item for item in found}
         self.changed_at, self.removed_at = state[3:5]
-        # Releases before the starts of lives kept the time of leaving here,
-        # as a float, of upstreams that told no start.
+        # Earlier releases had no starts; they stored the time of the leave
+        # here, as a float.
         self.ended = {
             name: started if isinstance(started, int) else 0
             for name, started in state[5].items()
@@ -179,14 +193,17 @@
 
 
 def recency_key(registration: member_messages.Registration) -> tuple[int, int]:
-    """Returns what tells which of two registrations of an id is newer."""
+    """Returns a key that is higher for newer registrations of an upstream."""
     return registration.started, registration.sequence
 
 
 def same_except_renewal(
     one: member_messages.Registration, other: member_messages.Registration
 ) -> bool:
-    """Tells whether two registrations of one upstream mean the same."""
+    """Returns whether two registrations differ only in `sequence` or `cold`.
+
+    Those change with renewals, and no node needs to hear of that.
+    """
     return one._replace(sequence=0, cold=0.0) == other._replace(
         sequence=0, cold=0.0
     )
--- a/src/mintcleat/configuration/fencing.py
+++ b/src/mintcleat/configuration/fencing.py
@@ -1,20 +1,20 @@
-"""The gate before an upstream: which orders may still be carried out."""
+"""Rejects orders with an old fencing token, on behalf of one upstream."""
 
 from mintcleat.domain import errors
 
 
 class Gate:
-    """Lets each order through once, and none that a newer one overtook.
+    """Admits each order once, and none that is older than another one seen.
 
-    Some engines ignore fencing numbers, so the sidecar, the only path to
-    its engine, keeps the highest. After a restart it has forgotten it: an
-    order of a replaced leader that was still on its way would load an old
-    version over the new one. No order passes before `learn`, which takes the
-    number from a linearizable read.
+    Some engines ignore fencing tokens, so the sidecar, which is the only
+    path to its engine, checks them. The highest token is lost in a restart of
+    the sidecar. An order that a replaced leader had sent could then load an
+    old version over the new one, so no order is admitted before `learn`,
+    which takes the highest token from a linearizable read.
 
     Attributes:
-        highest: Highest number seen or learned; None before `learn`.
-        finished: Highest number that was carried out here.
+        highest: Highest token seen or learned; None before `learn`.
+        finished: Highest token of the orders carried out here.
     """
 
     def __init__(self) -> None:
@@ -22,31 +22,33 @@
         self.finished = 0
 
     def learn(self, fencing_token: int) -> None:
-        """Takes the highest committed number of a linearizable read."""
+        """Takes the highest committed token, from a linearizable read."""
         self.highest = max(self.highest or 0, fencing_token)
 
     def admit(self, fencing_token: int) -> bool:
-        """Tells whether the order must be carried out; False if it was.
+        """Returns whether an order must be carried out; False if it was.
 
         Raises:
-            errors.FencedOff: A newer order was seen, or none may pass yet.
+            errors.FencedOff: A newer order was seen, or `learn` wasn't called
+                yet.
         """
         if self.highest is None:
             raise errors.FencedOff(
-                "The highest fencing number is not known here yet.",
+                "The sidecar hasn't read the highest fencing token yet.",
                 remedy="The config leader sends the order again.",
             )
         if fencing_token < self.highest:
             raise errors.FencedOff(
-                f"Order {fencing_token} is older than order {self.highest}."
+                f"The order has the fencing token {fencing_token}; an order "
+                f"with the higher token {self.highest} was seen before."
             )
         self.highest = fencing_token
         return fencing_token > self.finished
 
     def is_current(self, fencing_token: int) -> bool:
-        """Tells whether no newer order came while this one waited."""
+        """Returns whether no newer order was admitted or learned since."""
         return fencing_token == self.highest
 
     def finish(self, fencing_token: int) -> None:
-        """Notes that an order was carried out."""
+        """Records that an order was carried out."""
         self.finished = max(self.finished, fencing_token)
--- a/src/mintcleat/configuration/lease.py
+++ b/src/mintcleat/configuration/lease.py
@@ -1,41 +1,47 @@
-"""The configuration lease: until when a node may act on its revision."""
+"""The configuration lease: until when a node may act on its revision.
+
+All times are in seconds.
+"""
 
 from typing import NamedTuple
 
-# Lease that the config leader grants. After it accepts a push, a node that
-# did not apply it is out of lease within this time, so the push is in force
-# everywhere in under 5 s, the goal of the users' plan.
+# Longest lease that the config leader grants. Within this time of an accepted
+# push, every node has applied it or is out of lease, so the push is in force
+# everywhere in under 5 s, as required.
 MAX_LEASE = 4.0
-# Between two renewals of a node. Three may be lost before the lease is.
+# Interval of a node's renewals. Three may be lost before the lease expires.
 RENEW = 1.0
-# Control instances renew more often, so that nodes behind them get leases of
-# at least MAX_LEASE - RELAY_RENEW and still survive two lost renewals.
+# Interval of a control instance's renewals. It is shorter, so that the nodes
+# behind it get leases of at least MAX_LEASE - RELAY_RENEW, which survive two
+# lost renewals.
 RELAY_RENEW = 0.5
-# A node that got no renewal for so long asks another control instance. Two
-# seconds of lease are left then to find one.
+# Silence after which a node turns to another control instance. Half of its
+# lease is then left to find one.
 MOVE_AFTER = 2.0
-# A node that knows no configuration serves nobody, so it waits less for an
-# instance that has none to give: after all processes ended together, one
-# that lost its disk has nothing for about a second, while another leads. After
-# some tries it waits as others do, so that a configuration that takes long to
-# arrive does arrive, and so that a long loss of the quorum costs no hopping.
-SHORT_WAIT = 0.15
-SHORT_TRIES = 9
-# A sidecar's announcement is dropped when it is not renewed for so long.
+# The same for a node without a configuration, which can't serve anybody. After
+# a restart of all processes, a control instance that lost its disk has no
+# configuration to give for about a second, while another one already leads.
+UNCONFIGURED_MOVE_AFTER = 0.15
+# Control instances that such a node tries before it waits for MOVE_AFTER as
+# well. That gives a configuration that takes long to arrive the time for it,
+# and ends the frequent reconnects while the quorum is lost.
+UNCONFIGURED_ATTEMPTS = 9
+# Lease of a sidecar's announcement.
 MEMBER_LEASE = 4.0
 
 
 class Times(NamedTuple):
-    """The times above as one deployment uses them, in seconds.
+    """The times above as one deployment sets them, in seconds.
 
-    Attributes:
-        key_grace: For so long after its lease a node goes on taking
-            customers' keys. A key that was taken away stops everywhere within
-            `max_lease + key_grace` of the accepted push, cut off or not; a
-            node without control serves customers for about as long.
+    With shorter times, a change is in force sooner after a failure. They cost
+    traffic: the bytes sent by an idle node are proportional to 1 / `renew`.
 
-    Shorter ones bring a change into force sooner after a loss and cost more
-    renewals: the bytes of a quiet node grow with 1 / `renew`.
+    Attributes:
+        key_grace: Time after the end of its lease during which a node still
+            accepts customers' keys. A removed key stops working everywhere
+            within `max_lease + key_grace` of the accepted push, also at nodes
+            that are cut off; a node without control serves customers for
+            about that long.
     """
 
     max_lease: float = MAX_LEASE
@@ -50,15 +56,16 @@
 
 
 class Lease:
-    """A lease as its holder keeps it, on the holder's own clock.
+    """A lease as its holder sees it, by the holder's own clock.
 
-    It counts from when the holder sent the request that the grant echoes.
-    Counted from the arrival of the grant, a grant that was delayed on the
-    way would let a cut-off node act after the granter gave it up.
+    It runs from the time at which the holder sent the request that the grant
+    echoes. If it ran from the arrival of the grant, a delayed grant would let
+    a node that is cut off act on its revision after the granter considers the
+    lease expired.
 
     Attributes:
-        echo: Newest request that was granted.
-        expires: Clock at which the lease ends.
+        echo: When the latest request that was granted was sent.
+        expires: When the lease ends.
     """
 
     def __init__(self) -> None:
@@ -66,25 +73,28 @@
         self.expires = float("-inf")
 
     def renew(self, echo: float, seconds: float) -> None:
-        """Takes a grant; a grant of 0 seconds promises nothing."""
+        """Takes a grant of a request sent at `echo`.
+
+        A grant of 0 seconds renews nothing: the granter has no lease itself.
+        """
         if seconds <= 0:
             return
         self.echo = max(self.echo, echo)
         self.expires = max(self.expires, echo + seconds)
 
     def left(self, now: float, grace: float = 0.0) -> float:
-        """Returns the seconds left until `grace` after its end, or 0."""
+        """Returns the seconds left until `grace` after its end; 0 if over."""
         return max(0.0, self.expires + grace - now)
 
 
 def silence_timeout(revision: int, attempt: int, move_after: float) -> float:
-    """Returns the seconds for which a node waits for an instance's word.
+    """Returns the silence after which a node turns to another instance.
 
     Args:
-        revision: What the node has applied; 0 for nothing.
+        revision: Revision that the node has applied; 0 for none.
         attempt: Instances tried since the last one that renewed its lease.
-        move_after: Seconds after which a node that can serve moves on.
+        move_after: Seconds of silence for a node that has a configuration.
     """
-    if revision or attempt >= SHORT_TRIES:
+    if revision or attempt >= UNCONFIGURED_ATTEMPTS:
         return move_after
-    return min(move_after, SHORT_WAIT)
+    return min(move_after, UNCONFIGURED_MOVE_AFTER)
--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -155,7 +155,9 @@
         self.quarantine.load(items[6])
         self.drains = items[7]
         instances = [ControlInstance(*item) for item in items[8]]
-        self.control_instances = {item.instance: item for item in instances}
+        self.control_instances = {
+            control.instance: control for control in instances
+        }
         self.restrictions_version = items[9]
         self.pushed_index = 0
         self.directory = directory.Directory()
--- a/src/mintcleat/configuration/members.py
+++ b/src/mintcleat/configuration/members.py
@@ -1,8 +1,9 @@
-"""Announced upstreams, as soft state owned by their sidecars.
+"""Upstreams announced by their sidecars, as soft state.
 
-A control instance knows announcements from several sources: those made to it
-directly, and those that other control instances pass on. The newest version,
-by (epoch, counter), wins; an upstream is gone when no source lists it.
+A control instance gets announcements from several sources: directly from
+sidecars, and relayed by other control instances. The announcement with the
+highest (epoch, counter) is in force. An upstream is gone when no source lists
+it any more.
 """
 
 from typing import NamedTuple
@@ -11,19 +12,22 @@
 from mintcleat.domain import identities
 from mintcleat.domain import member_messages
 
+# Source of the announcements made to this control instance itself.
 DIRECT = ""
-# Starts of one instance within FLAP_WINDOW seconds are shown to operators.
+# Operators see how often an instance started within so many seconds.
 FLAP_WINDOW = 60.0
-# Removals told to nodes; nodes further behind get the whole list.
+# Removals that are kept for deltas. Nodes that are older than the oldest one
+# get the whole list instead.
 REMOVALS_KEPT = 4_096
 
 
 class Record(NamedTuple):
-    """One announcement at one source.
+    """An announcement as one source lists it.
 
     Attributes:
-        renewed: Clock of the last direct renewal.
-        expires: Clock at which it is dropped; infinite while relayed.
+        renewed: Clock of the last renewal, or of the last relayed change.
+        expires: Clock at which it is dropped; infinite for a relayed one,
+            which its source removes.
     """
 
     announcement: member_messages.Announcement
@@ -32,16 +36,19 @@
 
 
 class Table:
-    """The members, merged over all sources.
+    """The announced upstreams, merged from all sources.
 
     Attributes:
-        version: Grows with each visible change.
+        version: Grows with each change that nodes must hear of.
+        horizon: Oldest version from which a delta can be made.
         sources: Records by source and incarnation.
-        holders: Sources and incarnations by instance name.
+        holders: Sources that list an instance, with its incarnation there, by
+            instance name.
         view: The announcement in force, by instance.
         changed_at: Version of the last change, by instance.
         removed_at: Version of the removal, by incarnation, oldest first.
-        starts: When each incarnation was first seen, by instance.
+        starts: Clock at which an epoch was first seen, by instance and epoch.
+        cached: The last update made, by its first and last version.
     """
 
     def __init__(self) -> None:
@@ -73,7 +80,7 @@
     def apply_update(
         self, source: str, update: member_messages.MembersUpdate, now: float
     ) -> None:
-        """Takes what another control instance passes on."""
+        """Applies what another control instance relays."""
         if update.whole:
             listed = {item.sidecar for item in update.members}
             held = self.sources.get(source, {})
@@ -85,13 +92,16 @@
             self._drop(source, sidecar)
 
     def expire_source(self, source: str, now: float, grace: float) -> None:
-        """Lets a source's records run out, unless they come back."""
+        """Expires a source's records after `grace` seconds.
+
+        Those that the source relays again meanwhile don't expire.
+        """
         for sidecar, record in self.sources.get(source, {}).items():
             limit = min(record.expires, now + grace)
             self.sources[source][sidecar] = record._replace(expires=limit)
 
     def expire(self, now: float) -> None:
-        """Drops the records whose lease is over."""
+        """Drops expired records, and starts that left the flap window."""
         for source, records in self.sources.items():
             late = [key for key, item in records.items() if item.expires < now]
             for sidecar in late:
@@ -106,10 +116,10 @@
     def duplicates(
         self, instance: str, now: float
     ) -> list[identities.Incarnation]:
-        """Returns older incarnations that renew though a newer one is alive.
+        """Returns older incarnations that still renew beside a newer one.
 
-        A sidecar that was restarted stops renewing; its last announcement
-        just runs out. Only another process with the same name goes on.
+        They belong to another process with the same name. The announcement of
+        a sidecar that was restarted isn't renewed and just expires.
         """
         current = self.view.get(instance)
         if current is None:
@@ -120,21 +130,24 @@
             sidecar
             for source, sidecar in self.holders[instance]
             if sidecar.epoch < newest
-            and self._lives_on(source, sidecar, since, now)
+            and self._renewed_since(source, sidecar, since, now)
         )
 
     def update_since(self, version: int) -> member_messages.MembersUpdate:
-        """Returns what brings a node from `version` to the present one."""
+        """Returns an update from `version` to the present version.
+
+        An update from 0 or from an unknown version has all announcements.
+        """
         key = (version, self.version)
         if key not in self.cached:
-            # Most nodes lag by the same step, so one answer serves them all.
+            # Most nodes are at the same version, so one answer serves them.
             self.cached = {key: self._update_since(version)}
         return self.cached[key]
 
     def direct_announcements(
         self,
     ) -> dict[identities.Incarnation, member_messages.Announcement]:
-        """Returns what was announced to this instance itself."""
+        """Returns what sidecars announced to this control instance."""
         records = self.sources.get(DIRECT, {})
         return {key: item.announcement for key, item in records.items()}
 
@@ -151,14 +164,18 @@
         gone = [key for key, at in self.removed_at.items() if at > version]
         return member_messages.MembersUpdate(False, changed, gone)
 
-    def _lives_on(
+    def _renewed_since(
         self,
         source: str,
         sidecar: identities.Incarnation,
         since: float,
         now: float,
     ) -> bool:
-        """Tells whether it renewed after its successor was first seen."""
+        """Returns whether it still renews after its successor's start.
+
+        The source of a relayed record drops it within a member lease if it
+        isn't renewed there.
+        """
         record = self.sources[source][sidecar]
         if source == DIRECT:
             return record.renewed > since + lease.RENEW
@@ -192,7 +209,7 @@
             del self.holders[sidecar.instance]
 
     def _refresh(self, instance: str) -> None:
-        """Chooses the announcement in force for one instance."""
+        """Recomputes the announcement in force for one instance."""
         found = [
             self.sources[source][sidecar].announcement
             for source, sidecar in self.holders[instance]
--- a/src/mintcleat/configuration/permits.py
+++ b/src/mintcleat/configuration/permits.py
@@ -1,24 +1,26 @@
-"""Permits of the rate-limited weight store, as a replicated token bucket."""
+"""Permits to load from the weight store, as a replicated token bucket."""
 
 from typing import Any
 
 from mintcleat.domain import errors
 
-# Holders are remembered so that a repeated request takes no second permit.
+# Holders remembered, so that a repeated request takes no second permit.
 HOLDERS_KEPT = 1_000
 
 
 class Bucket:
-    """A token bucket whose time comes in the commands.
+    """A token bucket that gets its times from the commands.
 
-    The level is part of the replicated state. A new leader that started with
-    a full bucket would let a burst through at each failover, and the weight
-    store would throttle every load for minutes.
+    Its level is replicated. If each new leader started with a full bucket, a
+    failover would let a burst through and the weight store would throttle all
+    loads for minutes.
 
     Attributes:
-        level: Permits that can be taken at `filled_at`; None before the
-            first, when the bucket is full.
-        holders: Holders of permits, oldest first.
+        level: Permits available at `filled_at`; None for a full bucket, from
+            which none was taken yet.
+        filled_at: Time up to which the bucket was refilled, in seconds since
+            1970.
+        holders: When each holder got its permit, oldest first.
     """
 
     def __init__(self) -> None:
@@ -29,14 +31,26 @@
     def take(
         self, holder: str, per_minute: float, burst: int, at: float
     ) -> bool | errors.Overloaded:
-        """Takes a permit; repeated by the same holder it takes no second."""
+        """Takes one permit, once per holder.
+
+        Args:
+            holder: Id of the taker.
+            per_minute: Refill rate in permits per minute.
+            burst: Capacity in permits; at least 1.
+            at: Present time in seconds since 1970.
+
+        Returns:
+            True if the holder has a permit, or else an error that says when
+            to retry.
+        """
         if holder in self.holders:
             return True
         self._fill(per_minute / 60.0, max(1, burst), at)
         if self.level is None or self.level < 1.0:
-            wait = self._wait(per_minute / 60.0)
+            retry_after = self._retry_after(per_minute / 60.0)
             return errors.Overloaded(
-                "The weight store's load rate is used up.", retry_after=wait
+                "The rate limit for loads from the weight store is reached.",
+                retry_after=retry_after,
             )
         self.level -= 1.0
         self.holders[holder] = at
@@ -45,11 +59,11 @@
         return True
 
     def state(self) -> list[Any]:
-        """Returns everything as plain data."""
+        """Returns the state as plain data for a snapshot."""
         return [self.level, self.filled_at, self.holders]
 
     def load(self, state: list[Any]) -> None:
-        """Takes what `state` returned."""
+        """Replaces the state by what `state` returned."""
         self.level, self.filled_at, self.holders = state
 
     def _fill(self, rate: float, burst: int, at: float) -> None:
@@ -57,13 +71,13 @@
             self.level = float(burst)
             self.filled_at = at
             return
-        # A new leader's wall clock may be behind; time does not run back,
-        # and the same seconds are never credited twice.
+        # The wall clock of a new leader may be behind that of the old one. No
+        # interval is refilled twice.
         passed = max(0.0, at - self.filled_at)
         self.level = min(float(burst), self.level + passed * rate)
         self.filled_at = max(at, self.filled_at)
 
-    def _wait(self, rate: float) -> float:
+    def _retry_after(self, rate: float) -> float:
         if rate <= 0:
             return 60.0
         return (1.0 - (self.level or 0.0)) / rate
--- a/src/mintcleat/configuration/plan.py
+++ b/src/mintcleat/configuration/plan.py
@@ -1,11 +1,13 @@
-"""Plans a service's next orders from the manifest's wishes.
+"""Plans the next orders that bring a service to what the manifest asks for.
 
-The plan is worked out anew each time from the replicated state and what the
-upstreams announce, so a leader that takes over halfway goes on from there.
+The plan is computed from scratch each time, from the replicated state and the
+announcements of upstreams. A leader that takes over halfway therefore goes on
+where the last one stopped.
 
-Made for version changes under load: without a floor, a rollout would take
-the service down; without the pause between failure domains, a bad version
-would reach all of them before the first one shows it.
+A rollout goes through the failure domains one by one. It keeps at least
+`floor` upstreams ready, so that the service stays up under load. It pauses
+between failure domains, so that a faulty version shows before it has reached
+all of them.
 """
 
 from typing import NamedTuple
@@ -13,28 +15,34 @@
 from mintcleat.configuration import rollouts
 from mintcleat.domain import manifest
 
+# Actions of orders.
 LOAD = "load"
 UNLOAD = "unload"
+# States of upstreams, as they announce them.
 READY = "ready"
 DOWN = "down"
-# After an order the upstream announces the old model for a moment. Only
-# after this time is an upstream that still does so ordered again.
-SETTLE = 10.0
-# An upstream whose order failed is left alone for this time, so that a
-# broken one does not use up the weight store's permits.
-RETRY = 60.0
-# An upstream that carried an order out and is not ready for so long counts
-# as a failure of the version.
-STUCK = 900.0
+# Time after a successful order during which the upstream may still announce
+# its old model; it gets no new order for that.
+SETTLE_SECONDS = 10.0
+# Pause after a failed order, so that a broken upstream doesn't use up the
+# permits to load from the weight store.
+RETRY_SECONDS = 60.0
+# Time after a successful order within which the upstream must be ready, or
+# the version counts as faulty.
+READY_TIMEOUT_SECONDS = 900.0
 
 
 class Upstream(NamedTuple):
     """An upstream of the service.
 
     Attributes:
+        epoch: Epoch of its incarnation.
+        state: State that it announces.
+        model: Target that it has loaded; empty for none.
+        drained: Whether an operator drains it.
         order: Its last order, if any.
-        since: Wall clock at which it was first seen in this state with this
-            model by the present leader.
+        since: Wall clock at which the present leader first saw it in this
+            state with this model, in seconds since 1970.
     """
 
     instance: str
@@ -48,7 +56,17 @@
 
 
 class View(NamedTuple):
-    """All that a plan depends on; `now` is a wall clock."""
+    """The input of a plan.
+
+    Attributes:
+        target: Target that the manifest asks for; see `target_of`.
+        floor: Upstreams that must stay ready during a rollout.
+        replicas: Upstreams that shall hold the target; 0 for all.
+        pause: Seconds between failure domains.
+        upstreams: All announced upstreams of the service.
+        rollout: The service's latest rollout, if any.
+        now: Wall clock in seconds since 1970.
+    """
 
     service: str
     target: str
@@ -61,14 +79,14 @@
 
 
 class StartRollout(NamedTuple):
-    """Start a rollout to `target`; return to `previous` if it fails."""
+    """Start a rollout to `target`; roll back to `previous` if it fails."""
 
     target: str
     previous: str
 
 
 class SendOrder(NamedTuple):
-    """Order one upstream."""
+    """Send an order to one upstream."""
 
     instance: str
     epoch: int
@@ -77,7 +95,7 @@
 
 
 class SetState(NamedTuple):
-    """Set the rollout's state."""
+    """Set the state of the rollout."""
 
     state: str
     reason: str
@@ -87,7 +105,10 @@
 
 
 def target_of(service: manifest.Service) -> str:
-    """Returns `MODEL@VERSION+ADAPTER+...` as orders and engines name it."""
+    """Returns a service's target as `MODEL@VERSION+ADAPTER+...`.
+
+    Orders and engines use this text for what is loaded.
+    """
     name = service.model
     if service.version:
         name += f"@{service.version}"
@@ -95,7 +116,7 @@
 
 
 def next_steps(view: View) -> list[Step]:
-    """Returns what to do now; an empty list means to wait."""
+    """Returns the steps to take now; none while there is to wait."""
     rollout = view.rollout
     if rollout is None or rollout.target != view.target:
         return [StartRollout(view.target, _previous(view))]
@@ -103,11 +124,11 @@
         case rollouts.RUNNING:
             return _run(view, rollout)
         case rollouts.ROLLING_BACK:
-            return _return(view, rollout)
+            return _roll_back(view, rollout)
         case rollouts.DONE:
-            return _orders(view, rollout.target, rollout)
+            return _next_orders(view, rollout.target, rollout)
         case rollouts.ROLLED_BACK:
-            return _orders(view, rollout.previous, rollout)
+            return _next_orders(view, rollout.previous, rollout)
         case _:
             return []
 
@@ -117,23 +138,28 @@
     if fault and rollout.previous:
         return [SetState(rollouts.ROLLING_BACK, fault)]
     if fault:
-        return [SetState(rollouts.PAUSED, f"{fault}; no version to return to")]
-    if _complete(view, rollout.target) and _paused_enough(view, rollout):
+        return [
+            SetState(rollouts.PAUSED, f"{fault}; no version to roll back to")
+        ]
+    if _complete(view, rollout.target) and _pause_is_over(view, rollout):
         return [SetState(rollouts.DONE, "")]
-    return _orders(view, rollout.target, rollout)
+    return _next_orders(view, rollout.target, rollout)
 
 
-def _return(view: View, rollout: rollouts.Rollout) -> list[Step]:
+def _roll_back(view: View, rollout: rollouts.Rollout) -> list[Step]:
     fault = _fault(view, rollout, rollout.previous)
     if fault:
-        return [SetState(rollouts.PAUSED, f"the return failed: {fault}")]
+        return [SetState(rollouts.PAUSED, f"the rollback failed: {fault}")]
     if _complete(view, rollout.previous):
         return [SetState(rollouts.ROLLED_BACK, rollout.reason)]
-    return _orders(view, rollout.previous, rollout)
+    return _next_orders(view, rollout.previous, rollout)
 
 
 def _previous(view: View) -> str:
-    """Returns the version to go back to: the last that was in force."""
+    """Returns the target to roll back to: the last one in force, or empty.
+
+    Without a former rollout it is the target that most upstreams have loaded.
+    """
     rollout = view.rollout
     if rollout is not None:
         is_done = rollout.state == rollouts.DONE
@@ -145,7 +171,7 @@
 
 
 def _fault(view: View, rollout: rollouts.Rollout, model: str) -> str:
-    """Returns what shows that a version fails, or an empty text."""
+    """Returns why a version counts as faulty; empty if it doesn't."""
     for upstream in view.upstreams:
         order = upstream.order
         if order is None or order.fencing_token <= rollout.started:
@@ -158,31 +184,33 @@
             continue
         if upstream.state == DOWN:
             return f"{upstream.instance} went down with {model}"
-        if view.now - order.at > STUCK and not upstream.drained:
-            return f"{upstream.instance} does not get ready with {model}"
+        if view.now - order.at > READY_TIMEOUT_SECONDS and not upstream.drained:
+            return f"{upstream.instance} did not get ready with {model} in time"
     return ""
 
 
 def _complete(view: View, model: str) -> bool:
-    kept = _kept(view, model)
-    return bool(kept) and all(
-        _has(upstream, model, view.now) and upstream.state == READY
-        for upstream in kept
+    holders = _holders(view, model)
+    return bool(holders) and all(
+        _has_loaded(upstream, model, view.now) and upstream.state == READY
+        for upstream in holders
         if upstream.state != DOWN and not upstream.drained
     )
 
 
-def _orders(view: View, model: str, rollout: rollouts.Rollout) -> list[Step]:
-    kept = _kept(view, model)
-    spare = [item for item in view.upstreams if item not in kept]
+def _next_orders(
+    view: View, model: str, rollout: rollouts.Rollout
+) -> list[Step]:
+    holders = _holders(view, model)
+    spare = [item for item in view.upstreams if item not in holders]
     wanted: list[tuple[Upstream, str, str]] = [
         (item, LOAD, model)
-        for item in _domain_first(kept, model, view.now)
-        if not _has(item, model, view.now)
+        for item in _first_unsettled_domain(holders, model, view.now)
+        if not _has_loaded(item, model, view.now)
     ]
     if not wanted and _complete(view, model):
         wanted = [(item, UNLOAD, item.model) for item in spare if item.model]
-    if wanted and _opens_domain(view, wanted[0][0], rollout):
+    if wanted and _must_pause(view, wanted[0][0], rollout):
         return []
     return _within_floor(view, wanted)
 
@@ -190,12 +218,12 @@
 def _within_floor(
     view: View, wanted: list[tuple[Upstream, str, str]]
 ) -> list[Step]:
-    """Keeps `floor` upstreams ready while orders are carried out."""
+    """Returns the orders that leave at least `floor` upstreams ready."""
     serving = [item for item in view.upstreams if _serves(item)]
     allowed = len(serving) - view.floor
     steps: list[Step] = []
     for upstream, action, model in wanted:
-        if not _orderable(upstream, view.now):
+        if not _can_take_order(upstream, view.now):
             continue
         if _serves(upstream):
             if allowed <= 0:
@@ -207,13 +235,14 @@
     return steps
 
 
-def _domain_first(
+def _first_unsettled_domain(
     upstreams: list[Upstream], model: str, now: float
 ) -> list[Upstream]:
-    """Returns the first failure domain's upstreams not ready with `model`.
+    """Returns the upstreams of the first domain not yet ready with `model`.
 
-    The next domain waits for them: an engine may take an order at once and
-    load for minutes, and two domains would be loading together.
+    The next domain waits until they are ready, not just until their orders
+    are acknowledged: an engine may acknowledge an order at once and load for
+    minutes, so that two domains would load at the same time.
     """
     for domain in sorted({item.failure_domain for item in upstreams}):
         inside = [
@@ -228,37 +257,36 @@
 
 def _settled(upstream: Upstream, model: str, now: float) -> bool:
     is_up = upstream.state == READY or upstream.drained
-    return is_up and _has(upstream, model, now)
+    return is_up and _has_loaded(upstream, model, now)
 
 
-def _opens_domain(
-    view: View, first: Upstream, rollout: rollouts.Rollout
-) -> bool:
-    """Tells whether the next failure domain must wait for the pause."""
+def _must_pause(view: View, first: Upstream, rollout: rollouts.Rollout) -> bool:
+    """Returns whether the first order to a domain must wait for the pause."""
     inside = [
         item
         for item in view.upstreams
         if item.failure_domain == first.failure_domain
     ]
-    if any(_of_rollout(item.order, rollout) for item in inside):
+    if any(_belongs_to(item.order, rollout) for item in inside):
         return False
-    return not _paused_enough(view, rollout)
+    return not _pause_is_over(view, rollout)
 
 
-def _paused_enough(view: View, rollout: rollouts.Rollout) -> bool:
+def _pause_is_over(view: View, rollout: rollouts.Rollout) -> bool:
     ended = [
         max(item.order.at, item.since)
         for item in view.upstreams
-        if item.order is not None and _of_rollout(item.order, rollout)
+        if item.order is not None and _belongs_to(item.order, rollout)
     ]
     return view.now - max(ended, default=0.0) >= view.pause
 
 
-def _kept(view: View, model: str) -> list[Upstream]:
+def _holders(view: View, model: str) -> list[Upstream]:
     """Returns the upstreams that shall hold the model.
 
-    Where more are there than replicas are wanted, those that hold it already
-    stay, and the rest spread over the failure domains.
+    If there are more upstreams than wanted replicas, those that hold the
+    model already come first, and the others are spread over the failure
+    domains.
     """
     if not view.replicas or len(view.upstreams) <= view.replicas:
         return view.upstreams
@@ -286,8 +314,8 @@
     return taken
 
 
-def _has(upstream: Upstream, model: str, now: float) -> bool:
-    if upstream.model == model and not _is_sent(upstream):
+def _has_loaded(upstream: Upstream, model: str, now: float) -> bool:
+    if upstream.model == model and not _has_pending_order(upstream):
         return True
     order = upstream.order
     return (
@@ -296,7 +324,7 @@
         and order.action == LOAD
         and order.model == model
         and order.outcome == rollouts.DONE
-        and now - order.at < SETTLE
+        and now - order.at < SETTLE_SECONDS
     )
 
 
@@ -304,11 +332,11 @@
     return (
         upstream.state == READY
         and not upstream.drained
-        and not _is_sent(upstream)
+        and not _has_pending_order(upstream)
     )
 
 
-def _is_sent(upstream: Upstream) -> bool:
+def _has_pending_order(upstream: Upstream) -> bool:
     order = upstream.order
     return (
         order is not None
@@ -317,18 +345,18 @@
     )
 
 
-def _orderable(upstream: Upstream, now: float) -> bool:
+def _can_take_order(upstream: Upstream, now: float) -> bool:
     order = upstream.order
-    if upstream.state == DOWN or _is_sent(upstream):
+    if upstream.state == DOWN or _has_pending_order(upstream):
         return False
     return not (
         order is not None
         and order.outcome == rollouts.FAILED
-        and now - order.at < RETRY
+        and now - order.at < RETRY_SECONDS
     )
 
 
-def _of_rollout(
+def _belongs_to(
     order: rollouts.Order | None, rollout: rollouts.Rollout
 ) -> bool:
     return order is not None and order.fencing_token > rollout.started
--- a/src/mintcleat/configuration/rollouts.py
+++ b/src/mintcleat/configuration/rollouts.py
@@ -1,8 +1,8 @@
-"""Orders and rollouts in the replicated state.
+"""Orders to upstreams, and rollouts, in the replicated state.
 
-An order is committed, with its fencing number, before it is sent. A leader
-that takes over halfway finds the order and sends the same number again; it
-never makes a second order for the same step.
+An order is committed with its fencing token before it is sent. A leader that
+takes over halfway finds the order and sends it again with the same token,
+instead of a second order for the same step.
 """
 
 from typing import Any
@@ -10,20 +10,32 @@
 
 from mintcleat.configuration import commands
 
+# States of a rollout.
 RUNNING = "running"
 PAUSED = "paused"
 ROLLING_BACK = "returning"
 ROLLED_BACK = "returned"
+# The state of a finished rollout, and the outcome of an order that succeeded.
 DONE = "done"
+# Other outcomes of an order; SENT means that there is none yet.
 FAILED = "failed"
 SENT = "sent"
-# Instances whose highest fencing number is kept by name; older names share
-# the highest number that was dropped, which is never too low.
-FENCES_KEPT = 20_000
+# Instances whose last order is kept. The highest fencing token of all that
+# were dropped stands in for their own, which it is never lower than.
+ORDERS_KEPT = 20_000
 
 
 class Order(NamedTuple):
-    """The last order of one instance; `outcome` is sent, done or failed."""
+    """The last order to one upstream.
+
+    Attributes:
+        epoch: Epoch of the upstream's incarnation that the order is for.
+        fencing_token: Token of the order; higher for later orders.
+        action: `load` or `unload`.
+        model: Target that is loaded or unloaded; see `plan.target_of`.
+        outcome: SENT, DONE or FAILED.
+        at: When it was planned or got its outcome, in seconds since 1970.
+    """
 
     epoch: int
     fencing_token: int
@@ -37,8 +49,13 @@
     """The rollout of one service.
 
     Attributes:
-        started: Fencing number taken at the start; orders of this rollout
+        target: Model, version and adapters; see `plan.target_of`.
+        previous: Target to roll back to; empty for none.
+        state: RUNNING, PAUSED, ROLLING_BACK, ROLLED_BACK or DONE.
+        reason: Why it was paused or rolled back; empty otherwise.
+        started: Highest fencing token at the start; orders of this rollout
             have higher ones.
+        at: Time of the last change of state, in seconds since 1970.
     """
 
     service: str
@@ -51,7 +68,15 @@
 
 
 class Ledger:
-    """Fencing counter, last order by instance, rollouts by service."""
+    """The fencing tokens, orders and rollouts of all services.
+
+    Attributes:
+        fencing_token: Highest token allocated so far.
+        orders: The last order by instance, oldest first.
+        forgotten_fencing_token: Highest token of the orders that were dropped
+            from `orders`.
+        rollouts: Rollouts by service.
+    """
 
     def __init__(self) -> None:
         self.fencing_token = 0
@@ -60,17 +85,20 @@
         self.rollouts: dict[str, Rollout] = {}
 
     def take_fencing_tokens(self, count: int) -> int:
-        """Takes fencing numbers; returns the highest of them."""
+        """Allocates at least one token; returns the highest one."""
         self.fencing_token += max(1, count)
         return self.fencing_token
 
     def highest_fencing_token(self, instance: str) -> int:
-        """Returns a number that no order of the instance exceeds yet."""
+        """Returns a token that no committed order of the instance exceeds."""
         order = self.orders.get(instance)
         return order.fencing_token if order else self.forgotten_fencing_token
 
     def plan(self, command: commands.PlanOrder) -> int:
-        """Commits an order; the same step gets the same number again."""
+        """Records an order and returns its fencing token.
+
+        The same step gets the same token again until it has an outcome.
+        """
         last = self.orders.get(command.instance)
         if last is not None and self._same_step(last, command):
             return last.fencing_token
@@ -83,7 +111,7 @@
             SENT,
             command.at,
         )
-        while len(self.orders) > FENCES_KEPT:
+        while len(self.orders) > ORDERS_KEPT:
             dropped = self.orders.pop(next(iter(self.orders)))
             self.forgotten_fencing_token = max(
                 self.forgotten_fencing_token, dropped.fencing_token
@@ -91,7 +119,11 @@
         return self.fencing_token
 
     def end(self, command: commands.EndOrder) -> bool:
-        """Records an outcome; a report of an older order changes nothing."""
+        """Records the outcome of an instance's last order.
+
+        Returns:
+            False if the outcome is that of an older order, which is ignored.
+        """
         order = self.orders.get(command.instance)
         if order is None or order.fencing_token != command.fencing_token:
             return False
@@ -101,7 +133,7 @@
         return True
 
     def start(self, command: commands.StartRollout) -> Rollout:
-        """Starts a rollout; the same target again gives the same rollout."""
+        """Starts a rollout, unless the service has one to this target."""
         current = self.rollouts.get(command.service)
         if current is not None and current.target == command.target:
             return current
@@ -118,7 +150,7 @@
         return rollout
 
     def set_state(self, command: commands.SetRollout) -> bool:
-        """Changes the state of a service's rollout."""
+        """Changes the state of a rollout; returns whether it changed."""
         rollout = self.rollouts.get(command.service)
         if rollout is None or rollout.state == command.state:
             return False
@@ -128,7 +160,7 @@
         return True
 
     def state(self) -> list[Any]:
-        """Returns everything as plain data."""
+        """Returns the state as plain data for a snapshot."""
         return [
             self.fencing_token,
             {name: list(order) for name, order in self.orders.items()},
@@ -137,7 +169,7 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Takes what `state` returned."""
+        """Replaces the state by what `state` returned."""
         self.fencing_token = state[0]
         self.orders = {name: Order(*item) for name, item in state[1].items()}
         self.forgotten_fencing_token = state[2]
--- a/src/mintcleat/configuration/sections.py
+++ b/src/mintcleat/configuration/sections.py
@@ -1,4 +1,4 @@
-"""A manifest as many small sections, so that only what changed travels.
+"""A manifest split into sections, so that only changed ones are sent.
 
 A section is one program, service, customer or route, the limits, or all other
 policies. Its key is `programs/NAME`, `services/NAME`, `customers/NAME`,
@@ -27,20 +27,26 @@
     LIMITS: manifest.Limits,
     POLICIES: manifest.Policies,
 }
-# Names that releases before the present ones gave to sections and policies.
+# Names of sections and policies in the stored state of earlier releases, with
+# their present names.
 _RENAMED = {"partners": CUSTOMERS}
 _RENAMED_POLICY = ('"default_partner":', '"default_customer":')
 
 
 class Delta(NamedTuple):
-    """Sections that differ between two manifests."""
+    """Sections that differ between two manifests.
+
+    Attributes:
+        changed: JSON text of added and changed sections, by key.
+        removed: Sorted keys of removed sections.
+    """
 
     changed: dict[str, str]
     removed: list[str]
 
 
 def split(whole: manifest.Manifest) -> dict[str, str]:
-    """Returns the sections of a manifest."""
+    """Returns the sections of a manifest, as JSON text by key."""
     bare = msgspec.structs.replace(whole.policies, customers={})
     sections = {POLICIES: _text(bare)}
     if whole.limits != manifest.Limits():
@@ -58,10 +64,10 @@
 
 
 def upgraded(stored: dict[str, str]) -> dict[str, str]:
-    """Returns sections that an earlier release stored, under today's names.
+    """Returns stored sections with the present names of keys and policies.
 
-    An instance that could not read its own disk after an upgrade would have
-    to be emptied, and a majority of such instances would lose the manifest.
+    A control instance that couldn't read its disk after an upgrade would have
+    to be set up anew; if a majority were, the manifest would be lost.
     """
     found = upgraded_keys(stored)
     old, new = _RENAMED_POLICY
@@ -71,7 +77,7 @@
 
 
 def upgraded_keys(stored: dict[str, Any]) -> dict[str, Any]:
-    """Returns what is kept by section, under today's names of sections."""
+    """Returns values by section key with the present names of the keys."""
     found = {}
     for key, value in stored.items():
         group, slash, name = key.partition("/")
@@ -80,7 +86,7 @@
 
 
 def difference(before: dict[str, str], after: dict[str, str]) -> Delta:
-    """Returns what turns `before` into `after`."""
+    """Returns the delta that turns `before` into `after`."""
     changed = {
         key: text for key, text in after.items() if before.get(key) != text
     }
@@ -89,10 +95,10 @@
 
 
 class Assembly:
-    """A manifest put together from sections; only new ones are decoded.
+    """Assembles a manifest from sections and decodes each section once.
 
     Attributes:
-        typed: Decoded items by group and name.
+        typed: Decoded items by group (the key up to the `/`) and name.
     """
 
     def __init__(self) -> None:
@@ -100,14 +106,15 @@
         self.clear()
 
     def clear(self) -> None:
-        """Drops every section."""
+        """Removes all sections."""
         self.typed = {group: {} for group in _TYPES}
 
     def put(self, sections: Iterable[tuple[str, str]]) -> None:
-        """Takes new texts of sections; an empty text removes the section.
+        """Adds or replaces sections; an empty text removes one.
 
         Raises:
-            msgspec.ValidationError: The text is not of this release's schema.
+            msgspec.ValidationError: A text doesn't match the schema of this
+                release. Nothing was changed.
         """
         decoded = [
             (key, msgspec.json.decode(text, type=_TYPES[_group(key)]))
@@ -121,7 +128,7 @@
             self.typed[_group(key)][_name(key)] = item
 
     def manifest(self) -> manifest.Manifest:
-        """Returns the manifest of the sections held now."""
+        """Returns the manifest that consists of the present sections."""
         policies = self.typed[POLICIES].get("") or manifest.Policies()
         return manifest.Manifest(
             programs=dict(self.typed[PROGRAMS]),
--- a/src/mintcleat/configuration/transfer.py
+++ b/src/mintcleat/configuration/transfer.py
@@ -1,10 +1,10 @@
-"""A large update on its way to a node: compressed, in parts that count.
+"""Transfer of large updates to nodes: compressed, in parts, resumable.
 
-A started node waits only shortly for a control instance's word, and a whole
-configuration takes longer than that over a slow link. Sent as one message, it
-would be given up and begun again at one instance after another, while the
-node refuses every caller. Each part that arrives is a sign of life, and what
-arrived is not sent again by the next instance.
+A node that has just started waits only briefly for a control instance before
+it turns to the next one, and a whole configuration takes longer than that over
+a slow link. As a single message it would be given up and started again at one
+instance after another, while the node refuses all callers. Each part resets
+the node's timeout, and another instance goes on where the last one stopped.
 """
 
 from typing import Any
@@ -18,25 +18,27 @@
 from mintcleat.domain import errors
 from mintcleat.domain import member_messages
 
-# Bytes of one part. A link of 15 Mbit/s carries one in 9 ms.
+# Size of one part; a link of 15 Mbit/s carries it in 9 ms.
 PART_BYTES = 16 * 1024
-# Text of sections, in bytes, and registrations in one message at most.
-SMALL_SECTIONS = 16 * 1024
-SMALL_DIRECTORY = 80
-# Bytes of an update once it is decompressed; as much as a message may have.
-MAX_UPDATE = 64 * 1024 * 1024
-# Sections repeat their field names. The fastest level leaves an eighth of
-# them; higher ones leave hardly less and take up to twice the time.
-LEVEL = 1
-# Updates kept ready for the next node. Nodes lag by few revisions at a time.
-KEPT = 8
+# Largest updates that are sent as one message: characters of section texts,
+# and registrations.
+MAX_SINGLE_SECTION_CHARACTERS = 16 * 1024
+MAX_SINGLE_REGISTRATIONS = 80
+# Largest decompressed update; the same as the limit of a message.
+MAX_UPDATE_BYTES = 64 * 1024 * 1024
+# The fastest level of zlib. It reduces sections, which repeat their field
+# names, to an eighth; higher levels gain little and take up to twice as long.
+COMPRESSION_LEVEL = 1
+# Updates cached for further nodes. At any time the nodes are spread over few
+# distinct revisions.
+UPDATES_CACHED = 8
 
 
 class Packed(NamedTuple):
-    """An update as it travels.
+    """An encoded and compressed update.
 
     Attributes:
-        digest: Tells the bytes of one update from those of another.
+        digest: 128-bit xxh3 digest of `data`.
     """
 
     digest: bytes
@@ -44,7 +46,12 @@
 
 
 class Progress(NamedTuple):
-    """How much of which update a node holds; 0 bytes for none."""
+    """How much of an update a node has received.
+
+    Attributes:
+        digest: Digest of the whole update; empty for none.
+        size: Bytes received from its start.
+    """
 
     digest: bytes
     size: int
@@ -54,24 +61,31 @@
 
 
 def is_large(update: Any) -> bool:
-    """Tells whether an update is worth parts."""
+    """Returns whether an update shall be sent in parts."""
     match update:
         case config_messages.ConfigUpdate(sections=sections):
-            return sum(map(len, sections.values())) > SMALL_SECTIONS
+            return (
+                sum(map(len, sections.values())) > MAX_SINGLE_SECTION_CHARACTERS
+            )
         case member_messages.DirectoryUpdate(changed=changed):
-            return len(changed) > SMALL_DIRECTORY
+            return len(changed) > MAX_SINGLE_REGISTRATIONS
         case _:
             return False
 
 
 def pack(update: Any) -> Packed:
-    """Returns an update as it travels, the same bytes on every instance."""
-    data = zlib.compress(codec.encode(update), LEVEL)
+    """Returns the compressed update; it is the same on every instance."""
+    data = zlib.compress(codec.encode(update), COMPRESSION_LEVEL)
     return Packed(xxhash.xxh3_128_digest(data), data)
 
 
 class UpdateCache:
-    """Updates that were packed for one node and serve the next ones."""
+    """Packed updates, kept for the next nodes that need the same ones.
+
+    Attributes:
+        packed: Updates by kind and the revisions they lead from and to, oldest
+            first.
+    """
 
     def __init__(self) -> None:
         self.packed: dict[tuple[str, int, int], Packed] = {}
@@ -79,15 +93,15 @@
     def parts(
         self, key: tuple[str, int, int], update: Any, held: Progress
     ) -> list[config_messages.UpdatePart]:
-        """Returns the parts that a node lacks.
+        """Returns the parts of an update that a node lacks.
 
         Args:
             key: Kind of the update, and the revisions it leads from and to.
-            update: What to send.
-            held: What the node has of it, or of another update.
+            update: The update, a ConfigUpdate or a DirectoryUpdate.
+            held: What the node has received of it, or of another update.
         """
         if key not in self.packed:
-            while len(self.packed) >= KEPT:
+            while len(self.packed) >= UPDATES_CACHED:
                 del self.packed[next(iter(self.packed))]
             self.packed[key] = pack(update)
         digest, data = self.packed[key]
@@ -101,11 +115,11 @@
 
 
 class Reassembler:
-    """Puts updates together on the node's side.
+    """Reassembles updates from their parts, on a node.
 
     Attributes:
-        digest: Digest of the update that is arriving; empty for none.
-        data: Its bytes so far.
+        digest: Digest of the update being received; empty for none.
+        data: The bytes received of it so far.
     """
 
     def __init__(self) -> None:
@@ -113,19 +127,22 @@
         self.data = bytearray()
 
     def progress(self) -> Progress:
-        """Returns what an instance need not send again."""
+        """Returns what was received and need not be sent again."""
         return (
             Progress(self.digest, len(self.data)) if self.data else NO_PROGRESS
         )
 
     def take(self, message: Any) -> Any:
-        """Returns the whole update with its last part, None before.
+        """Takes a message and returns it, or the update that it completes.
 
-        Messages that are no parts are returned as they are.
+        Returns:
+            A message that is no part as it is; for a part the update if this
+            was the last one, and None otherwise.
 
         Raises:
-            errors.BadRequest: A part is missing, or the bytes are damaged.
-                What arrived is dropped; the next transfer begins anew.
+            errors.BadRequest: A part is missing, or the update is damaged. The
+                received parts are dropped, so the next transfer starts over.
+            errors.TooLarge: The update exceeds MAX_UPDATE_BYTES.
         """
         if not isinstance(message, config_messages.UpdatePart):
             return message
@@ -134,7 +151,9 @@
             self.data.clear()
         if message.offset != len(self.data) or not message.data:
             self._drop()
-            raise errors.BadRequest("A part of an update is missing.")
+            raise errors.BadRequest(
+                "A part of an update is empty or doesn't follow the last one."
+            )
         self.data += message.data
         if len(self.data) < message.size:
             return None
@@ -142,7 +161,9 @@
         digest = self.digest
         self._drop()
         if xxhash.xxh3_128_digest(data) != digest:
-            raise errors.BadRequest("An update arrived damaged.")
+            raise errors.BadRequest(
+                "The digest of an update doesn't match its bytes."
+            )
         return _unpack(data)
 
     def _drop(self) -> None:
@@ -153,9 +174,13 @@
 def _unpack(data: bytes) -> Any:
     stream = zlib.decompressobj()
     try:
-        text = stream.decompress(data, MAX_UPDATE)
+        text = stream.decompress(data, MAX_UPDATE_BYTES)
     except zlib.error as error:
-        raise errors.BadRequest(f"An update can't be read: {error}.") from None
+        raise errors.BadRequest(
+            f"An update can't be decompressed: {error}."
+        ) from None
     if stream.unconsumed_tail:
-        raise errors.TooLarge(f"An update is over {MAX_UPDATE} bytes.")
+        raise errors.TooLarge(
+            f"A decompressed update is over {MAX_UPDATE_BYTES} bytes."
+        )
     return codec.decode(text)
