--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -1,4 +1,4 @@
-"""How entries hear of upstreams that join, leave, restart or flap."""
+"""How entries learn of upstreams that join, leave, restart or flap."""
 
 import itertools
 
@@ -12,12 +12,12 @@
 from mintcleat.domain import operator_messages
 from mintcleat.roles import follower
 
-# Entries shall hear of joins and leaves within this time.
-HEARD = 2.0
+# Seconds within which entries must know of joins and leaves.
+PROPAGATION = 2.0
 
 
 class Sidecar:
-    """A sidecar's announcement, whose state a test changes."""
+    """A sidecar that announces a state which the test sets."""
 
     def __init__(
         self, cluster: config_links.Cluster, name: str, epoch: int = 1
@@ -45,7 +45,7 @@
             True,
         )
 
-    def say(self, state: str) -> None:
+    def set_state(self, state: str) -> None:
         self.state = state
         self.node.announce()
 
@@ -60,7 +60,7 @@
         self.sidecars = [
             Sidecar(self.cluster, f"sidecar-{n}") for n in range(12)
         ]
-        self.timers.advance(HEARD)
+        self.timers.advance(PROPAGATION)
 
     def names(self, entry: follower.Follower, state: str) -> list[str]:
         return [
@@ -69,10 +69,17 @@
             if item.state == state
         ]
 
-    def last_work(self, name: str, seconds: float) -> float:
-        """Returns when an entry last gave work to an upstream, from now.
+    def last_choice(self, name: str, seconds: float) -> float:
+        """Returns when an entry last considered an upstream ready.
 
-        Each entry gives new work to each ready upstream all the time.
+        Entries send new work to each upstream that they consider ready.
+
+        Args:
+            name: The upstream.
+            seconds: Time to watch from now on.
+
+        Returns:
+            Seconds from now; 0 if no entry did.
         """
         begin = self.timers.now()
         last = 0.0
@@ -82,50 +89,50 @@
                 last = self.timers.now() - begin
         return last
 
-    def test_every_entry_hears_of_every_join(self) -> None:
+    def test_every_entry_learns_of_every_join(self) -> None:
         for entry in self.entries:
             self.assertEqual(12, len(self.names(entry, "ready")))
 
     def test_leaving_upstream_gets_no_new_work_after_two_seconds(self) -> None:
-        """A sidecar announces that it drains, while all entries send work.
+        """A sidecar announces that it drains while all entries send work.
 
-        The sidecar refuses from this moment; the entries choose others
-        within 0.7 s of virtual time, over relays and the leader.
+        The news goes over a relay, the leader and other relays; it must reach
+        all entries within 0.7 s of virtual time.
         """
-        self.sidecars[0].say("draining")
-        self.assertTrue(self.last_work("sidecar-0", 10.0) <= 0.7)
+        self.sidecars[0].set_state("draining")
+        self.assertTrue(self.last_choice("sidecar-0", 10.0) <= 0.7)
 
     def test_dead_upstream_is_dropped_after_its_lease(self) -> None:
-        """A sidecar dies without a word; its last work is at 4.8 s or less.
+        """A sidecar dies without announcing that it leaves.
 
-        Until then entries that choose it get an error at once and choose
-        another; after it they do not choose it any more.
+        Entries may choose it until its lease and 0.8 s are over. Until then
+        they get an error at once and choose another upstream.
         """
         self.sidecars[0].node.stop()
         self.cluster.network.cut_off = {"sidecar-0/1"}
-        last = self.last_work("sidecar-0", 10.0)
+        last = self.last_choice("sidecar-0", 10.0)
         self.assertTrue(last <= lease.MEMBER_LEASE + 0.8, last)
         self.assertEqual(11, len(self.names(self.entries[0], "ready")))
 
     def test_drained_failure_domain_gets_no_new_work(self) -> None:
-        """The operator drains a failure domain, then ends it."""
+        """An operator drains a failure domain, then ends the drain."""
         leader = self.cluster.control[0]
         drain = operator_messages.DrainScope(
             "failure_domain", "hall-a", True, "anna", "test"
         )
         leader.ask(drain)
-        self.assertTrue(self.last_work("sidecar-1", 5.0) <= 0.7)
+        self.assertTrue(self.last_choice("sidecar-1", 5.0) <= 0.7)
         self.assertEqual(12, len(self.names(self.entries[0], "draining")))
         node = self.sidecars[1].node
         self.assertTrue(node.draining("sidecar-1", "hall-a"))
         leader.ask(drain._replace(drain=False))
-        self.timers.advance(HEARD)
+        self.timers.advance(PROPAGATION)
         self.assertEqual(12, len(self.names(self.entries[0], "ready")))
 
-    def test_failover_hides_no_upstream(self) -> None:
-        """The config leader is lost; the new one has heard of few upstreams.
+    def test_failover_of_the_config_leader_drops_no_upstream(self) -> None:
+        """The config leader is lost; its successor knows few upstreams yet.
 
-        Callers see nothing: no entry drops an upstream meanwhile.
+        No entry may drop an upstream because of that.
         """
         self.cluster.network.cut_off = {"control-0"}
         self.cluster.log.lag = {"control-0"}
@@ -135,10 +142,10 @@
             for entry in self.entries:
                 self.assertEqual(12, len(self.names(entry, "ready")))
 
-    def test_restart_of_a_sidecar_is_no_duplicate(self) -> None:
+    def test_restarted_sidecar_is_not_reported_as_duplicate(self) -> None:
         self.sidecars[0].node.stop()
         Sidecar(self.cluster, "sidecar-0", 2)
-        self.timers.advance(HEARD)
+        self.timers.advance(PROPAGATION)
         held = {
             item.sidecar.epoch
             for entry in self.entries
@@ -150,11 +157,11 @@
         view = self.view("sidecar-0")
         self.assertEqual(([], 2), (view.duplicates, view.starts))
 
-    def test_two_processes_with_one_name_are_told_apart(self) -> None:
+    def test_second_process_with_the_same_name_is_detected(self) -> None:
         """A second process starts with the name of a live sidecar.
 
-        Entries send to the newer one only. The older one learns that it is
-        a duplicate, and operators see both in the list.
+        Entries must use the newer one only, the older one must learn that it
+        is a duplicate, and operators must see both.
         """
         Sidecar(self.cluster, "sidecar-0", 2)
         self.timers.advance(10.0)
@@ -167,8 +174,8 @@
         for entry in self.entries:
             self.assertEqual(12, len(entry.members("chat")))
 
-    def test_duplicate_at_one_control_instance_is_told_apart(self) -> None:
-        """Both processes announce themselves to the leader itself."""
+    def test_duplicate_at_the_same_control_instance_is_detected(self) -> None:
+        """Both processes announce themselves directly to the leader."""
         self.cluster = config_links.Cluster(1)
         self.timers = self.cluster.timers
         older = Sidecar(self.cluster, "twin", 1)
@@ -181,13 +188,14 @@
             [identities.Incarnation("twin", 1)], answer.upstreams[0].duplicates
         )
 
-    def test_upstream_missing_from_a_first_list_is_kept_for_a_while(
+    def test_upstream_missing_from_a_full_list_is_kept_for_a_lease(
         self,
     ) -> None:
-        """All control instances restarted; the first list is incomplete.
+        """All control instances restarted, so their first list is incomplete.
 
-        The entry keeps what it knew for 4 s, so that sidecars can announce
-        themselves again; it does not refuse calls for want of an upstream.
+        The entry must keep the upstreams for 4 s, until their sidecars have
+        announced themselves again. Otherwise it would refuse calls for lack of
+        upstreams.
         """
         entry = self.entries[0]
         entry.stream.stop()
@@ -205,15 +213,15 @@
             if item.announcement.sidecar.instance == name
         )
 
-    def test_storm_of_registrations_reaches_a_node_as_few_messages(
+    def test_simultaneous_announcements_are_sent_in_few_messages(
         self,
     ) -> None:
-        """Sixty sidecars announce themselves in the same moment."""
+        """Sixty sidecars announce themselves at the same time."""
         entry = self.entries[0]
         entry.stream.received.clear()
         for number in range(60):
             Sidecar(self.cluster, f"new-{number}")
-        self.timers.advance(HEARD)
+        self.timers.advance(PROPAGATION)
         updates = [
             message
             for message in entry.stream.received
@@ -234,8 +242,12 @@
         table.announce(item, 0.0)
         return item
 
-    def test_older_counter_does_not_undo_a_newer_one(self) -> None:
-        """A sidecar moved; the old relay's copy arrives after the new one."""
+    def test_announcement_with_a_lower_counter_is_ignored(self) -> None:
+        """A sidecar moved to another control instance.
+
+        The announcement relayed by the former one arrives after the newer
+        one.
+        """
         table = members.Table()
         self.announce(table, "a", 5, "draining")
         old = table.view["a"]._replace(counter=4, state="ready")
@@ -244,14 +256,14 @@
         )
         self.assertEqual("draining", table.view["a"].state)
 
-    def test_renewal_alone_is_no_change(self) -> None:
+    def test_renewal_without_a_change_keeps_the_version(self) -> None:
         table = members.Table()
         self.announce(table, "a", 1, "ready")
         version = table.version
         self.announce(table, "a", 2, "ready")
         self.assertEqual(version, table.version)
 
-    def test_delta_names_changes_and_removals_since_a_version(self) -> None:
+    def test_delta_has_changes_and_removals_since_a_version(self) -> None:
         table = members.Table()
         self.announce(table, "a", 1, "ready")
         self.announce(table, "b", 1, "ready")
@@ -264,7 +276,7 @@
             ["a", "b"], sorted(gone.instance for gone in update.gone)
         )
 
-    def test_removal_of_an_old_life_spares_the_new_one(self) -> None:
+    def test_removal_of_an_old_incarnation_keeps_the_new_one(self) -> None:
         cluster = config_links.Cluster(1)
         node = cluster.node("entry-1")
         table = members.Table()
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders are carried out once, and never after a newer one."""
+"""A sidecar carries out each order once, and never after a newer one."""
 
 from collections.abc import Callable
 
@@ -14,8 +14,8 @@
 NODE = identities.Incarnation("sidecar-1", 7)
 
 
-class IgnorantEngine:
-    """An engine that carries out whatever comes, old numbers too."""
+class UnfencedEngine:
+    """An engine that ignores fencing tokens and carries out every order."""
 
     def __init__(self) -> None:
         self.model = "old"
@@ -25,11 +25,11 @@
         self.during: Callable[[], None] = lambda: None
 
     def hold_work(self, held: bool) -> None:
-        """Notes what new work was told."""
+        """Records whether new work is held."""
         self.held.append(held)
 
     def is_busy(self) -> bool:
-        """Lets one call end at each look."""
+        """Returns whether calls are running; each check ends one of them."""
         self.calls -= 1
         return self.calls >= 0
 
@@ -41,7 +41,7 @@
 
 
 class Replies:
-    """An exchange that keeps what was sent."""
+    """An exchange that records what was sent."""
 
     peer = "control"
 
@@ -49,7 +49,7 @@
         self.sent: list[identities.Done] = []
 
     def send(self, message: identities.Done) -> None:
-        """Keeps the reply."""
+        """Records a reply."""
         self.sent.append(message)
 
 
@@ -60,7 +60,7 @@
 class ReceiverTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.engine = IgnorantEngine()
+        self.engine = UnfencedEngine()
         self.committed = 0
         self.receiver = self.start()
 
@@ -74,21 +74,21 @@
         self.receiver.handle(replies, order(number, model))
         self.assertEqual([identities.Done(model)], replies.sent)
 
-    def test_orders_of_two_leaders_crossing_end_in_the_newer(self) -> None:
-        """A replaced leader's order arrives after its successor's.
+    def test_order_of_a_replaced_leader_is_refused(self) -> None:
+        """The order of a replaced leader arrives after its successor's.
 
-        The engine ignores numbers. The operator, who pushed v2 last, would
-        find v1 in force; the sidecar drops order 5 instead.
+        As the engine ignores fencing tokens, it would load v1 although v2 was
+        pushed last.
         """
         self.give(6, "v2")
         self.assertRaises(errors.FencedOff, self.give, 5, "v1")
         self.assertEqual("v2", self.engine.model)
 
-    def test_old_order_is_dropped_after_a_restart_of_the_sidecar(self) -> None:
-        """The sidecar forgets its numbers, then the old order arrives.
+    def test_old_order_is_refused_after_a_restart_of_the_sidecar(self) -> None:
+        """The sidecar loses the highest token, then an old order arrives.
 
-        It first reads the highest committed number, 6, so order 5 of the
-        replaced leader does not undo what order 6 did.
+        It must read the highest committed token, 6, first. Otherwise order 5
+        of a replaced leader would undo order 6.
         """
         self.give(6, "v2")
         self.committed = 6
@@ -96,8 +96,8 @@
         self.assertRaises(errors.FencedOff, self.give, 5, "v1")
         self.assertEqual("v2", self.engine.model)
 
-    def test_no_order_passes_while_the_number_cannot_be_read(self) -> None:
-        """Control is cut off when the first order arrives."""
+    def test_no_order_passes_while_the_token_cannot_be_read(self) -> None:
+        """Control is unreachable when the first order arrives."""
 
         def cut_off() -> int:
             raise errors.ControlUnavailable("No leader.")
@@ -107,22 +107,22 @@
         self.assertEqual([], self.engine.taken)
 
     def test_repeated_order_is_carried_out_once(self) -> None:
-        """The leader loses the answer and sends the order again."""
+        """The leader didn't get the answer and sends the order again."""
         self.give(3, "v1")
         self.give(3, "v1")
         self.assertEqual([3], self.engine.taken)
 
-    def test_order_waits_for_calls_under_way_and_lets_none_in(self) -> None:
+    def test_order_waits_for_running_calls_and_holds_new_ones(self) -> None:
         self.engine.calls = 3
         self.give(3, "v1")
         self.assertEqual([True, False], self.engine.held)
         self.assertEqual([3], self.engine.taken)
 
-    def test_order_that_waited_is_dropped_for_a_newer_one(self) -> None:
-        """Order 4 waits for calls to end while order 5 comes in.
+    def test_waiting_order_is_dropped_when_a_newer_one_arrives(self) -> None:
+        """Order 5 arrives while order 4 waits for running calls to end.
 
-        Carried out in the order of arrival, 4 would load a version that the
-        manifest no longer wants, for minutes.
+        Order 4 would load a version for minutes that the manifest no longer
+        asks for.
         """
         busy = self.engine.is_busy
 
@@ -153,11 +153,11 @@
 
 
 class GateTest(testtools.TestCase):
-    def test_learned_number_itself_may_still_pass(self) -> None:
+    def test_order_with_the_learned_token_is_admitted(self) -> None:
         gate = fencing.Gate()
         gate.learn(4)
         self.assertTrue(gate.admit(4))
         self.assertRaises(errors.FencedOff, gate.admit, 3)
 
-    def test_unlearned_gate_lets_nothing_pass(self) -> None:
+    def test_gate_admits_nothing_before_it_learned_a_token(self) -> None:
         self.assertRaises(errors.FencedOff, fencing.Gate().admit, 1)
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts keep a floor, go by failure domain, return and resume."""
+"""Rollouts: floor, order of failure domains, rollback and failover."""
 
 from typing import Any
 
@@ -25,12 +25,15 @@
 
 
 class Fleet:
-    """Engines that take orders; the streams of the planners.
+    """Engines that carry out orders; stands in for the leaders' streams.
 
     Attributes:
-        taken: Every delivered order, repeats included.
+        taken: Every delivered order, including repeated ones.
         broken: Models that no engine can load.
         lost: Instances whose answers are lost.
+        done: Fencing tokens of the orders that were carried out.
+        least_ready: Fewest engines that were ready at a time.
+        begun: Start of the first load, by failure domain.
     """
 
     def __init__(self, clock: timers.VirtualTimers, size: int) -> None:
@@ -49,7 +52,7 @@
     def ask(
         self, address: str, order: config_messages.Order, timeout: float
     ) -> Any:
-        """Carries an order out once; loading takes time."""
+        """Carries out an order once; loading takes LOAD_SECONDS."""
         name = order.sidecar.instance
         self.taken.append(order)
         if order.model in self.broken:
@@ -67,7 +70,7 @@
         return identities.Done()
 
     def ready(self) -> int:
-        """Counts the engines that serve."""
+        """Returns the number of ready engines."""
         return list(self.state.values()).count("ready")
 
     def announce(self, members: membership.Membership) -> None:
@@ -101,7 +104,7 @@
 
 
 class Leader:
-    """A control instance as the planner sees it."""
+    """A control instance, as far as the planner needs it."""
 
     def __init__(
         self, cluster: fake_log.Cluster, fleet: Fleet, name: str
@@ -119,7 +122,7 @@
         self.planner.start()
 
     def date(self) -> float:
-        """The wall clock of a play is not stepped."""
+        """Returns the wall clock, which isn't stepped here."""
         return self.timers.wall()
 
     def propose(self, command: Any) -> Any:
@@ -127,13 +130,13 @@
         return self.log.propose(machine.GROUP, commands.encode(command), 1.0)
 
     def leads(self) -> bool:
-        """Tells whether it holds the office."""
+        """Returns whether it leads in the present epoch."""
         return self.log.leads(machine.GROUP) and (
             self.machine.leader_epoch.number == self.leader_epoch
         )
 
     def start_leader_epoch(self) -> None:
-        """Leads from now on."""
+        """Becomes the leader."""
         self.log.cluster.elect(self.log.address)
         command = commands.StartLeaderEpoch(
             self.log.address, self.timers.wall()
@@ -191,7 +194,7 @@
         self.assertEqual([], self.fleet.taken)
         self.assertEqual(rollouts.DONE, self.state())
 
-    def test_rollout_goes_by_failure_domain_and_keeps_the_floor(self) -> None:
+    def test_rollout_goes_domain_by_domain_and_keeps_the_floor(self) -> None:
         self.push("2")
         self.timers.advance(120.0)
         self.assertEqual(rollouts.DONE, self.state())
@@ -208,18 +211,20 @@
             between = begun[DOMAINS[number]] - begun[DOMAINS[number - 1]]
             self.assertTrue(between >= LOAD_SECONDS + PAUSE, between)
 
-    def test_floor_of_all_upstreams_stalls_but_cuts_nothing(self) -> None:
-        """The manifest asks for a floor as high as there are upstreams."""
+    def test_rollout_with_a_floor_of_all_upstreams_sends_no_order(
+        self,
+    ) -> None:
+        """No upstream may stop being ready, so the rollout can't proceed."""
         self.push("2", floor=6)
         self.timers.advance(60.0)
         self.assertEqual([], self.fleet.taken)
         self.assertEqual(6, self.fleet.ready())
 
-    def test_failing_version_returns_by_itself(self) -> None:
-        """Version 2 cannot be loaded by the first domain's engines.
+    def test_version_that_fails_to_load_is_rolled_back(self) -> None:
+        """The engines can't load version 2.
 
-        Callers see the service go on with version 1: the rollout stops in
-        the first failure domain and the operator reads why.
+        The rollout must stop in the first failure domain, so that the service
+        goes on with version 1, and the reason must name the failure.
         """
         self.fleet.broken.add("m@2")
         self.push("2")
@@ -231,8 +236,8 @@
         reason = self.leader.machine.ledger.rollouts["chat"].reason
         self.assertIn("failed to load m@2", reason)
 
-    def test_version_that_crashes_later_is_taken_back(self) -> None:
-        """Version 2 loads, and its first engine goes down soon after."""
+    def test_version_that_goes_down_after_loading_is_rolled_back(self) -> None:
+        """The first engine with version 2 goes down soon after loading it."""
         self.push("2")
         while "m@2" not in self.fleet.models.values():
             self.timers.advance(1.0)
@@ -248,11 +253,11 @@
         self.assertEqual(rollouts.ROLLED_BACK, self.state())
         self.assertEqual({"m@1"}, set(self.fleet.models.values()))
 
-    def test_leader_lost_halfway_gives_no_order_twice(self) -> None:
-        """The leader dies in the middle, with orders under way.
+    def test_new_leader_resumes_orders_with_the_same_tokens(self) -> None:
+        """The leader fails while orders are being carried out.
 
-        Its successor finds them committed, sends them under the same
-        numbers, and goes on; no engine loads version 2 twice.
+        Its successor must find them committed and send them again with the
+        same tokens, so that no engine loads version 2 twice.
         """
         self.push("2")
         self.fleet.lost = {"engine-0", "engine-3"}
@@ -272,8 +277,8 @@
         self.assertEqual([1] * 6, [len(item) for item in numbers.values()])
         self.assertEqual(4, self.fleet.least_ready)
 
-    def test_command_of_a_replaced_leader_is_void(self) -> None:
-        """A leader that was cut off proposes under its old office."""
+    def test_command_of_an_earlier_leader_epoch_is_rejected(self) -> None:
+        """A replaced leader that was cut off proposes in its old epoch."""
         old = self.leader.leader_epoch
         self.leaders[1].start_leader_epoch()
         stale = commands.PlanOrder(
@@ -281,12 +286,12 @@
         )
         self.assertRaises(errors.NotLeader, self.leaders[1].propose, stale)
 
-    def test_permits_go_on_across_a_failover_without_a_burst(self) -> None:
-        """Two loads at once and then one a second are allowed.
+    def test_failover_does_not_refill_the_load_permits(self) -> None:
+        """Two loads at once and then one per second are allowed.
 
-        The leader is lost when the burst is used up. Its successor goes on
-        with the level of the bucket; with a fresh bucket it would start two
-        more loads at once, and the weight store would throttle them all.
+        The leader is lost when the burst is used up. If its successor began
+        with a full bucket, it would start two more loads at once and the
+        weight store would throttle all of them.
         """
         self.fleet.domains = ("hall-a",)
         self.push("2", floor=0)
@@ -306,7 +311,9 @@
 
 
 class PlanTest(testtools.TestCase):
-    def test_spare_upstreams_are_unloaded_once_replicas_are_ready(self) -> None:
+    def test_surplus_upstream_is_unloaded_once_replicas_are_ready(
+        self,
+    ) -> None:
         held = rollouts.Rollout("s", "m", "", rollouts.DONE, "", 0, 0.0)
         upstreams = [
             plan.Upstream(f"e{n}", 1, "d", "ready", "m", False, None)
