--- a/testing/test_config_history.py
+++ b/testing/test_config_history.py
@@ -1,4 +1,4 @@
-"""Random histories of pushes and faults, checked against what must hold."""
+"""Random histories of pushes and faults, checked against invariants."""
 
 import random
 
@@ -12,20 +12,24 @@
 
 SEEDS = 25
 STEPS = 60
-# Within which a key that was taken away must have stopped working, from the
-# acceptance of the push on.
+# Seconds after the accepted push within which a removed customer key must stop
+# working everywhere.
 KEY_BOUND = 6.0
 KEY_GRACE = KEY_BOUND - lease.MAX_LEASE
 
 
 class History:
-    """A cluster under random pushes, cuts, elections and restarts.
+    """A cluster under random pushes, partitions, elections and restarts.
 
     Attributes:
-        accepted_at: When each revision was accepted, by the test's clock.
-        outcome: Revision by push id, as operators were told.
-        highest: Highest revision that each node name ever applied.
-        faults: What did not hold.
+        key_grace: Seconds for which nodes accept keys after their lease.
+        chance: Source of all random choices.
+        accepted_at: Virtual time at which each revision was accepted.
+        outcome: Revision by push id, as answered to operators.
+        pushes: All pushes that were sent.
+        highest: Highest revision that was applied by each node name.
+        faults: Violated invariants.
+        live: The running nodes by name.
     """
 
     def __init__(self, seed: int, key_grace: float = KEY_GRACE) -> None:
@@ -44,13 +48,13 @@
         self.timers.every(config_links.STEP, self.check)
 
     def node(self, name: str, epoch: int = 1) -> follower.Follower:
-        """Starts a node that takes keys for a while after its lease."""
+        """Starts a node that accepts keys for `key_grace` after its lease."""
         node = self.cluster.node(name, epoch)
         node.times = node.times._replace(key_grace=self.key_grace)
         return node
 
     def note_revisions(self) -> None:
-        """Notes new revisions with the present time."""
+        """Records the present time for new revisions."""
         newest = max(
             service.machine.document.revision
             for service in self.cluster.control
@@ -59,7 +63,7 @@
             self.accepted_at.setdefault(revision, self.timers.now())
 
     def run(self) -> None:
-        """Takes random steps, then heals everything and waits."""
+        """Runs random steps, then heals all faults and waits."""
         steps = (
             self.push,
             self.push,
@@ -78,7 +82,7 @@
         self.timers.advance(15.0)
 
     def push(self) -> None:
-        """An operator pushes over the revision in force, or an older one."""
+        """Pushes a manifest based on the revision in force, or one earlier."""
         newest = max(self.accepted_at, default=0)
         expected = max(0, newest - self.chance.choice((0, 0, 1)))
         number = len(self.pushes)
@@ -93,7 +97,7 @@
         self.send(request)
 
     def resend(self) -> None:
-        """An operator who may have lost the answer sends again."""
+        """Sends a former push again, as after a lost answer."""
         if self.pushes:
             self.send(self.chance.choice(self.pushes))
 
@@ -104,22 +108,26 @@
             answer = service.ask(request)
         except errors.RevisionConflict:
             if request.push_id in self.outcome:
-                self.faults.append(f"{request.push_id} lost after it won")
+                self.faults.append(
+                    f"{request.push_id} was refused after it was accepted"
+                )
             return
         except errors.MintcleatError:
             return
         known = self.outcome.setdefault(request.push_id, answer.revision)
         if known != answer.revision:
-            self.faults.append(f"{request.push_id} got two revisions")
+            self.faults.append(f"{request.push_id} has two revisions")
         if answer.revision != request.expected + 1:
-            self.faults.append(f"{request.push_id} won a foreign revision")
+            self.faults.append(
+                f"{request.push_id} was accepted as an unexpected revision"
+            )
 
     def lose_answer(self) -> None:
-        """The next commit happens, and its proposer does not hear of it."""
+        """Loses the answer to the next proposal, which is committed."""
         self.cluster.log.lose_next = 1
 
     def cut(self) -> None:
-        """Cuts a control instance off, with or without some nodes."""
+        """Partitions off a control instance, possibly with some nodes."""
         name = self.chance.choice(self.cluster.control).address
         cut_off = {name}
         for node in self.live.values():
@@ -131,12 +139,12 @@
             self.elect()
 
     def heal(self) -> None:
-        """Joins everything again."""
+        """Ends all partitions and lags."""
         self.cluster.network.cut_off = set()
         self.cluster.log.heal()
 
     def elect(self) -> None:
-        """Moves the lead to an instance that is not cut off."""
+        """Elects an instance that isn't partitioned off."""
         able = [
             service.address
             for service in self.cluster.control
@@ -145,7 +153,7 @@
         self.cluster.log.elect(self.chance.choice(able))
 
     def restart(self) -> None:
-        """Restarts a node, which forgets its revision."""
+        """Restarts a node, which loses its revision."""
         name = self.chance.choice(sorted(self.live))
         old = self.live[name]
         old.stop()
@@ -156,12 +164,12 @@
             self.cluster.network.cut_off.add(self.live[name].own_address)
 
     def check(self) -> None:
-        """Checks every node at one moment."""
+        """Checks the invariants of all nodes now."""
         now = self.timers.now()
         for name, node in self.live.items():
             revision = node.revision()
             if revision and revision < self.highest.get(name, 0):
-                self.faults.append(f"{name} went back to {revision}")
+                self.faults.append(f"{name} went back to revision {revision}")
             self.highest[name] = max(revision, self.highest.get(name, 0))
             newer = self.accepted_at.get(revision + 1)
             if not revision or newer is None:
@@ -171,7 +179,10 @@
                 continue
             if now > newer + lease.MAX_LEASE + config_links.STEP:
                 late = now - newer
-                self.faults.append(f"{name} acts on {revision}, {late} s late")
+                self.faults.append(
+                    f"{name} acts on revision {revision} {late} s after the "
+                    "next one was accepted"
+                )
 
     def check_keys(
         self, name: str, node: follower.Follower, newer: float
@@ -179,22 +190,23 @@
         """Checks a node that lacks the revision accepted at `newer`."""
         late = self.timers.now() - newer
         if node.key_seconds() > 0 and late > KEY_BOUND + config_links.STEP:
-            self.faults.append(f"{name} takes an old key {late} s late")
+            self.faults.append(f"{name} accepts an old key after {late} s")
         if node.known_until() > newer:
-            self.faults.append(f"{name} would call a key of then unknown")
+            self.faults.append(f"{name} would reject a new key as unknown")
 
 
 class HistoryTest(testtools.TestCase):
     def test_accepted_manifest_is_in_force_in_time_and_never_reverts(
         self,
     ) -> None:
-        """Operators race and resend; instances are cut off; nodes restart.
-
-        At each moment: no node acts on a revision that was replaced more
-        than 4 s ago, none goes back, also over a restart; no node takes a key
-        that was taken away 6 s ago, or is sure that a key is unknown which it
-        has not heard of; and each push has one outcome, whoever is asked. In
-        the end all nodes have the newest.
+        """Operators race and resend; instances are partitioned; nodes restart.
+
+        At any time, no node acts on a revision that was replaced more than
+        4 s ago or goes back to an earlier one, not even in a restart. No node
+        accepts a key that was removed more than 6 s ago, or considers a key
+        unknown while it may have missed the push that added it. Each push has
+        one outcome, whichever instance is asked. In the end all nodes have
+        the newest revision.
         """
         accepted = 0
         for seed in range(SEEDS):
@@ -207,14 +219,14 @@
             for node in history.live.values():
                 self.assertTrue(node.in_lease(), f"seed {seed}")
             accepted += newest
-        # The walk must not have been idle.
+        # Too few accepted pushes would make the test meaningless.
         self.assertTrue(accepted > SEEDS * 3, accepted)
 
-    def test_keys_that_outlive_the_bound_are_found(self) -> None:
-        """The same walk, with nodes that take keys for a second too long."""
+    def test_checker_finds_keys_that_are_accepted_for_too_long(self) -> None:
+        """The same histories with a grace that is 1 s too long."""
         found = []
         for seed in range(SEEDS):
             history = History(seed, KEY_GRACE + 1.0)
             history.run()
             found.extend(history.faults)
-        self.assertTrue(any("takes an old key" in fault for fault in found))
+        self.assertTrue(any("accepts an old key" in fault for fault in found))
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -1,4 +1,4 @@
-"""Lives of upstreams that register themselves."""
+"""Incarnations of upstreams that register themselves."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 from mintcleat.roles.control.configuration import registrar
 
 
-def life(
+def registration(
     started: int,
     sequence: int = 1,
     state: str = "ready",
@@ -30,7 +30,7 @@
 
 
 class SteppedTimers(timers.VirtualTimers):
-    """Virtual time whose wall clock jumps."""
+    """Virtual time with a wall clock that can be stepped."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,7 +41,7 @@
 
 
 class Leader:
-    """What the registrar needs, with commits that take no time."""
+    """A config leader for the registrar, which commits at once."""
 
     def __init__(self, state: machine.ConfigMachine) -> None:
         self.machine = state
@@ -68,122 +68,130 @@
     def change_leader(self) -> None:
         state = machine.ConfigMachine()
         state.restore(self.leader.machine.snapshot())
-        held = self.leader
+        old = self.leader
         self.leader = Leader(state)
-        self.leader.index = held.index
+        self.leader.index = old.index
         self.registrar = registrar.Registrar(self.leader)
         self.registrar.take_lead()
         self.directory = state.directory
 
 
-class SecondLifeTest(LeaderTest):
-    """An engine crashes and starts again under its id, its count anew.
+class RestartTest(LeaderTest):
+    """An engine restarts under the same id and counts from 1 again.
 
-    Where only the id and the count tell, its heartbeats pass for late ones
-    until the count has caught up, and for ten minutes if the life before had
-    left; callers wait for an engine that is there.
+    If only the id and the sequence number were compared, its registrations
+    would be ignored as late ones until the number had caught up. Callers would
+    wait although the engine is ready.
     """
 
-    def test_new_life_is_in_force_at_once(self) -> None:
-        self.registrar.register(life(100, 900))
-        self.registrar.register(life(200, 1))
+    def test_new_incarnation_is_in_force_at_once(self) -> None:
+        self.registrar.register(registration(100, 900))
+        self.registrar.register(registration(200, 1))
         self.assertEqual(200, self.directory.entries["e1"].started)
 
-    def test_new_life_is_in_force_after_the_one_before_left(self) -> None:
-        self.registrar.register(life(100, 900))
+    def test_new_incarnation_is_in_force_after_the_last_one_left(self) -> None:
+        self.registrar.register(registration(100, 900))
         self.registrar.leave("e1", 0)
-        self.registrar.register(life(200, 1))
+        self.registrar.register(registration(200, 1))
         self.assertEqual(200, self.directory.entries["e1"].started)
 
-    def test_late_words_of_the_former_life_change_nothing(self) -> None:
+    def test_late_messages_of_an_old_incarnation_are_ignored(self) -> None:
         for change in (lambda: None, self.change_leader):
-            self.registrar.register(life(100, 10))
-            self.registrar.register(life(200, 1))
+            self.registrar.register(registration(100, 10))
+            self.registrar.register(registration(200, 1))
             change()
             before = self.directory.version
-            self.registrar.register(life(100, 9_000, "draining"))
+            self.registrar.register(registration(100, 9_000, "draining"))
             self.registrar.leave("e1", 100)
             self.assertEqual(before, self.directory.version)
             self.assertEqual("ready", self.directory.entries["e1"].state)
 
-    def test_life_that_left_stays_left(self) -> None:
-        self.registrar.register(life(200, 1))
+    def test_incarnation_that_left_cannot_register_again(self) -> None:
+        self.registrar.register(registration(200, 1))
         self.registrar.leave("e1", 200)
         for change in (lambda: None, self.change_leader):
             change()
-            self.registrar.register(life(200, 50))
-            self.registrar.register(life(100, 50))
-            self.registrar.register(life(0, 50))
+            self.registrar.register(registration(200, 50))
+            self.registrar.register(registration(100, 50))
+            self.registrar.register(registration(0, 50))
             self.assertEqual({}, self.directory.entries)
 
-    def test_leaving_before_any_registration_counts(self) -> None:
+    def test_leave_before_any_registration_counts(self) -> None:
         self.registrar.leave("e1", 100)
-        self.registrar.register(life(100, 1))
+        self.registrar.register(registration(100, 1))
         self.assertEqual({}, self.directory.entries)
 
-    def test_leaving_that_names_no_life_ends_the_registered_one(self) -> None:
-        self.registrar.register(life(100, 1))
+    def test_leave_without_a_start_ends_the_registered_incarnation(
+        self,
+    ) -> None:
+        self.registrar.register(registration(100, 1))
         self.registrar.leave("e1", 0)
         self.assertEqual({}, self.directory.entries)
 
-    def test_lives_without_a_start_are_ordered_by_their_count(self) -> None:
-        self.registrar.register(life(0, 7, "draining"))
-        self.registrar.register(life(0, 6))
+    def test_registrations_without_a_start_are_ordered_by_sequence(
+        self,
+    ) -> None:
+        self.registrar.register(registration(0, 7, "draining"))
+        self.registrar.register(registration(0, 6))
         self.assertEqual("draining", self.directory.entries["e1"].state)
         self.registrar.leave("e1", 0)
-        self.registrar.register(life(0, 8))
+        self.registrar.register(registration(0, 8))
         self.assertEqual({}, self.directory.entries)
 
-    def test_silent_life_is_taken_out_but_not_the_one_after_it(self) -> None:
-        self.registrar.register(life(100, 1))
+    def test_expiry_of_an_incarnation_spares_the_next_one(self) -> None:
+        self.registrar.register(registration(100, 1))
         self.leader.timers.advance(registrar.SILENCE + 0.1)
         self.registrar.tick()
-        self.registrar.register(life(200, 1))
+        self.registrar.register(registration(200, 1))
         self.leader.timers.advance(0.1)
         self.assertEqual(200, self.directory.entries["e1"].started)
         self.assertIn("e1", self.registrar.heard)
 
-    def test_nothing_depends_on_our_wall_clock(self) -> None:
-        """The time of day jumps by an hour, forward and back again.
+    def test_ended_incarnation_is_remembered_across_clock_steps(self) -> None:
+        """The leader's wall clock is stepped by an hour, forward and back.
 
-        Remembered by our time of day, a life that left would be forgotten
-        with the first jump, and its late heartbeat would revive it.
+        If ended incarnations expired by that clock, the first step would drop
+        them, and a late registration would be accepted.
         """
-        self.registrar.register(life(0, 1))
+        self.registrar.register(registration(0, 1))
         self.registrar.leave("e1", 0)
         for step in (3600.0, -3600.0, 0.0):
             self.leader.timers.step = step
-            self.registrar.register(life(0, 2))
+            self.registrar.register(registration(0, 2))
             self.registrar.leave(f"other{step}", 0)
             self.assertEqual({}, self.directory.entries)
 
 
 class AddressTest(LeaderTest):
-    def test_address_taken_over_ends_the_life_there(self) -> None:
-        self.registrar.register(life(100, upstream="e1"))
-        self.registrar.register(life(200, upstream="e9", service="other"))
+    def test_later_upstream_at_an_address_ends_the_earlier_one(self) -> None:
+        self.registrar.register(registration(100, upstream="e1"))
+        self.registrar.register(
+            registration(200, upstream="e9", service="other")
+        )
         self.assertEqual(["e9"], list(self.directory.entries))
-        self.registrar.register(life(100, 50, upstream="e1"))
+        self.registrar.register(registration(100, 50, upstream="e1"))
         self.assertEqual(["e9"], list(self.directory.entries))
 
-    def test_former_id_may_come_back_elsewhere(self) -> None:
-        self.registrar.register(life(100, upstream="e1"))
-        self.registrar.register(life(200, upstream="e9", service="other"))
-        self.registrar.register(life(300, upstream="e1", address="10.0.0.2:80"))
+    def test_replaced_upstream_may_return_at_another_address(self) -> None:
+        self.registrar.register(registration(100, upstream="e1"))
+        self.registrar.register(
+            registration(200, upstream="e9", service="other")
+        )
+        self.registrar.register(
+            registration(300, upstream="e1", address="10.0.0.2:80")
+        )
         self.assertEqual({"e1", "e9"}, set(self.directory.entries))
 
-    def test_late_word_of_an_earlier_life_does_not_take_the_address_back(
-        self,
-    ) -> None:
-        """e1 fell silent and was taken out; e9 has its address by now.
+    def test_late_registration_does_not_take_the_address_back(self) -> None:
+        """e1 was silent and was removed; e9 has its address by now.
 
-        A heartbeat of e1 that was held up behind a cut arrives. It would put
-        e9 out of use for good, and send e1's requests to e9.
+        A registration of e1 arrives that a network partition had delayed. If
+        it counted, it would remove e9 for good and route e1's requests to e9.
         """
-        self.registrar.register(life(100, upstream="e1"))
+        self.registrar.register(registration(100, upstream="e1"))
         self.directory.leave("e1", False)
-        self.registrar.register(life(200, upstream="e9"))
-        self.registrar.register(life(100, 5, upstream="e1"))
+        self.registrar.register(registration(200, upstream="e9"))
+        self.registrar.register(registration(100, 5, upstream="e1"))
         self.assertEqual(["e9"], list(self.directory.entries))
 
 
@@ -202,48 +210,48 @@
             )
         )  # fmt: skip
 
-    def test_service_that_the_manifest_lacks_evicts_nobody(self) -> None:
-        self.registrar.register(life(100))
+    def test_registration_for_an_unknown_service_removes_nobody(self) -> None:
+        self.registrar.register(registration(100))
         before = self.directory.version
         for name in ("e1", "e9"):
             self.assertRaises(
                 errors.UnknownService,
                 self.registrar.register,
-                life(200, upstream=name, service="forged"),
+                registration(200, upstream=name, service="forged"),
             )
         self.assertEqual(before, self.directory.version)
 
-    def test_upstream_of_a_service_taken_out_since_can_drain(self) -> None:
-        self.registrar.register(life(100))
+    def test_upstream_of_a_removed_service_can_still_drain(self) -> None:
+        self.registrar.register(registration(100))
         self.push(1, {}, ["services/desk"])
-        self.registrar.register(life(100, 2, "draining"))
+        self.registrar.register(registration(100, 2, "draining"))
         self.assertEqual("draining", self.directory.entries["e1"].state)
 
 
-class MemoryTest(testtools.TestCase):
-    def test_lives_remembered_as_over_are_bounded(self) -> None:
+class StateTest(testtools.TestCase):
+    def test_number_of_remembered_ends_is_bounded(self) -> None:
         held = directory.Directory()
         for number in range(directory.ENDED_KEPT + 10):
             held.leave(f"e{number}", True, 5)
         self.assertEqual(directory.ENDED_KEPT, len(held.ended))
         self.assertTrue(held.has_ended(f"e{number}", 5))
 
-    def test_state_of_a_release_without_starts_is_read(self) -> None:
+    def test_state_stored_without_starts_is_read(self) -> None:
         held = directory.Directory()
-        old = list(life(0))[:-1]
+        old = list(registration(0))[:-1]
         held.load([3, 0, [old], {"e1": 3}, {}, {"e0": 1_764_000_000.5}])
         self.assertEqual(0, held.entries["e1"].started)
         self.assertTrue(held.has_ended("e0", 0))
         self.assertFalse(held.has_ended("e0", 7))
 
 
-class LivesMachine(stateful.RuleBasedStateMachine):
-    """Words of several lives of two ids, in any order and more than once.
+class IncarnationsMachine(stateful.RuleBasedStateMachine):
+    """Messages of several incarnations of two ids, reordered and repeated.
 
-    Each word is delivered to the leader of the moment; leaders change, whose
-    successors restore a snapshot, wall clocks jump, and a node follows by
-    deltas. What is in force must be what the newest life said last, unless it
-    left, whatever order its words came in.
+    Each message goes to the present leader. Leaders are replaced by ones that
+    restore a snapshot, wall clocks are stepped, and a node follows by deltas.
+    Whatever the order of the messages, the registration in force must be the
+    latest one of the newest incarnation, unless that has left.
     """
 
     names = strategies.sampled_from(["a", "b"])
@@ -262,11 +270,13 @@
         name=names, started=starts, sequence=strategies.integers(0, 5)
     )
     def heartbeat(self, name: str, started: int, sequence: int) -> None:
-        # Within a life the state is a function of the count.
+        # Within an incarnation the sequence number determines the state.
         drains_from = 2 + started % 3
         state = "draining" if sequence >= drains_from else "ready"
         self.registrar.register(
-            life(started, sequence, state, name, f"10.0.0.{ord(name)}:80")
+            registration(
+                started, sequence, state, name, f"10.0.0.{ord(name)}:80"
+            )
         )
         if started <= self.left.get(name, 0):
             return
@@ -294,8 +304,8 @@
         self.leader.index = index
         self.registrar = registrar.Registrar(self.leader)
         self.registrar.take_lead()
-        # A successor knows the counts of changes alone: renewals are kept
-        # by the leader.
+        # A new leader knows the sequence numbers of changes only: renewals
+        # were known to the old leader alone.
         self.newest = {
             name: directory.recency_key(item)
             for name, item in state.directory.entries.items()
@@ -305,21 +315,21 @@
     def follow(self) -> None:
         source = self.leader.machine.directory
         self.node.apply_update(source.update_since(self.node.version))
-        assert self.lives(self.node) == self.lives(source)
+        assert self.incarnations(self.node) == self.incarnations(source)
 
-    def lives(self, held: directory.Directory) -> dict[str, tuple]:
+    def incarnations(self, held: directory.Directory) -> dict[str, tuple]:
         return {
             name: (item.started, item.state)
             for name, item in held.entries.items()
         }
 
     @stateful.invariant()
-    def newest_life_is_in_force(self) -> None:
+    def newest_incarnation_is_in_force(self) -> None:
         expected = {
             name: (started, self.state[name])
             for name, (started, _) in self.newest.items()
         }
-        assert self.lives(self.leader.machine.directory) == expected
+        assert self.incarnations(self.leader.machine.directory) == expected
 
 
-LivesTest = LivesMachine.TestCase
+IncarnationsTest = IncarnationsMachine.TestCase
--- a/testing/test_transfer.py
+++ b/testing/test_transfer.py
@@ -1,4 +1,4 @@
-"""Large configurations on their way to a node over a slow link."""
+"""Transfer of large configurations to a node over a slow link."""
 
 import json
 import random
@@ -22,14 +22,14 @@
 from mintcleat.roles import follower
 from mintcleat.roles.control.configuration import feed as config_feed
 
-# Bytes a second of a link of 15 Mbit/s.
-SLOW_LINK = 15e6 / 8
+# Bytes per second of a link of 15 Mbit/s.
+LINK_RATE = 15e6 / 8
 MOVE_AFTER = 0.6
 TIMES = lease.Times(1.2, 0.3, 0.15, MOVE_AFTER, 4.0)
 
 
 class Source:
-    """What an instance serves that leads."""
+    """A `feed.Source` of a leading control instance."""
 
     def __init__(
         self, clock: waiting_clock.Clock, served: document.Document
@@ -52,7 +52,7 @@
         return self.clock.now()
 
     def confirm(self) -> None:
-        """Is confirmed always."""
+        """Does nothing: the document is always confirmed."""
 
     def restrictions(self) -> config_messages.Restrictions:
         return config_messages.Restrictions(0, [], [], [])
@@ -62,9 +62,9 @@
 
 
 class Exchange:
-    """A stream to one instance, at the pace of the node's link.
+    """A stream to one control instance, at the rate of the node's link.
 
-    The instance dies once it has sent `until` bytes.
+    The instance dies once the link has carried `until` bytes.
     """
 
     def __init__(
@@ -88,27 +88,32 @@
         if size > self.link.until:
             self.link.until = float("inf")
             raise errors.StreamClosed("The instance died.")
-        if size / SLOW_LINK > timeout:
-            self.link.carried += timeout * SLOW_LINK
+        if size / LINK_RATE > timeout:
+            self.link.carried += timeout * LINK_RATE
             clock.sleep(timeout)
             raise errors.StreamTimeout("Nothing whole came.")
-        clock.sleep(size / SLOW_LINK)
+        clock.sleep(size / LINK_RATE)
         self.link.until -= size
         self.link.carried += size
         self.waiting.pop(0)
         if not self.waiting:
-            self.link.ended()
+            self.link.stop_if_ready()
         return message
 
     def send(self, message: Any) -> None:
-        """Takes nothing: reports go with `receive`."""
+        """Does nothing: `receive` reports what the node applied."""
 
     def close(self) -> None:
         self.closed = True
 
 
 class Link:
-    """A node's streams to three instances over its one slow link."""
+    """A node and its streams to control instances over one slow link.
+
+    Attributes:
+        until: Bytes after which the instance that sends dies.
+        carried: Bytes carried so far.
+    """
 
     def __init__(
         self, served: list[document.Document], until: float = float("inf")
@@ -136,7 +141,7 @@
     def open(self, address: str, first: Any) -> Exchange:
         return Exchange(self, self.feeds[address], first)
 
-    def ended(self) -> None:
+    def stop_if_ready(self) -> None:
         if self.node.revision() and self.node.in_lease():
             self.node.stream.stop()
 
@@ -147,7 +152,7 @@
 
 
 def routes(count: int, seed: int = 0) -> dict[str, str]:
-    """Returns sections of routes with names and hosts that hardly repeat."""
+    """Returns sections of routes whose names and hosts hardly repeat."""
     chance = random.Random(seed)
 
     def name() -> str:
@@ -179,7 +184,7 @@
 def configuration(
     sections: dict[str, str], version: int = 1
 ) -> document.Document:
-    """Returns a document after the push of a version of these sections."""
+    """Returns a document to which these sections were pushed."""
     found = document.Document()
     push(found, sections, version)
     return found
@@ -196,27 +201,27 @@
 
 
 class StartTest(testtools.TestCase):
-    """A started entry refuses every caller until it has a configuration.
+    """A started entry refuses all callers until it has a configuration.
 
-    Over 15 Mbit/s, 1,840 routes take longer than an entry waited for an
-    instance's first word. It gave each transfer up, began it anew at the next
-    instance, and had its configuration 2.7 s after its start; entries that
-    were restarted in turn refused all that came there meanwhile.
+    Over 15 Mbit/s, 1,840 routes as one message take longer than an entry
+    without a configuration waits for an instance. It would give up each
+    transfer and start over at the next instance, and be ready only 2.7 s after
+    its start. In a rolling restart, each entry would refuse callers for so long.
     """
 
-    def test_large_configuration_arrives_at_the_pace_of_the_link(self) -> None:
-        # 2.4 s and never when updates were single messages.
+    def test_large_configuration_arrives_at_the_rate_of_the_link(self) -> None:
+        # As single messages the first takes 2.4 s and the second never ends.
         for count, longest in ((1_840, 0.1), (10_000, 0.45)):
             served = configuration(routes(count))
             link = Link([served] * 3)
             self.assertThat(link.start(), matchers.LessThan(longest))
             self.assertEqual(count, len(link.node.manifest().routes))
 
-    def test_transfer_goes_on_at_another_instance(self) -> None:
+    def test_transfer_resumes_at_another_instance(self) -> None:
         """An instance dies when it has sent half of a configuration.
 
-        The others put their sections together in another order, as relays do
-        that heard of them one by one.
+        The others hold the sections in another order, as relays do that
+        received them one by one.
         """
         sections = routes(10_000)
         first = configuration(sections)
@@ -232,7 +237,7 @@
         )
         self.assertThat(took, matchers.LessThan(0.6))
 
-    def test_rest_of_another_revision_is_not_joined(self) -> None:
+    def test_parts_of_two_revisions_are_not_mixed(self) -> None:
         sections = routes(1_840)
         old = configuration(sections)
         new = configuration(sections)
@@ -249,7 +254,7 @@
 
 
 class ChangeTest(testtools.TestCase):
-    def test_changed_route_costs_bytes_by_its_own_size(self) -> None:
+    def test_change_of_one_route_is_sent_without_the_others(self) -> None:
         served = configuration(routes(10_000))
         link = Link([served])
         link.start()
@@ -265,12 +270,11 @@
 
 
 class UnreadableTest(testtools.TestCase):
-    def test_node_takes_no_lease_on_what_it_could_not_read(self) -> None:
-        """A newer release's section reaches an older node.
+    def test_node_takes_no_lease_on_an_update_it_cannot_read(self) -> None:
+        """A section written by a newer release reaches an older node.
 
-        The renewal that follows names the new revision. Taken for a change
-        that changes nothing, it would put the node into the new revision
-        with the routes of the old one.
+        The renewal that follows has the new revision and no sections. If the
+        node applied it, it would act on the new revision with the old routes.
         """
         served = configuration(routes(4))
         link = Link([served])
@@ -288,7 +292,7 @@
         self.assertEqual(before, link.node.lease.expires)
 
 
-class IncomingTest(testtools.TestCase):
+class ReassemblerTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         update = config_messages.ConfigUpdate(3, True, routes(600), 0.0, 0.0)
@@ -298,14 +302,14 @@
         )
         self.reassembler = transfer.Reassembler()
 
-    def test_update_is_whole_with_its_last_part(self) -> None:
+    def test_update_is_returned_with_its_last_part(self) -> None:
         taken = [self.reassembler.take(part) for part in self.parts]
         self.assertThat(len(taken), matchers.GreaterThan(1))
         self.assertEqual([None] * (len(taken) - 1), taken[:-1])
         self.assertEqual(self.update, taken[-1])
         self.assertEqual(transfer.NO_PROGRESS, self.reassembler.progress())
 
-    def test_missing_part_is_refused_and_drops_the_rest(self) -> None:
+    def test_missing_part_is_refused_and_drops_the_others(self) -> None:
         self.reassembler.take(self.parts[0])
         last = self.parts[-1]._replace(offset=self.parts[-1].offset + 1)
         self.assertRaises(errors.BadRequest, self.reassembler.take, last)
@@ -319,15 +323,15 @@
         self.assertRaises(errors.BadRequest, self.reassembler.take, bad)
 
     def test_part_without_bytes_is_refused(self) -> None:
-        # It would count as a sign of life for ever.
+        # Endless empty parts would keep the node from ever timing out.
         empty = self.parts[0]._replace(data=b"")
         self.assertRaises(errors.BadRequest, self.reassembler.take, empty)
 
-    def test_other_messages_pass_as_they_are(self) -> None:
+    def test_other_messages_are_returned_unchanged(self) -> None:
         ping = config_messages.Ping()
         self.assertIs(ping, self.reassembler.take(ping))
 
-    def test_directory_of_many_upstreams_travels_in_parts(self) -> None:
+    def test_directory_of_many_upstreams_is_sent_in_parts(self) -> None:
         items = [
             member_messages.Registration(
                 upstream=f"i-{n}",
