--- a/src/mintcleat/configuration/commands.py
+++ b/src/mintcleat/configuration/commands.py
@@ -56,6 +56,7 @@
 
     Attributes:
         version: Number that the operator gave to the manifest.
+        push_id: Id of the push, for the audit trail.
         sections: JSON text of every section of the manifest, by key.
         source: What the manifest was generated from, as its sender gave it.
     """
--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -19,6 +19,7 @@
 from mintcleat.configuration import rollouts
 from mintcleat.domain import errors
 
+# Name of the replicated group.
 GROUP = "config"
 # Version of the snapshot format that `snapshot` writes.
 FORMAT = 2
@@ -27,6 +28,7 @@
 # Draining in this scope moves all replicas off a control instance.
 CONTROL_SCOPE = "control"
 SCOPES = ("instance", "failure_domain", CONTROL_SCOPE)
+# Outcome of a successful action in the audit trail.
 ACCEPTED = "accepted"
 
 
@@ -34,7 +36,7 @@
     """A control instance that an operator added.
 
     Attributes:
-        address: Address of its stream listener, as `host:port`.
+        address: Address of its stream listener.
     """
 
     instance: str
--- a/testing/test_transfer.py
+++ b/testing/test_transfer.py
@@ -206,7 +206,7 @@
     Over 15 Mbit/s, 1,840 routes as one message take longer than an entry
     without a configuration waits for an instance. It would give up each
     transfer and start over at the next instance, and be ready only 2.7 s after
-    its start. In a rolling restart, each entry would refuse callers for so long.
+    its start. In a rolling restart, each entry would refuse callers that long.
     """
 
     def test_large_configuration_arrives_at_the_rate_of_the_link(self) -> None:
