--- a/src/mintcleat/configuration/quarantine.py
+++ b/src/mintcleat/configuration/quarantine.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 # Upstreams that a request must crash before it is quarantined. One crash may
-# have another cause, such as an upstream that was failing anyway.
+# have another cause, such as an upstream that was failing anyway; two don't.
 CRASHES_TO_QUARANTINE = 2
 # Bounds the list that is sent to every node; the oldest are dropped first.
 ENTRIES_KEPT = 1_000
--- a/src/mintcleat/configuration/rollouts.py
+++ b/src/mintcleat/configuration/rollouts.py
@@ -20,8 +20,8 @@
 # Other outcomes of an order; SENT means that there is none yet.
 FAILED = "failed"
 SENT = "sent"
-# Instances whose last order is kept. The highest fencing token of all that
-# were dropped stands in for their own, which it is never lower than.
+# Instances whose last order is kept. For the others, the highest fencing token
+# that was dropped is used, which is at least as high as their own.
 ORDERS_KEPT = 20_000
 
 
--- a/testing/test_config_history.py
+++ b/testing/test_config_history.py
@@ -23,7 +23,7 @@
 
     Attributes:
         key_grace: Seconds for which nodes accept keys after their lease.
-        chance: Source of all random choices.
+        rng: Source of all random choices.
         accepted_at: Virtual time at which each revision was accepted.
         outcome: Revision by push id, as answered to operators.
         pushes: All pushes that were sent.
@@ -34,7 +34,7 @@
 
     def __init__(self, seed: int, key_grace: float = KEY_GRACE) -> None:
         self.key_grace = key_grace
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.cluster = config_links.Cluster(3)
         self.timers = self.cluster.timers
         self.accepted_at: dict[int, float] = {}
@@ -76,15 +76,15 @@
             self.restart,
         )
         for _ in range(STEPS):
-            self.chance.choice(steps)()
-            self.timers.advance(self.chance.choice((0.05, 0.3, 1.0, 3.0)))
+            self.rng.choice(steps)()
+            self.timers.advance(self.rng.choice((0.05, 0.3, 1.0, 3.0)))
         self.heal()
         self.timers.advance(15.0)
 
     def push(self) -> None:
         """Pushes a manifest based on the revision in force, or one earlier."""
         newest = max(self.accepted_at, default=0)
-        expected = max(0, newest - self.chance.choice((0, 0, 1)))
+        expected = max(0, newest - self.rng.choice((0, 0, 1)))
         number = len(self.pushes)
         request = config_messages.PushManifest(
             expected,
@@ -99,11 +99,11 @@
     def resend(self) -> None:
         """Sends a former push again, as after a lost answer."""
         if self.pushes:
-            self.send(self.chance.choice(self.pushes))
+            self.send(self.rng.choice(self.pushes))
 
     def send(self, request: config_messages.PushManifest) -> None:
         """Sends through any control instance and checks the answer."""
-        service = self.chance.choice(self.cluster.control)
+        service = self.rng.choice(self.cluster.control)
         try:
             answer = service.ask(request)
         except errors.RevisionConflict:
@@ -128,10 +128,10 @@
 
     def cut(self) -> None:
         """Partitions off a control instance, possibly with some nodes."""
-        name = self.chance.choice(self.cluster.control).address
+        name = self.rng.choice(self.cluster.control).address
         cut_off = {name}
         for node in self.live.values():
-            if self.chance.random() < 0.3:
+            if self.rng.random() < 0.3:
                 cut_off.add(node.own_address)
         self.cluster.network.cut_off = cut_off
         self.cluster.log.lag = {name}
@@ -150,11 +150,11 @@
             for service in self.cluster.control
             if service.address not in self.cluster.log.lag
         ]
-        self.cluster.log.elect(self.chance.choice(able))
+        self.cluster.log.elect(self.rng.choice(able))
 
     def restart(self) -> None:
         """Restarts a node, which loses its revision."""
-        name = self.chance.choice(sorted(self.live))
+        name = self.rng.choice(sorted(self.live))
         old = self.live[name]
         old.stop()
         old.stream.stop()
--- a/testing/test_transfer.py
+++ b/testing/test_transfer.py
@@ -91,7 +91,7 @@
         if size / LINK_RATE > timeout:
             self.link.carried += timeout * LINK_RATE
             clock.sleep(timeout)
-            raise errors.StreamTimeout("Nothing whole came.")
+            raise errors.StreamTimeout("No whole message arrived in time.")
         clock.sleep(size / LINK_RATE)
         self.link.until -= size
         self.link.carried += size
@@ -153,12 +153,10 @@
 
 def routes(count: int, seed: int = 0) -> dict[str, str]:
     """Returns sections of routes whose names and hosts hardly repeat."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
 
     def name() -> str:
-        return "".join(
-            chance.choices("abcdefghijklmnopqrstuvwxyz0123456789", k=7)
-        )
+        return "".join(rng.choices("abcdefghijklmnopqrstuvwxyz0123456789", k=7))
 
     return {
         f"routes/r-{name()}": json.dumps(
