--- a/bench/limits.py
+++ b/bench/limits.py
@@ -20,7 +20,7 @@
 from mintcleat.programs import limits
 
 WINDOW = 5.0
-LIMIT = program_messages.Limit(10.0, 10.0, WINDOW, 0.1, 20.0)
+LIMIT = program_messages.RateLimit(10.0, 10.0, WINDOW, 0.1, 20.0)
 SECONDS = 60.0
 # A turn and the calls of tools that follow it; a program has some of these.
 CALLS = 1.2
@@ -35,7 +35,7 @@
     """One entry's own part of a way."""
 
     def __init__(self) -> None:
-        self.ahead = decisions.Ahead()
+        self.ahead = decisions.RequestPrefetch()
         self.sent: dict[str, collections.deque[float]] = {}
 
 
@@ -54,7 +54,7 @@
         self.random = random.Random(entries + customers)
         self.entries = [Entry() for _ in range(entries)]
         self.customers = [f"c{n}" for n in range(customers)]
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
         self.arrivals: dict[str, list[float]] = collections.defaultdict(list)
         self.requests = self.refused = self.owed = self.asked = 0
         self.lost = 0.0
@@ -62,7 +62,7 @@
 
     def play(self, share: float) -> None:
         """Plays demand at a share of each customer's limit."""
-        rate = share * LIMIT.most() / WINDOW / (ROUNDS * (1 + CALLS))
+        rate = share * LIMIT.window_limit() / WINDOW / (ROUNDS * (1 + CALLS))
         due: list[tuple[float, str, str, int, Entry]] = []
         for customer in self.customers:
             at = self.random.expovariate(rate)
@@ -103,7 +103,7 @@
             return
         self.refused += 1
         recent = [at for at in self.arrivals[customer] if now - at < WINDOW]
-        self.owed += len(recent) + 1 <= LIMIT.most()
+        self.owed += len(recent) + 1 <= LIMIT.window_limit()
 
     def _allowed(
         self, now: float, customer: str, program: str, is_turn: int, entry: Any
@@ -112,7 +112,9 @@
             sent = entry.sent.setdefault(customer, collections.deque())
             while sent and now - sent[0] >= WINDOW:
                 sent.popleft()
-            if len(sent) + 1 > max(1.0, LIMIT.most() / len(self.entries)):
+            if len(sent) + 1 > max(
+                1.0, LIMIT.window_limit() / len(self.entries)
+            ):
                 return False
             sent.append(now)
             return True
@@ -123,11 +125,11 @@
         if held and entry.ahead.take(customer, now):
             return True
         self.asked += not is_turn
-        if self.held.take(customer, program, LIMIT, now) is not None:
+        if self.held.admit(customer, program, LIMIT, now) is not None:
             return False
         if self.way == "ahead" and is_turn:
-            wanted = entry.ahead.wanted(customer, now)
-            given = self.held.hand_out(customer, wanted, LIMIT, now)
+            wanted = entry.ahead.prefetch_count(customer, now)
+            given = self.held.count_ahead(customer, wanted, LIMIT, now)
             entry.ahead.put(customer, given, now + limits.AHEAD_SECONDS)
         return True
 
@@ -158,8 +160,8 @@
 def ways() -> None:
     """Prints the table of ways."""
     print(
-        f"limit {LIMIT.most():g} in {WINDOW:g} s, "
-        f"{LIMIT.most() + LIMIT.tolerance():g} with its tolerance"
+        f"limit {LIMIT.window_limit():g} in {WINDOW:g} s, "
+        f"{LIMIT.window_limit() + LIMIT.tolerance():g} with its tolerance"
     )
     head = ("way", "entries", "customers", "demand", "requests", "refused",
             "owed", "fullest", "asked alone")  # fmt: skip
@@ -179,12 +181,12 @@
 
 def cost(customers: int = 4200, counts: int = 200_000) -> None:
     """Prints what one count costs, and its size."""
-    held = limits.Limits()
+    held = limits.CustomerLimits()
     names = [f"customer-{n}" for n in range(customers)]
     started = time.process_time()
     for number in range(counts):
         name = names[number % customers]
-        held.take(name, f"p{number % 9}", LIMIT, number / 35_000)
+        held.admit(name, f"p{number % 9}", LIMIT, number / 35_000)
     taken = time.process_time() - started
     count = program_messages.CountCall(names[0], "p" * 14, LIMIT, 2)
     command = commands.Command(1.0, 1.0, [count])
--- a/bench/policy_world.py
+++ b/bench/policy_world.py
@@ -11,13 +11,13 @@
 from typing import Any
 from typing import NamedTuple
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
+from mintcleat.decisions import cache_retention
 from mintcleat.decisions import calls
-from mintcleat.decisions import learn
 from mintcleat.decisions import order
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.decisions import queue
-from mintcleat.decisions import retain
+from mintcleat.decisions import remaining_work
 from mintcleat.decisions import retry
 from mintcleat.domain import call_messages
 from mintcleat.domain import identities
@@ -50,12 +50,12 @@
     placing: str = "choose"
     keeping: str = "pause"
     gate: queue.Options = queue.Options()
-    switches: place.Switches = place.ALL_ON
+    switches: placement.Switches = placement.ALL_ON
     bounded_pause: bool = True
     export: bool = True
     deadline: float = 120.0
     retries: bool = True
-    weights: place.Weights | None = None
+    weights: placement.Weights | None = None
 
 
 class Result(NamedTuple):
@@ -110,7 +110,7 @@
         self.tried: set[str] = set()
         self.attempts = 0
         self.deadline = math.inf
-        self.choice: place.Choice | None = None
+        self.choice: placement.Choice | None = None
         self.sidecar: Sidecar | None = None
         self.started = 0.0
         self.first = 0.0
@@ -128,8 +128,8 @@
         self.engine = policy_engine.Engine(world.deployment.memory, slow)
         options = policy.gate._replace(memory=world.deployment.memory)
         self.gate = queue.Gate(options, policy_engine.BATCH)
-        self.keeper = retain.Keeper(
-            retain.Options(
+        self.paused_caches = cache_retention.PausedCaches(
+            cache_retention.Options(
                 world.deployment.memory,
                 policy_engine.PREFILL_RATE,
                 by_pause=policy.keeping == "pause",
@@ -154,20 +154,20 @@
             load.token_time,
             load.prefill_rate,
             self.engine.free(),
-            place.READY,
-            load.new_wait,
+            placement.READY,
+            load.first_call_wait,
         )
 
-    def offer(self, job: Job) -> admit.Refuse | None:
+    def offer(self, job: Job) -> admission.Refuse | None:
         """Offers a call to the gate; returns its refusal."""
         now = self.world.now
         program = job.program
         cached = self.engine.cached.get(program.spec.name, 0)
         call = self.world.call(job, job.prompt - cached)
         answer = self.gate.offer(call, now)
-        if isinstance(answer, admit.Refuse):
+        if isinstance(answer, admission.Refuse):
             return answer
-        self.keeper.called(program.spec.name, now)
+        self.paused_caches.called(program.spec.name, now)
         self.jobs[job.call_id] = job
         self.world.admitted += 1
         if isinstance(answer, queue.Admit):
@@ -177,7 +177,7 @@
 
     def pump(self) -> None:
         """Starts what the gate lets start."""
-        self.gate.protect(self.keeper.expected_soon(self.world.now))
+        self.gate.protect(self.paused_caches.expected_soon(self.world.now))
         while (call := self.gate.next(self.world.now)) is not None:
             self._start(self.jobs[call.call_id])
         self._schedule()
@@ -187,7 +187,7 @@
         self.engine.advance(now)
         name = job.program.spec.name
         cached = self.engine.drop(name)
-        self.keeper.started(name)
+        self.paused_caches.started(name)
         imported = 0
         if job.choice and job.choice.export and not cached:
             imported = self.world.take_export(job.program)
@@ -213,14 +213,16 @@
         missing = need - self.engine.free()
         if missing <= 0:
             return
-        for action in self.keeper.victims(missing, self.world.now):
+        for action in self.paused_caches.victims(missing, self.world.now):
             self._act(action)
 
-    def _act(self, action: retain.Action) -> None:
+    def _act(self, action: cache_retention.Action) -> None:
         match action:
-            case retain.Drop(program, keep) if keep:
+            case cache_retention.Drop(program, keep) if keep:
                 self.engine.keep(program, keep)
-            case retain.Drop(program) | retain.Export(program):
+            case cache_retention.Drop(program) | cache_retention.Export(
+                program
+            ):
                 self.engine.drop(program)
 
     def _schedule(self) -> None:
@@ -259,7 +261,9 @@
             self._make_room(tokens)
             self.engine.keep(program.spec.name, tokens)
             tool = f"{program.spec.agent}/{job.step.tool}"
-            action = self.keeper.paused(program.spec.name, tool, tokens, now)
+            action = self.paused_caches.paused(
+                program.spec.name, tool, tokens, now
+            )
             self._act(action)
         self.world.at(now + HOP, self.world.answered, job, self.report())
 
@@ -271,29 +275,29 @@
             self.gate.progressed(self.engine.token_time())
         for entry in self.world.entries:
             self.world.at(now + REPORT_DELAY, entry.hear, self.report())
-        for action in self.keeper.sweep(now):
+        for action in self.paused_caches.sweep(now):
             self._act(action)
-            self.gate.left(action.program)
+            self.gate.program_left(action.program)
         for call in self.gate.expire(now):
             job = self.jobs.pop(call.call_id)
             self.world.shed += 1
-            refusal = admit.Refuse("deadline_unmet", 1.0)
+            refusal = admission.Refuse("deadline_unmet", 1.0)
             self.world.refused(job, refusal)
         self.pump()
         self.world.at(now + REPORT_PERIOD, self.tick)
 
     def release(self, program: str) -> None:
         """Frees what an ended program holds."""
-        self.keeper.gone(program)
+        self.paused_caches.gone(program)
         self.engine.drop(program)
-        self.gate.left(program)
+        self.gate.program_left(program)
         self.pump()
 
     def release_moved(self, program: str) -> None:
         """Frees a copy that its program left for another upstream."""
-        self.keeper.started(program)
+        self.paused_caches.started(program)
         self.engine.drop(program)
-        self.gate.left(program)
+        self.gate.program_left(program)
         self.pump()
 
 
@@ -303,9 +307,9 @@
     def __init__(self, world: "World", number: int) -> None:
         self.world = world
         self.name = f"entry{number}"
-        self.fleet = place.Fleet(world.policy.switches)
+        self.fleet = placement.Fleet(world.policy.switches)
         self.fleet.watch(sorted(world.sidecars))
-        self.learner = learn.Learner()
+        self.estimator = remaining_work.Estimator()
         self.budget = retry.Budget()
         self.turn = number
         self.sent: dict[str, int] = dict.fromkeys(world.sidecars, 0)
@@ -355,10 +359,12 @@
             export = 0.0
             if self.world.policy.export:
                 export = program.history / policy_engine.EXPORT_RATE
-            resident = place.Resident(program.resident, program.history, export)
-        choice = place.choose(
+            resident = placement.Resident(
+                program.resident, program.history, export
+            )
+        choice = placement.choose(
             self.fleet,
-            self.world.call(job, job.step.new, self.learner),
+            self.world.call(job, job.step.new, self.estimator),
             resident,
             self.world.weights,
             self.world.now,
@@ -390,7 +396,7 @@
     ) -> None:
         self.deployment = deployment
         self.policy = policy
-        self.weights = policy.weights or place.Weights(
+        self.weights = policy.weights or placement.Weights(
             deployment.latency_weight, deployment.waste_weight
         )
         self.now = 0.0
@@ -438,16 +444,19 @@
         self._submit(job)
 
     def _submit(self, job: Job) -> None:
-        pick = calls.fraction(job.call_id, "entry")
+        pick = calls.hash_fraction(job.call_id, "entry")
         entry = self.entries[int(pick * len(self.entries))]
         self.at(self.now + HOP, entry.submit, job)
 
     def call(
-        self, job: Job, new: int, learner: learn.Learner | None = None
+        self,
+        job: Job,
+        new: int,
+        estimator: remaining_work.Estimator | None = None,
     ) -> calls.Call:
         """Returns the call as the decisions see it."""
         program = job.program
-        known = learner or (job.entry and job.entry.learner)
+        known = estimator or (job.entry and job.entry.estimator)
         expected = 150
         if known:
             expected = known.answer_tokens(program.spec.agent, 150)
@@ -472,7 +481,7 @@
         source.release_moved(program.spec.name)
         return tokens
 
-    def refused(self, job: Job, refusal: admit.Refuse) -> None:
+    def refused(self, job: Job, refusal: admission.Refuse) -> None:
         """The caller hears a refusal and comes back after the advice."""
         self.refusals += 1
         job.attempts = 0
@@ -506,7 +515,7 @@
         entry.fleet.answered(job.sidecar.name, True, self.now)
         entry.budget.succeeded()
         program = job.program
-        entry.learner.answered(program.spec.agent, job.step.generate)
+        entry.estimator.answered(program.spec.agent, job.step.generate)
         self.late += self.now > job.deadline
         self.useful.append(
             (
@@ -550,7 +559,7 @@
             return
         for sidecar in self.sidecars.values():
             if sidecar.name == program.resident:
-                sidecar.gate.learner.finished(
+                sidecar.gate.estimator.finished(
                     program.spec.agent, program.attained, program.step
                 )
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -28,7 +28,7 @@
 from bench import state
 from mintcleat.adapters import streams
 from mintcleat.adapters import timers
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.domain import call_messages
 from mintcleat.domain import codec
 from mintcleat.domain import digests
@@ -353,12 +353,12 @@
         for turn in range(3):
             said = [f"{number} {turn} " + "x" * 200, "y" * 400]
             held.finish(f"program-{number:06d}", turn, digest, said)
-            digest = digests.rolling(digest, said)
+            digest = digests.chain(digest, said)
     return held
 
 
-def _fleet(count: int) -> place.Fleet:
-    fleet = place.Fleet()
+def _fleet(count: int) -> placement.Fleet:
+    fleet = placement.Fleet()
     names = [f"sidecar-{number:06d}" for number in range(count)]
     fleet.watch(names)
     for name in names:
@@ -430,7 +430,7 @@
         "a" * 32, "", "agent-model", 12, "turn-12-" + "0" * 32, b"d" * 16,
         ["x" * 500], 700, True, here, "10.0.12.34:7101", 0, 1 << 60,
     )  # fmt: skip
-    granted = program_messages.Granted(
+    granted = program_messages.AttemptGranted(
         1 << 40, 11, b"d" * 16, 9000, 700, "a" * 32, "claim", "interactive"
     )
     finish = program_messages.FinishCall(
--- a/src/mintcleat/adapters/event_log.py
+++ b/src/mintcleat/adapters/event_log.py
@@ -47,7 +47,7 @@
 
 
 class EventLog:
-    """Writes events; see `ports.events.Events`."""
+    """Writes events; see `ports.events.EventReporter`."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         passed, self.refilled = now - self.refilled, now
         budget = self.budget
         self.room = min(budget.burst, self.room + passed * budget.lines)
-        weight = events.weight_of(event)
+        weight = events.severity_of(event)
         if len(self.waiting) >= budget.waiting or self.broken:
             return False
         if weight == events.DETAIL and self.room < budget.burst / 2:
--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -12,7 +12,7 @@
 from mintcleat.consensus import records
 from mintcleat.consensus import repair
 from mintcleat.consensus import replica as replicas
-from mintcleat.consensus import replicate
+from mintcleat.consensus import replication
 from mintcleat.consensus import roster as rosters
 from mintcleat.consensus import types
 from mintcleat.domain import identities
@@ -47,7 +47,7 @@
         box: Effects to carry out.
         replicas: By group.
         roster: Who lives on which instance.
-        superseded: Highest epoch that a peer knows of this instance. One
+        highest_epoch_seen: Highest epoch that a peer knows of this instance. One
             above its own means that another process uses the name, or that
             the disk was formatted while the clock was behind.
     """
@@ -61,22 +61,22 @@
         groups: Iterable[str],
         *,
         members: Sequence[types.Member],
-        stored: dict[str, records.Stored],
+        stored: dict[str, records.StoredState],
         now: float,
         own: types.Member | None = None,
     ) -> None:
         self.me = me
         self.life = life
         self.settings = settings
-        self.box = outbox.Outbox()
+        self.outbox = outbox.Outbox()
         self.replicas = {
             group: replicas.Replica(
                 group,
                 me,
                 settings,
                 jitter,
-                self.box,
-                stored=stored.get(group) or records.Stored(),
+                self.outbox,
+                stored=stored.get(group) or records.StoredState(),
                 now=now,
             )
             for group in sorted({*groups, *stored})
@@ -86,7 +86,7 @@
         self.beat_due = now
         self.hello_due = now
         self.started = now
-        self.superseded = 0
+        self.highest_epoch_seen = 0
         self.outgoing: dict[identities.Incarnation, _Outgoing] = {}
         self.incoming: dict[
             identities.Incarnation, tuple[int, int, list[wire.Beat]]
@@ -100,7 +100,9 @@
         or count an entry as held by a majority that lost it.
         """
         if frame.to.instance == self.me.instance:
-            self.superseded = max(self.superseded, frame.to.epoch)
+            self.highest_epoch_seen = max(
+                self.highest_epoch_seen, frame.to.epoch
+            )
         anyone = identities.Incarnation(self.me.instance, 0)
         if frame.to not in (self.me, anyone):
             return
@@ -129,7 +131,9 @@
                     self.hello_due = min(self.hello_due, soon)
                 if message.asks:
                     answer = wire.Known(self.known_groups())
-                    self.box.late.append(outbox.Letter(sender, answer))
+                    self.outbox.messages_after_sync.append(
+                        outbox.OutgoingMessage(sender, answer)
+                    )
                 if not message.members:
                     self._greet_started(sender, now)
             case wire.Known():
@@ -158,17 +162,17 @@
 
     def flush(self, now: float) -> None:
         """Adds what is to be sent; to be called before taking the outbox."""
-        changed, self.box.changed = self.box.changed, set()
+        changed, self.outbox.changed = self.outbox.changed, set()
         for group in sorted(changed):
             self.replicas[group].flush(now)
-        if self.box.beat_soon:
+        if self.outbox.beat_soon:
             self._beat(now)
-        if self.box.told:
+        if self.outbox.elections:
             # Instances outside of the group learn of its leader by a greeting.
             self.hello_due = now
 
     def leader(self, group: str, now: float) -> identities.Incarnation:
-        """Returns who leads a group, as far as is known here, or NOBODY.
+        """Returns who leads a group, as far as is known here, or NO_REPLICA.
 
         The voters of a group hear its leader. An instance outside of it does
         not, above all one that was voted out while it was down: its log still
@@ -179,13 +183,13 @@
         """
         replica = self.replicas[group].state
         told = self.roster.leaders.get(group)
-        if replica.leader != types.NOBODY or told is None:
+        if replica.leader != types.NO_REPLICA or told is None:
             return replica.leader
         fresh = now - told.at < _LED_PERIODS * self.settings.hello
         later = told.at - replica.heard_at > self.settings.election
         credible = later or replica.heard_none
         known = fresh and credible and told.term >= replica.term
-        return told.leader if known else types.NOBODY
+        return told.leader if known else types.NO_REPLICA
 
     def on_synced(self, groups: Iterable[str]) -> None:
         """Notes that every record so far of these groups is durable."""
@@ -201,7 +205,7 @@
             self.replicas[group].on_synced(ends[group])
 
     def _beat(self, now: float) -> None:
-        self.box.beat_soon = False
+        self.outbox.beat_soon = False
         self.beat_due = now + self.settings.heartbeat
         lists: dict[identities.Incarnation, list[wire.Beat]] = {}
         for group, replica in self.replicas.items():
@@ -232,7 +236,7 @@
         self._learn_voters()
         self.roster.forget_silent(now - _FORGET_PERIODS * period)
         hello = self._hello(bool(founding), now)
-        self.box.early.extend(self.roster.greetings(hello))
+        self.outbox.messages.extend(self.roster.greetings(hello))
         for group in founding:
             founders = self.roster.founders(group, size, now - 2 * period)
             if founders is not None:
@@ -249,7 +253,7 @@
             for group, replica in self.replicas.items()
             if replica.state.role == types.LEADER
         ]
-        known = self.roster.heard_since(oldest)
+        known = self.roster.seen_since(oldest)
         return wire.Hello(asks, self.roster.own, known, leads)
 
     def _greet_started(
@@ -262,7 +266,7 @@
         not know of it, and its nodes would be given no configuration.
         """
         hello = self._hello(False, now)
-        self.box.early.append(outbox.Letter(sender, hello))
+        self.outbox.messages.append(outbox.OutgoingMessage(sender, hello))
 
     def _learn_voters(self) -> None:
         """Keeps the addresses of all peers that the logs name.
@@ -295,7 +299,7 @@
         # An idle list is named by its version instead of being sent again.
         body = None if out.known == out.version else beats
         message = wire.Heartbeat(self.life, out.version, now, body)
-        self.box.early.append(outbox.Letter(follower, message))
+        self.outbox.messages.append(outbox.OutgoingMessage(follower, message))
 
     def _on_heartbeat(
         self,
@@ -316,7 +320,7 @@
             if replica is None:
                 refused.append(beat._replace(term=0))
                 continue
-            taken = replicate.on_beat(replica.state, sender, beat, now)
+            taken = replication.on_beat(replica.state, sender, beat, now)
             if not taken:
                 refused.append(beat._replace(term=replica.state.term))
         self._reply(sender, message, True, refused)
@@ -331,7 +335,9 @@
         reply = wire.HeartbeatReply(
             message.life, message.version, message.sent, known, refused
         )
-        self.box.late.append(outbox.Letter(sender, reply))
+        self.outbox.messages_after_sync.append(
+            outbox.OutgoingMessage(sender, reply)
+        )
 
     def _on_reply(
         self,
@@ -352,6 +358,6 @@
             higher = refused.get(beat.group)
             if higher is not None:
                 if higher > replica.term:
-                    replica.follow(higher, types.NOBODY, now)
+                    replica.follow(higher, types.NO_REPLICA, now)
             elif replica.term == beat.term and replica.role == types.LEADER:
                 lease.acknowledge(replica, sender, message.sent, now)
--- a/src/mintcleat/consensus/replicate.py
+++ b/src/mintcleat/consensus/replication.py
@@ -14,7 +14,7 @@
     """Adds an entry at the leader and returns its index."""
     entry = types.Entry(replica.log.last_index + 1, replica.term, kind, data)
     replica.store([entry])
-    replica.box.changed.add(replica.group)
+    replica.outbox.changed.add(replica.group)
     if kind == types.CONFIGURATION:
         track_peers(replica, now)
     return entry.index
@@ -80,7 +80,7 @@
 ) -> None:
     """Takes a follower's answer."""
     if message.term > replica.term:
-        replica.follow(message.term, types.NOBODY, now)
+        replica.follow(message.term, types.NO_REPLICA, now)
         return
     progress = replica.progress.get(sender)
     if progress is None or message.term < replica.term:
@@ -122,11 +122,11 @@
         replica.send(sender, reply)
         return
     _hear(replica, sender, message.term, now)
-    mark = message.mark
+    mark = message.snapshot
     if mark.index > replica.commit:
         replica.install(mark)
-        install = outbox.Installed(replica.group, mark, message.state)
-        replica.box.installs.append(install)
+        install = outbox.SnapshotReceived(replica.group, mark, message.state)
+        replica.outbox.installs.append(install)
     last = max(mark.index, replica.commit)
     reply = wire.AppendReply(replica.group, replica.term, True, last)
     replica.send_synced(sender, reply)
@@ -153,7 +153,7 @@
     """
     configuration = replica.configuration
     matches = sorted(
-        (match(replica, peer.replica) for peer in configuration.voters),
+        (match_index(replica, peer.replica) for peer in configuration.voters),
         reverse=True,
     )
     index = matches[configuration.quorum() - 1]
@@ -203,13 +203,13 @@
     progress: state.Progress,
     now: float,
 ) -> None:
-    if now - progress.acked > 2 * replica.settings.election:
+    if now - progress.last_contact > 2 * replica.settings.election:
         return
     progress.snapshot_until = math.inf
     needed = outbox.SnapshotNeeded(
-        follower, replica.group, replica.term, replica.mark
+        follower, replica.group, replica.term, replica.snapshot
     )
-    replica.box.snapshots.append(needed)
+    replica.outbox.snapshots.append(needed)
 
 
 def _advance(
@@ -275,7 +275,7 @@
     replica.send(sender, reply)
 
 
-def match(replica: state.State, voter: identities.Incarnation) -> int:
+def match_index(replica: state.State, voter: identities.Incarnation) -> int:
     """Returns the last index known to be durable at a voter."""
     if voter == replica.me:
         return replica.persisted
--- a/src/mintcleat/domain/manifest.py
+++ b/src/mintcleat/domain/manifest.py
@@ -15,11 +15,11 @@
 
 from mintcleat.domain import errors
 from mintcleat.domain import keys
-from mintcleat.domain import manifest_faults
+from mintcleat.domain import manifest_errors
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
-Name = Annotated[str, msgspec.Meta(pattern=manifest_faults.NAME_PATTERN)]
+Name = Annotated[str, msgspec.Meta(pattern=manifest_errors.NAME_PATTERN)]
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 
@@ -217,27 +217,27 @@
         # It stopped at the first fault. The walk over all fields costs ten
         # times as much, which only a faulty manifest pays for.
         raw = msgspec.json.decode(text)
-        faults = manifest_faults.schema_faults(raw, Manifest)
+        faults = manifest_errors.schema_faults(raw, Manifest)
         faults.extend(_reference_faults(raw))
     except (msgspec.DecodeError, UnicodeError) as error:
         raise errors.InvalidManifest(f"$: no valid JSON: {error}.") from None
     else:
         parsed = _with_digests(parsed)
-        faults = manifest_faults.reference_faults(parsed)
+        faults = manifest_errors.reference_faults(parsed)
         if not faults:
             return parsed
     lines = [f"{fault.path}: {fault.problem}." for fault in faults]
     raise errors.InvalidManifest("\n".join(lines))
 
 
-def _reference_faults(raw: Any) -> list[manifest_faults.Fault]:
+def _reference_faults(raw: Any) -> list[manifest_errors.Fault]:
     """Returns dangling names, as far as the types let them be told."""
-    known = manifest_faults.without_unknown(raw, inspect.type_info(Manifest))
+    known = manifest_errors.without_unknown(raw, inspect.type_info(Manifest))
     try:
         parsed = msgspec.convert(known, Manifest)
     except msgspec.ValidationError:
         return []
-    return manifest_faults.reference_faults(_with_digests(parsed))
+    return manifest_errors.reference_faults(_with_digests(parsed))
 
 
 def _with_digests(parsed: Manifest) -> Manifest:
@@ -246,7 +246,7 @@
         return parsed
     customers = {
         name: msgspec.structs.replace(
-            item, keys=[key and keys.stored(key) for key in item.keys]
+            item, keys=[key and keys.as_digest(key) for key in item.keys]
         )
         for name, item in parsed.policies.customers.items()
     }
--- a/src/mintcleat/emulator/control.py
+++ b/src/mintcleat/emulator/control.py
@@ -4,7 +4,7 @@
 
 import simpy
 
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.decisions import shared_load
 from mintcleat.domain import program_messages
 
@@ -26,14 +26,14 @@
     def __init__(self, env: simpy.Environment) -> None:
         self.env = env
         self.until = 0.0
-        self.board = shared_load.Board()
+        self.entry_loads = shared_load.EntryLoads()
 
     def lose(self, seconds: float) -> None:
         """Takes the leader away."""
         self.until = self.env.now + seconds
-        self.board = shared_load.Board()
+        self.entry_loads = shared_load.EntryLoads()
 
-    def ask(self, running: program_messages.Running) -> Any:
+    def ask(self, running: program_messages.RunningCounts) -> Any:
         """Commits one request; returns what the other entries have running.
 
         Raises:
@@ -41,10 +41,10 @@
         """
         began = self.env.now
         while self.env.now < self.until:
-            if self.env.now - began > cut_off.ELECTION_SECONDS:
+            if self.env.now - began > control_outage.ELECTION_SECONDS:
                 raise Outage
             yield self.env.timeout(0.02)
         yield self.env.timeout(COMMIT)
         now = self.env.now
-        self.board.report(running.entry, running.by_upstream, now)
-        return self.board.others(running.entry)
+        self.entry_loads.report(running.entry, running.by_upstream, now)
+        return self.entry_loads.others(running.entry)
--- a/src/mintcleat/main/control_part.py
+++ b/src/mintcleat/main/control_part.py
@@ -32,7 +32,7 @@
     def __init__(
         self,
         common: common_module.Common,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
         self.common = common
         settings = common.settings
@@ -119,7 +119,7 @@
 
     def drain(self) -> None:
         """Hands every leadership over, so that no caller waits for a vote."""
-        self.log.hand_over(_HAND_OVER_SECONDS)
+        self.log.transfer_leadership(_HAND_OVER_SECONDS)
 
     def under_way(self) -> int:
         """Returns 0: requests of other roles are repeated elsewhere."""
@@ -146,8 +146,8 @@
         """Returns the policies in force as this instance knows them."""
         return self.config.machine.document.manifest().policies
 
-    def _histories(self, group: str) -> histories.FileHistories:
-        return histories.FileHistories(self.folder / "histories" / group)
+    def _histories(self, group: str) -> histories.FileHistoryStore:
+        return histories.FileHistoryStore(self.folder / "histories" / group)
 
     def _control_addresses(self) -> list[str]:
         """Returns every control instance's address, this one included.
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -63,7 +63,7 @@
         self,
         machine: machine_module.Machine,
         common: common_module.Common,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
         self.common = common
@@ -100,7 +100,7 @@
 
     def _watch_control(self) -> None:
         """Tells when the lease on the configuration is lost or back."""
-        held = self.follower.in_lease()
+        held = self.follower.has_lease()
         if held == self.held_lease:
             return
         self.held_lease = held
@@ -144,7 +144,10 @@
         metrics.gauge("running_calls", self.listener.active)
         metrics.gauge("config_revision", self.follower.revision())
         metrics.gauge("lease_left_seconds", self.follower.lease_left())
-        for upstream, waits in self.gateway.loads.silences.waits.items():
+        for (
+            upstream,
+            waits,
+        ) in self.gateway.loads.silence_detector.pending_requests.items():
             running = len(waits)
             metrics.gauge("upstream_running_calls", running, upstream=upstream)
 
@@ -187,7 +190,7 @@
         self,
         machine: machine_module.Machine,
         common: common_module.Common,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
     ) -> None:
         # Imported here: an entry has no use for the logs and their disk.
         from mintcleat.main import control_part
@@ -247,7 +250,7 @@
 
     def stop(self, until: float) -> int:
         """Hands every leadership over and ends."""
-        self.part.log.hand_over(_HAND_OVER_SECONDS)
+        self.part.log.transfer_leadership(_HAND_OVER_SECONDS)
         self.listener.close_idle()
         self.part.stop()
         return 0
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -58,7 +58,7 @@
         self,
         config: Config,
         seconds: float,
-        told: event_ports.Events,
+        told: event_ports.EventReporter,
         policies: dict[str, Any],
     ) -> None:
         self.config = config
@@ -133,11 +133,13 @@
 
     def _leave(self, upstream: str, body: bytes) -> bytes:
         started = to_leaving(body)
-        return self._ask(member_messages.LeaveUpstream(upstream, started))
+        return self._ask(member_messages.DeregisterUpstream(upstream, started))
 
     def _empty(self, label: str, start: bool) -> bytes:
         found = self.config.ask(
-            operator_messages.EmptyControl(label, start, _OPERATOR, _OPERATOR),
+            operator_messages.EvacuateControl(
+                label, start, _OPERATOR, _OPERATOR
+            ),
             self.seconds,
         )
         state = "done" if found.done else "running"
@@ -172,7 +174,10 @@
         errors.BadRequest: There is a body that can't be read.
     """
     started = _object(body).get(_STARTED, 0) if body else 0
-    if type(started) is not int or not 0 <= started <= registrations.LARGEST:
+    if (
+        type(started) is not int
+        or not 0 <= started <= registrations.MAX_INTEGER
+    ):
         raise errors.BadRequest(f"No start of a life: {_STARTED}.")
     return started
 
--- a/src/mintcleat/ports/forwarding.py
+++ b/src/mintcleat/ports/forwarding.py
@@ -4,17 +4,17 @@
 from typing import Protocol
 
 from mintcleat.domain import member_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 
 
-class Answer(Protocol):
+class UpstreamResponse(Protocol):
     """An upstream's answer whose head has come.
 
     Attributes:
         head: Its head.
     """
 
-    head: routed.Head
+    head: routed_calls.ResponseHead
 
     def body(self) -> bytes:
         """Returns the whole body.
@@ -23,7 +23,7 @@
             errors.StreamClosed: It broke off.
         """
 
-    def pieces(self) -> Iterator[bytes]:
+    def chunks(self) -> Iterator[bytes]:
         """Yields the body as it comes; ends only at its whole end.
 
         Raises:
@@ -34,15 +34,15 @@
         """Gives up what has not come; the upstream stops working on it."""
 
 
-class Upstreams(Protocol):
+class UpstreamClient(Protocol):
     """Sends requests to upstreams in the upstreams' own protocol."""
 
     def send(
         self,
         upstream: member_messages.Registration,
-        call: routed.RoutedCall,
-        sending: routed.Sending,
-    ) -> Answer:
+        call: routed_calls.RoutedCall,
+        request: routed_calls.UpstreamRequest,
+    ) -> UpstreamResponse:
         """Sends a request and returns the answer once its head has come.
 
         Raises:
@@ -51,17 +51,17 @@
             errors.StreamClosed: It may have run, and no answer will come.
         """
 
-    def forget(self, life: str) -> None:
+    def forget(self, incarnation: str) -> None:
         """Drops what is kept for a life of an upstream that is over."""
 
 
-class Reply(Protocol):
+class CallerResponse(Protocol):
     """The answer to one caller, in the callers' own protocol."""
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def send_whole(self, head: routed_calls.ResponseHead, body: bytes) -> None:
         """Sends an upstream's whole answer."""
 
-    def begin(self, head: routed.Head) -> None:
+    def send_head(self, head: routed_calls.ResponseHead) -> None:
         """Sends the head of an upstream's answer."""
 
     def write(self, data: bytes) -> None:
--- a/src/mintcleat/programs/limits.py
+++ b/src/mintcleat/programs/limits.py
@@ -112,17 +112,17 @@
         self.ahead: collections.deque[tuple[float, int]] = collections.deque()
         self.touched = 0.0
 
-    def take(
+    def admit(
         self,
         program: str,
-        limit: program_messages.Limit,
+        limit: program_messages.RateLimit,
         clock: float,
     ) -> Need | None:
         """Counts a request, or returns why it may not be sent."""
         self._forget(limit.window, clock)
         used = self.used
         begins = program not in self.active
-        most = limit.most()
+        most = limit.window_limit()
         last = most + limit.tolerance() * (1 - _AHEAD_SHARE)
         if used + 1 > (most if begins else last):
             if not begins:
@@ -139,13 +139,13 @@
         self._note(program, clock)
         return None
 
-    def hand_out(
-        self, wanted: int, limit: program_messages.Limit, clock: float
+    def count_ahead(
+        self, wanted: int, limit: program_messages.RateLimit, clock: float
     ) -> int:
         """Counts requests ahead of need; returns how many."""
         while self.ahead and clock - self.ahead[0][0] > AHEAD_SECONDS:
             self.ahead.popleft()
-        most = limit.most()
+        most = limit.window_limit()
         room = int(limit.tolerance() * _AHEAD_SHARE) - sum(
             n for _, n in self.ahead
         )
@@ -158,10 +158,10 @@
             self.ahead.append((clock, given))
         return given
 
-    def give_back(self, counted: float) -> None:
+    def refund(self, counted_at: float) -> None:
         """Takes back a request that was counted at a clock and never ran."""
         for slot in reversed(self.slots):
-            if slot.start <= counted:
+            if slot.start <= counted_at:
                 if slot.count:
                     slot.count -= 1
                     self.used -= 1
@@ -253,7 +253,7 @@
         self.ahead = collections.deque((at, count) for at, count in ahead)
 
 
-class Limits:
+class CustomerLimits:
     """Usage of all customers of a group.
 
     Attributes:
@@ -265,18 +265,18 @@
             collections.OrderedDict()
         )
 
-    def take(
+    def admit(
         self,
         customer: str,
         program: str,
-        limit: program_messages.Limit | None,
+        limit: program_messages.RateLimit | None,
         clock: float,
     ) -> errors.LimitReached | None:
         """Counts a request of a customer, or returns its refusal."""
         if limit is None or not customer:
             return None
         usage = self._usage(customer, clock)
-        need = usage.take(program, limit, clock)
+        need = usage.admit(program, limit, clock)
         if need is None:
             return None
         kind = errors.LimitNear if need.begins else errors.LimitReached
@@ -288,24 +288,24 @@
             retry_after=round(need.wait, 3),
         )
 
-    def hand_out(
+    def count_ahead(
         self,
         customer: str,
         wanted: int,
-        limit: program_messages.Limit | None,
+        limit: program_messages.RateLimit | None,
         clock: float,
     ) -> int:
         """Counts requests that an entry may send later; returns how many."""
         usage = self.usages.get(customer)
         if limit is None or usage is None or not wanted:
             return 0
-        return usage.hand_out(wanted, limit, clock)
+        return usage.count_ahead(wanted, limit, clock)
 
-    def give_back(self, customer: str, counted: float) -> None:
+    def refund(self, customer: str, counted_at: float) -> None:
         """Takes back a request that was counted and never ran."""
         usage = self.usages.get(customer)
         if usage is not None:
-            usage.give_back(counted)
+            usage.refund(counted_at)
 
     def state(self) -> list[Any]:
         """Returns everything as plain data."""
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -62,7 +62,7 @@
         timers: timer_ports.Timers,
         replica: machine.ConfigMachine | None = None,
         times: lease.Times = lease.DEFAULT,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
         self.times = times
         self.events = events
@@ -84,7 +84,7 @@
         self.served = (0, 0, 0)
         self.feed = config_feed.Feed(node.instance, self, timers, times)
         self.relay = config_relay.Relay(
-            config_messages.Follow(
+            config_messages.FollowConfiguration(
                 node, config_feed.CONTROL, failure_domain, address, 0
             ),
             self.machine,
@@ -107,7 +107,9 @@
         """Serves streams; the log must have been started."""
         for kind in config_requests.KINDS:
             self.streams.handle(kind, self._serve_request)
-        self.streams.handle(config_messages.Follow, self.feed.serve)
+        self.streams.handle(
+            config_messages.FollowConfiguration, self.feed.serve
+        )
         self.streams.handle(operator_messages.ShowNodes, self._serve_nodes)
         self.streams.handle(config_messages.Ping, self._serve_ping)
         self.subscriptions = [
@@ -281,7 +283,7 @@
         control instance still renews the old revision to its nodes.
         """
         self.dated_at = self.timers.now()
-        self.dated = max(self.timers.wall(), self.machine.leader_epoch.at)
+        self.dated = max(self.timers.wall_time(), self.machine.leader_epoch.at)
         try:
             command = commands.StartLeaderEpoch(self.node.instance, self.dated)
             leader_epoch = self.propose(command)
@@ -305,7 +307,7 @@
             self.relay.stream.report()
 
     def _on_applied(self) -> None:
-        self.log.retire(self.machine.emptied())
+        self.log.evacuate(self.machine.emptied())
         if not self.leads():
             return
         served = (
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -98,9 +98,9 @@
         links: replication_links.Links,
         timers: timer_ports.Timers,
         options: Options,
-        worker: wal_ports.Worker,
+        worker: wal_ports.DiskWorker,
         own: types.Member | None = None,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
         worked: Callable[[], None] = lambda: None,
     ) -> None:
         self.worked = worked
@@ -172,7 +172,7 @@
         self.links.heard(frame.address)
         with self._stopping_on_failure():
             self.core.receive(frame, self.timers.now())
-        if self.core.superseded > self.core.me.epoch:
+        if self.core.highest_epoch_seen > self.core.me.epoch:
             self.fail(_superseded(self.core.me.instance))
             return
         self.wake()
@@ -182,9 +182,9 @@
         with self._stopping_on_failure():
             while self.failed is None:
                 self.core.flush(self.timers.now())
-                if self.core.box.idle():
+                if self.core.outbox.is_empty():
                     break
-                self._take_up(self.core.box.take())
+                self._take_up(self.core.outbox.take())
         self._release_lost()
         if self.failed is None:
             self.worked()
@@ -229,18 +229,20 @@
         Letters that promise durability leave in the order of the records
         before them, also when their own box holds none.
         """
-        for elected in box.told:
+        for elected in box.elections:
             self.teller.elected(elected)
-        self._send(box.early)
-        box.early = []
+        self._send(box.messages)
+        box.messages = []
         if not (box.installs or box.records or self.unsynced):
             self._finish(box)
             return
         if not box.records:
             # They promise not to vote, which a restart keeps by itself. Held
             # back behind a slow disk, they would unseat a healthy leader.
-            beats = [m for m in box.late if _is_beat(m)]
-            box.late = [m for m in box.late if not _is_beat(m)]
+            beats = [m for m in box.messages_after_sync if _is_beat(m)]
+            box.messages_after_sync = [
+                m for m in box.messages_after_sync if not _is_beat(m)
+            ]
             self._send(beats)
         # What a majority holds may be applied before this disk has it.
         self._apply_all(box)
@@ -248,7 +250,7 @@
         self.unsynced.append(Unsynced(box, ends))
         if not self.persisting:
             self.persisting = True
-            if self.worker.waits():
+            if self.worker.blocks_caller():
                 self._persist()
             else:
                 self.timers.spawn(self._persist)
@@ -281,7 +283,7 @@
         for item in taken:
             self.unsynced.popleft()
             self._finish(item.box)
-            marks.update(item.box.marks)
+            marks.update(item.box.snapshot_indexes)
         if marks:
             self.worker.run(self.snapshots.drop_below, marks)
 
@@ -319,7 +321,7 @@
 
     def _finish(self, box: outbox.Outbox) -> None:
         """Carries out what was to follow the sync."""
-        self._send(box.late)
+        self._send(box.messages_after_sync)
         for needed in box.snapshots:
             self.timers.spawn(self._send_snapshot, needed)
         self._apply_all(box)
@@ -333,7 +335,7 @@
             if done is not None:
                 done.send(ready)
 
-    def _send(self, letters: list[outbox.Letter]) -> None:
+    def _send(self, letters: list[outbox.OutgoingMessage]) -> None:
         frames: dict[identities.Incarnation, list[Any]] = {}
         for letter in letters:
             frames.setdefault(letter.to, []).append(letter.message)
@@ -347,9 +349,9 @@
         return wire.encode(frame)
 
     def _send_snapshot(self, needed: outbox.SnapshotNeeded) -> None:
-        # The file of `needed.mark` may be gone: a newer one replaced it.
+        # The file of `needed.snapshot` may be gone: a newer one replaced it.
         group = needed.group
-        mark = self.core.replicas[group].state.mark
+        mark = self.core.replicas[group].state.snapshot
         with self._stopping_on_failure():
             state = self.snapshots.borrow(group, mark.index)
         if self.failed is not None:
@@ -362,23 +364,23 @@
             self.snapshots.give_back(group, mark.index)
             self.teller.sent(group, needed.to, mark.index, size, sent)
             replica = self.core.replicas[group]
-            replica.snapshot_ended(needed.to, sent, self.timers.now())
+            replica.snapshot_transfer_ended(needed.to, sent, self.timers.now())
 
         address = self.core.roster.address(needed.to.instance)
         self.links.send_bulk(address, wire.encode_install(frame), ended)
 
-    def _install(self, item: outbox.Installed) -> None:
+    def _install(self, item: outbox.SnapshotReceived) -> None:
         # Without room it waits, as entries do: a replica that stopped for it
         # would find the disk as full at each start.
         self._run_with_room(
-            self.wal.save_snapshot, item.group, item.mark.index, item.state
+            self.wal.save_snapshot, item.group, item.snapshot.index, item.state
         )
         if self.failed is not None:
             return
         machine = self.machines.get(item.group)
         if machine is not None:
             machine.restore(item.state)
-        self.core.replicas[item.group].on_restored(item.mark.index)
+        self.core.replicas[item.group].on_restored(item.snapshot.index)
         self.teller.installed(item)
 
     def _apply(self, group: str, replica: replicas.Replica) -> None:
@@ -406,7 +408,10 @@
         """Snapshots a group now; False when nothing is new since the last."""
         replica = self.core.replicas[group]
         machine = self.machines.get(group)
-        if machine is None or replica.state.applied <= replica.state.mark.index:
+        if (
+            machine is None
+            or replica.state.applied <= replica.state.snapshot.index
+        ):
             return False
         return self.snapshots.take(group, replica, machine)
 
@@ -438,7 +443,7 @@
         live = [
             record
             for replica in self.core.replicas.values()
-            for record in replica.live_records()
+            for record in replica.checkpoint_records()
         ]
         self.worker.run(self.wal.rewrite, live)
         self.rewritten = self.wal.size()
@@ -459,13 +464,13 @@
             self.waiters[group] = kept
 
 
-def _is_beat(letter: outbox.Letter) -> bool:
+def _is_beat(letter: outbox.OutgoingMessage) -> bool:
     return isinstance(letter.message, wire.HeartbeatReply)
 
 
-def _fold(items: Iterable[bytes]) -> dict[str, records.Stored]:
+def _fold(items: Iterable[bytes]) -> dict[str, records.StoredState]:
     try:
-        return records.fold(items)
+        return records.replay(items)
     except (ValueError, TypeError) as error:
         raise errors.StorageDamaged(
             f"The log's records contradict each other: {error}."
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -10,7 +10,7 @@
 from mintcleat.consensus import placement
 from mintcleat.consensus import repair
 from mintcleat.consensus import replica as replicas
-from mintcleat.consensus import replicate
+from mintcleat.consensus import replication
 from mintcleat.consensus import types
 from mintcleat.domain import errors
 from mintcleat.domain import identities
@@ -54,9 +54,9 @@
         streams: stream_ports.Streams,
         timers: timer_ports.Timers,
         options: replication_driver.Options | None = None,
-        worker: wal_ports.Worker | None = None,
+        worker: wal_ports.DiskWorker | None = None,
         own: types.Member | None = None,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
         self.events = events
         self.node = node
@@ -228,7 +228,7 @@
         return [
             str(peer.replica)
             for peer in state.configuration.voters
-            if replicate.match(state, peer.replica) >= index
+            if replication.match_index(state, peer.replica) >= index
         ]
 
     def groups(self) -> list[str]:
@@ -241,12 +241,12 @@
             return []
         roster = self.driver.core.roster
         found = {self.address}
-        for name in self.residents():
+        for name in self.live_instances():
             if name != self.node.instance:
                 found.add(roster.address(name))
         return sorted(found)
 
-    def residents(self) -> dict[str, str]:
+    def live_instances(self) -> dict[str, str]:
         """Returns the names of the instances heard lately, with labels."""
         if self.driver is None:
             return {}
@@ -254,16 +254,16 @@
         period = self.options.core.hello
         oldest = self.timers.now() - _RESIDENT_PERIODS * period
         found = {roster.own.instance: roster.own.label}
-        for member in roster.heard_since(oldest):
+        for member in roster.seen_since(oldest):
             found[member.instance] = member.label
         return found
 
-    def retire(self, instances: frozenset[str]) -> None:
+    def evacuate(self, instances: frozenset[str]) -> None:
         """Keeps groups off these instances and moves those there away."""
         if self.driver is not None:
             self.driver.core.roster.retired = instances
 
-    def hand_over(self, timeout: float) -> None:
+    def transfer_leadership(self, timeout: float) -> None:
         """Transfers every leadership before a planned stop."""
         if self.driver is None or self.driver.failed:
             return
@@ -296,7 +296,7 @@
             errors.BadRequest: `new` was not heard, or `old` is no voter.
         """
         driver = self._running(group or self.names[0])
-        resident = driver.core.roster.residents.get(new)
+        resident = driver.core.roster.observed.get(new)
         if resident is None:
             raise errors.BadRequest(f"Instance {new} was not heard yet.")
         begun = [
@@ -372,12 +372,12 @@
 
     def _transfer(self, replica: replicas.Replica) -> None:
         state = replica.state
-        if state.transfer_to != types.NOBODY:
+        if state.transfer_to != types.NO_REPLICA:
             return
         voters = [
-            (progress.acked, progress.match, follower)
+            (progress.last_contact, progress.match, follower)
             for follower, progress in state.progress.items()
-            if state.configuration.votes(follower)
+            if state.configuration.is_voter(follower)
         ]
         if voters:
             replica.transfer(max(voters)[2], self.timers.now())
--- a/src/mintcleat/roles/control/replication/telling.py
+++ b/src/mintcleat/roles/control/replication/telling.py
@@ -15,7 +15,9 @@
 class Teller:
     """Turns what happens to a replica into events; decides nothing."""
 
-    def __init__(self, events: event_ports.Events, founder: bool) -> None:
+    def __init__(
+        self, events: event_ports.EventReporter, founder: bool
+    ) -> None:
         self.events = events
         self.founder = founder
 
@@ -25,7 +27,7 @@
         for group, replica in core.replicas.items():
             index, term = replica.log_end()
             state = replica.state
-            groups[group] = [state.term, index, term, state.mark.index]
+            groups[group] = [state.term, index, term, state.snapshot.index]
         self.events.emit(
             control_events.DiskOpened(
                 str(found.identity),
@@ -62,7 +64,7 @@
         if not newest and state.role != types.LEADER:
             return
         before = state.configuration_at(entry.index - 1)
-        after = records.configuration(entry.data)
+        after = records.decode_configuration(entry.data)
         self.events.emit(
             control_events.VotersChanged(
                 state.group,
@@ -87,11 +89,14 @@
             control_events.SnapshotSent(group, str(to), index, size, whole)
         )
 
-    def installed(self, item: outbox.Installed) -> None:
+    def installed(self, item: outbox.SnapshotReceived) -> None:
         """Tells that a snapshot replaced this replica's state."""
         self.events.emit(
             control_events.SnapshotInstalled(
-                item.group, item.mark.index, item.mark.term, len(item.state)
+                item.group,
+                item.snapshot.index,
+                item.snapshot.term,
+                len(item.state),
             )
         )
 
--- a/src/mintcleat/roles/entry/allowances.py
+++ b/src/mintcleat/roles/entry/allowances.py
@@ -8,7 +8,7 @@
 from typing import Any
 from typing import Protocol
 
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.decisions import limits
 from mintcleat.domain import errors
 from mintcleat.domain import events as event_types
@@ -43,17 +43,17 @@
         self,
         control: control_ports.Control,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         configuration: Configuration,
     ) -> None:
         self.control = control
         self.configuration = configuration
         self.timers = timers
         self.events = events
-        self.ahead = limits.Ahead()
+        self.ahead = limits.RequestPrefetch()
         self.waiting = 0
 
-    def limit_of(self, customer: str) -> program_messages.Limit | None:
+    def limit_of(self, customer: str) -> program_messages.RateLimit | None:
         """Returns a customer's limit as this entry knows it; None for none."""
         policies = self.configuration.manifest().policies
         held = policies.customers.get(customer)
@@ -89,7 +89,7 @@
         except errors.OutcomeUnknown as error:
             # Counted or not, the request itself did not run.
             raise errors.ControlUnavailable(
-                error.detail, retry_after=cut_off.RETRY_SECONDS
+                error.detail, retry_after=control_outage.RETRY_SECONDS
             ) from None
         self.events.emit(
             event_types.CallCounted(
@@ -110,16 +110,20 @@
         began = self.timers.now()
         while True:
             try:
-                seconds = cut_off.hold(self.configuration.lease_left())
+                seconds = control_outage.hold_seconds(
+                    self.configuration.lease_left()
+                )
                 reply = self.control.ask(scope, request, seconds)
             except errors.ControlUnavailable as error:
-                error.retry_after = cut_off.RETRY_SECONDS
+                error.retry_after = control_outage.RETRY_SECONDS
                 raise
             except errors.LimitNear:
                 raise
             except errors.LimitReached as error:
                 waited = self.timers.now() - began
-                seconds = limits.hold(error.retry_after, waited, self.waiting)
+                seconds = limits.hold_seconds(
+                    error.retry_after, waited, self.waiting
+                )
                 if not seconds:
                     raise
                 self._wait(seconds)
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -48,7 +48,7 @@
         streams: streams_port.Streams,
         timers: timers_port.Timers,
         metrics: metrics_port.Metrics,
-        events: events_port.Events = events_port.SILENT,
+        events: events_port.EventReporter = events_port.NULL_EVENT_REPORTER,
     ) -> None:
         self.control = control
         self.directory = directory
@@ -75,7 +75,7 @@
 
     def ready(self) -> bool:
         """Tells the balancer whether this entry takes new work."""
-        return not self.leaving and self.directory.in_lease()
+        return not self.leaving and self.directory.has_lease()
 
     def models(self) -> list[str]:
         """Returns the names of the model services."""
@@ -111,7 +111,7 @@
         )
         return self._remember(self._ask(create.program, create))
 
-    def as_caller(self, key: str, request: str) -> calls_port.Calls:
+    def authenticate(self, key: str, request: str) -> calls_port.EntryApi:
         """Returns the entry as the holder of a key may use it.
 
         Args:
@@ -157,7 +157,7 @@
 
     def chat(
         self, call: requests.ChatCall
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Yields the parts of a chat answer and then its end."""
         refusal = self._refusal(idempotent_service=False)
         if refusal is not None and not (call.program or call.key):
@@ -229,7 +229,7 @@
 
     def _counted(
         self, context: chat_call.Context
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Runs a chat call, counted as running until its last byte."""
         self.metrics.count("calls_total", kind="chat")
         started = self.timers.now()
@@ -243,7 +243,7 @@
                     first = False
                     waited = self.timers.now() - started
                     self.metrics.observe("first_token_seconds", waited)
-                ended = isinstance(event, requests.End)
+                ended = isinstance(event, requests.AnswerEnd)
                 if ended:
                     attempt = event.attempt
                     self._note_turn(context, event)
@@ -261,7 +261,9 @@
                 attempt=attempt,
             ).debug("Chat call {} in {:.4f} s", _ENDED[ended], taken)
 
-    def _note_turn(self, context: chat_call.Context, end: requests.End) -> None:
+    def _note_turn(
+        self, context: chat_call.Context, end: requests.AnswerEnd
+    ) -> None:
         """Keeps where the program's history is cached now.
 
         A stale note costs a rebuild, never a wrong answer: order and budget
@@ -291,7 +293,7 @@
         """
         if self.draining:
             return errors.Draining("This entry is stopping.")
-        if self.directory.in_lease():
+        if self.directory.has_lease():
             return None
         policy = self.directory.manifest().policies.stale_lease
         if idempotent_service and policy == "serve":
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -1,13 +1,13 @@
 """The entry's way of a routed request: its route, and its refusals."""
 
 from mintcleat.decisions import cold_start
-from mintcleat.decisions import comeback
+from mintcleat.decisions import jitter
 from mintcleat.decisions import policy as policy_module
 from mintcleat.decisions import routes
 from mintcleat.domain import errors
 from mintcleat.domain import events as event_types
 from mintcleat.domain import manifest
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
@@ -35,10 +35,10 @@
     def __init__(
         self,
         configuration: routed_run.Configuration,
-        upstreams: forwarding.Upstreams,
+        upstreams: forwarding.UpstreamClient,
         turns: turn_keeper.TurnKeeper,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         entry: str,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
@@ -65,13 +65,15 @@
         # Without a lease, turns can't be recorded here while others can; the
         # balancer uses every entry anyway when too few are ready. It moves no
         # open connection: a caller that keeps one would be refused on it again.
-        return not self.draining and self.configuration.in_lease()
+        return not self.draining and self.configuration.has_lease()
 
     def limits(self) -> manifest.Limits:
         """Returns what callers may send."""
         return self.configuration.manifest().limits
 
-    def handle(self, call: routed.RoutedCall, reply: forwarding.Reply) -> None:
+    def handle(
+        self, call: routed_calls.RoutedCall, reply: forwarding.CallerResponse
+    ) -> None:
         """Answers a request.
 
         Raises:
@@ -85,14 +87,14 @@
             run.serve(reply)
         except errors.MintcleatError as error:
             if error.retry_after:
-                error.retry_after = comeback.after(
+                error.retry_after = jitter.retry_after(
                     call.request, error.retry_after
                 )
             self._tell_refusal(call, run, error, began)
             raise
 
     def _route(
-        self, call: routed.RoutedCall, began: float
+        self, call: routed_calls.RoutedCall, began: float
     ) -> routed_run.RoutedRun:
         if not self._has_word():
             self._await_word(call)
@@ -111,7 +113,7 @@
             self.means, call, match, name, service, began, caller.priority
         )
 
-    def _match(self, call: routed.RoutedCall) -> routes.Match:
+    def _match(self, call: routed_calls.RoutedCall) -> routes.Match:
         """Returns the route of a request.
 
         Raises:
@@ -125,7 +127,7 @@
             self.table_of = current
         match = self.table.find(call.host, call.path)
         if match is None:
-            if not configuration.in_lease():
+            if not configuration.has_lease():
                 # A route that was added since can't be told from none.
                 raise errors.LeaseExpired(
                     "No route is known, and the configuration may be old.",
@@ -141,11 +143,11 @@
         second. Between them keys can't be told and turns can't be recorded.
         """
         self.informed = self.informed or (
-            self.configuration.revision() > 0 and self.configuration.in_lease()
+            self.configuration.revision() > 0 and self.configuration.has_lease()
         )
         return self.informed
 
-    def _await_word(self, call: routed.RoutedCall) -> None:
+    def _await_word(self, call: routed_calls.RoutedCall) -> None:
         """Holds a call while this entry has just started.
 
         Raises:
@@ -153,7 +155,7 @@
         """
         uptime = self.timers.now() - self.started
         deadline = call.deadline or _PATIENT_SECONDS
-        seconds = cold_start.hold(uptime, deadline, self.held)
+        seconds = cold_start.hold_seconds(uptime, deadline, self.held)
         until = self.timers.now() + seconds
         self.held += 1
         try:
@@ -185,7 +187,7 @@
 
     def _tell_refusal(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         run: routed_run.RoutedRun | None,
         error: errors.MintcleatError,
         began: float,
--- a/src/mintcleat/roles/entry/identity.py
+++ b/src/mintcleat/roles/entry/identity.py
@@ -55,13 +55,13 @@
         self,
         configuration: Configuration,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
     ) -> None:
         self.configuration = configuration
         self.timers = timers
         self.events = events
         self.policies = configuration.manifest().policies
-        self.register = customers.Register(self.policies)
+        self.register = customers.CallerIndex(self.policies)
         self.unconfirmed = 0
 
     def caller(self, key: str, public: bool = False) -> customers.Caller | None:
@@ -100,7 +100,7 @@
         found = self.caller(key, public)
         if found is None and not public:
             raise _unauthorized(key)
-        return found or customers.NOBODY
+        return found or customers.UNKNOWN_CALLER
 
     def confirm(self, request: str, key: str, arrived: float) -> None:
         """Waits until this entry knows every push from before a request.
@@ -118,7 +118,7 @@
         self.events.emit(
             event_types.KeyUnknown(
                 request,
-                keys.short(key),
+                keys.short_digest(key),
                 round(self.timers.now() - arrived, 4),
                 round(arrived - self.configuration.known_until(), 4),
                 self.configuration.revision(),
@@ -150,12 +150,12 @@
         policies = self.configuration.manifest().policies
         if policies is not self.policies:
             self.policies = policies
-            self.register = customers.Register(policies)
+            self.register = customers.CallerIndex(policies)
 
 
 def _unauthorized(key: str) -> errors.Unauthorized:
     """Returns the refusal of a request whose key surely opens nothing."""
-    shown = keys.short(key)
+    shown = keys.short_digest(key)
     named = f"The key {shown}" if shown else "A request without one key"
     return errors.Unauthorized(
         f"{named} is no customer's.",
--- a/src/mintcleat/roles/entry/service_calls.py
+++ b/src/mintcleat/roles/entry/service_calls.py
@@ -96,17 +96,17 @@
         if not context.committed:
             return self._run(context, placed, 0)
         reply = self._begin(context, placed, sealed)
-        if isinstance(reply, program_messages.Granted):
+        if isinstance(reply, program_messages.AttemptGranted):
             return self._run(context, placed, reply.attempt)
         return self._earlier(context, reply)
 
     def _earlier(
         self,
         context: Context,
-        reply: program_messages.Recorded | program_messages.Underway,
+        reply: program_messages.CallRecorded | program_messages.AttemptRunning,
     ) -> requests.ServiceAnswer | attempts_module.Again:
         """Returns the recorded answer, or follows the attempt under way."""
-        if isinstance(reply, program_messages.Underway):
+        if isinstance(reply, program_messages.AttemptRunning):
             return self._follow(context, reply)
         return recorded_answer(reply)
 
@@ -135,9 +135,9 @@
         placed: placement_module.Placed,
         sealed: int,
     ) -> (
-        program_messages.Granted
-        | program_messages.Recorded
-        | program_messages.Underway
+        program_messages.AttemptGranted
+        | program_messages.CallRecorded
+        | program_messages.AttemptRunning
     ):
         call = context.call
         begin = program_messages.BeginCall(
@@ -187,7 +187,7 @@
             return self._after_loss(context, attempt, placed)
         except errors.StreamTimeout:
             return self._after_loss(context, attempt, placed)
-        if isinstance(reply, call_messages.Broken) and (
+        if isinstance(reply, call_messages.AttemptFailed) and (
             attempts_module.never_delivered(reply.failure)
         ):
             cause = errors.NoUpstream("The sidecar was just restarted.")
@@ -199,8 +199,8 @@
         context: Context,
         attempt: int,
         reply: call_messages.ToolAnswer
-        | call_messages.Refused
-        | call_messages.Broken,
+        | call_messages.AttemptRefused
+        | call_messages.AttemptFailed,
     ) -> requests.ServiceAnswer | attempts_module.Again:
         match reply:
             case call_messages.ToolAnswer(_, status, headers, body, load):
@@ -211,12 +211,12 @@
                 return requests.ServiceAnswer(
                     status, headers, body, attempt, replayed=False
                 )
-            case call_messages.Refused(_, failure, load):
+            case call_messages.AttemptRefused(_, failure, load):
                 self.placement.learn(load)
                 return attempts_module.Again(
                     attempt, errors.from_failure(failure)
                 )
-            case call_messages.Broken(_, failure):
+            case call_messages.AttemptFailed(_, failure):
                 return self._broken(context, attempt, failure)
             case _:
                 raise errors.OutcomeUnknown(
@@ -234,10 +234,10 @@
         raise cause
 
     def _follow(
-        self, context: Context, underway: program_messages.Underway
+        self, context: Context, underway: program_messages.AttemptRunning
     ) -> requests.ServiceAnswer | attempts_module.Again:
         name = context.name
-        attach = call_messages.Attach(
+        attach = call_messages.AttachAttempt(
             name.program,
             name.customer,
             name.key,
@@ -309,7 +309,9 @@
     )
 
 
-def recorded_answer(reply: program_messages.Recorded) -> requests.ServiceAnswer:
+def recorded_answer(
+    reply: program_messages.CallRecorded,
+) -> requests.ServiceAnswer:
     """Returns the answer that an earlier send of this call got."""
     status, headers, body = msgpack.unpackb(reply.answer, raw=False)
     return requests.ServiceAnswer(
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_keeper.py
@@ -3,11 +3,11 @@
 import collections
 from collections.abc import Mapping
 
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.domain import errors
 from mintcleat.domain import events as event_types
 from mintcleat.domain import program_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import control as control_ports
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
@@ -32,12 +32,12 @@
         self.limit = limit
         self.size = 0
         self.turns: collections.OrderedDict[
-            branches.Owned, program_messages.KeptTurn
+            branches.ScopedId, program_messages.KeptTurn
         ] = collections.OrderedDict()
 
     def put(self, kept: program_messages.KeptTurn) -> None:
         """Takes a turn that surely ended whole."""
-        key = branches.Owned(kept.customer, kept.turn)
+        key = branches.ScopedId(kept.customer, kept.turn)
         if key in self.turns:
             self.turns.move_to_end(key)
             return
@@ -61,19 +61,19 @@
 
     def __init__(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         retention: float,
         chain: list[program_messages.KeptTurn],
         hint: str,
         others: Mapping[str, int],
-        counted: float = -1.0,
+        counted_at: float = -1.0,
     ) -> None:
         self.call = call
         self.retention = retention
         self.chain = chain
         self.hint = hint
         self.others = others
-        self.counted = counted
+        self.counted_at = counted_at
 
     def body(self) -> bytes:
         """Returns what the upstream is to receive."""
@@ -93,7 +93,7 @@
         control: control_ports.Control,
         allowed: allowances.Allowances,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
     ) -> None:
         self.control = control
         self.allowances = allowed
@@ -103,10 +103,10 @@
 
     def open(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         reserve: int,
         retention: float,
-        running: program_messages.Running,
+        running: program_messages.RunningCounts,
     ) -> OpenedTurn:
         """Reserves a turn's tokens and returns what it goes on from.
 
@@ -134,7 +134,7 @@
         began = self.timers.now()
         ahead = 0
         if limit:
-            ahead = self.allowances.ahead.wanted(call.customer, began)
+            ahead = self.allowances.ahead.prefetch_count(call.customer, began)
         request = program_messages.OpenTurn(
             program.program,
             call.request,
@@ -154,7 +154,7 @@
             # The turn itself did not run, whatever was committed.
             self.forget(call)
             raise errors.ControlUnavailable(
-                error.detail, retry_after=cut_off.RETRY_SECONDS
+                error.detail, retry_after=control_outage.RETRY_SECONDS
             ) from None
         chain = known
         if chain is None:
@@ -177,7 +177,7 @@
             chain,
             reply.upstream,
             reply.others,
-            reply.counted,
+            reply.counted_at,
         )
 
     def keep(
@@ -186,7 +186,7 @@
         tokens: int,
         upstream: str,
         output: bytes,
-        running: program_messages.Running,
+        running: program_messages.RunningCounts,
     ) -> None:
         """Commits a turn that ended whole, so that others can go on from it.
 
@@ -237,22 +237,27 @@
             ran: Whether it may have run; otherwise its customer gets the
                 request back.
         """
-        counted = -1.0 if ran else turn.counted
+        counted_at = -1.0 if ran else turn.counted_at
         self.timers.spawn(
-            self._settle, turn.call, tokens, upstream, turn.retention, counted
+            self._settle,
+            turn.call,
+            tokens,
+            upstream,
+            turn.retention,
+            counted_at,
         )
 
-    def forget(self, call: routed.RoutedCall) -> None:
+    def forget(self, call: routed_calls.RoutedCall) -> None:
         """Takes back an opening that may or may not have been committed."""
         self.timers.spawn(self._settle, call, 0, "", 0.0)
 
     def _settle(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         tokens: int,
         upstream: str,
         retention: float,
-        counted: float = -1.0,
+        counted_at: float = -1.0,
     ) -> None:
         program = call.program.program
         began = self.timers.now()
@@ -263,7 +268,7 @@
             upstream,
             retention=retention,
             customer=call.customer,
-            counted=counted,
+            counted_at=counted_at,
         )
         try:
             self.control.ask(program, request, SETTLE_SECONDS)
@@ -277,7 +282,11 @@
         self._tell_settled(call, tokens, False, began)
 
     def _tell_settled(
-        self, call: routed.RoutedCall, tokens: int, kept: bool, began: float
+        self,
+        call: routed_calls.RoutedCall,
+        tokens: int,
+        kept: bool,
+        began: float,
     ) -> None:
         self.events.emit(
             event_types.TurnSettled(
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -6,15 +6,15 @@
 from typing import Protocol
 
 from mintcleat.configuration import directory
+from mintcleat.decisions import load_balancing
 from mintcleat.decisions import policy as policy_module
 from mintcleat.decisions import shared_load
-from mintcleat.decisions import spread
-from mintcleat.decisions import standing
+from mintcleat.decisions import upstream_health
 from mintcleat.domain import events as event_types
 from mintcleat.domain import member_messages
 from mintcleat.domain import program_messages
 from mintcleat.domain import registrations
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 
@@ -40,7 +40,7 @@
         repeatable: Whether it may run once more elsewhere.
     """
 
-    call: routed.RoutedCall
+    call: routed_calls.RoutedCall
     hint: str
     affinity: str
     repeatable: bool
@@ -64,21 +64,21 @@
         self,
         configuration: Configuration,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         gone: Callable[[str], None],
         entry: str,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
         self.entry = entry
         self.policy = policy
-        self.others = shared_load.Others()
+        self.others = shared_load.OtherEntriesLoad()
         self.configuration = configuration
         self.timers = timers
         self.events = events
         self.gone = gone
-        self.standings = standing.Standings()
-        self.silences = standing.Silences()
-        self.speeds = spread.Speeds()
+        self.penalties = upstream_health.FailurePenalties()
+        self.silence_detector = upstream_health.SilenceDetector()
+        self.latencies = load_balancing.LatencyTracker()
         self.known: dict[str, member_messages.Registration] = {}
         self.by_service: dict[str, dict[str, member_messages.Registration]] = {}
         configuration.subscribe(self.read)
@@ -86,41 +86,45 @@
     def read(self) -> None:
         """Takes the directory as it is now."""
         registered = self.configuration.registered
-        entries = {item.life: item for item in registered.entries.values()}
-        for life in self.known.keys() - entries.keys():
-            held = self.known[life]
+        entries = {
+            item.incarnation: item for item in registered.entries.values()
+        }
+        for incarnation in self.known.keys() - entries.keys():
+            held = self.known[incarnation]
             self._tell(held._replace(state="gone"), registered.version)
-            self.speeds.forget(life)
-            self.standings.forget(life)
-            self.gone(life)
-        for life, item in entries.items():
-            held = self.known.get(life)
+            self.latencies.forget(incarnation)
+            self.penalties.forget(incarnation)
+            self.gone(incarnation)
+        for incarnation, item in entries.items():
+            held = self.known.get(incarnation)
             if held is None or not directory.same_except_renewal(held, item):
                 self._tell(item, registered.version)
         self.known = entries
         self.by_service = {}
-        for life, item in entries.items():
+        for incarnation, item in entries.items():
             if item.state == registrations.READY:
-                self.by_service.setdefault(item.service, {})[life] = item
+                self.by_service.setdefault(item.service, {})[incarnation] = item
 
     def choose(
         self, service: str, tried: set[str], wanted: Wanted
-    ) -> tuple[member_messages.Registration, spread.Choice, int] | None:
+    ) -> tuple[member_messages.Registration, load_balancing.Choice, int] | None:
         """Returns an upstream, why, and among how many; None for none."""
         now = self.timers.now()
         ready = self.by_service.get(service, {})
         policy = self.policy
-        names = standing.usable(
-            [life for life in ready if life not in tried],
-            self.standings if policy.standing else None,
-            self.silences if policy.silence else None,
+        names = upstream_health.healthy(
+            [incarnation for incarnation in ready if incarnation not in tried],
+            self.penalties if policy.standing else None,
+            self.silence_detector if policy.silence else None,
             wanted.repeatable,
             now,
         )
-        slow = self.speeds.factors(names, now) if policy.speed else {}
+        slow = (
+            self.latencies.slowdown_factors(names, now) if policy.speed else {}
+        )
         others = self._elsewhere(now)
         candidates = [
-            spread.Candidate(
+            load_balancing.Candidate(
                 name,
                 self.running(name) + others.get(name, 0),
                 ready[name].slots,
@@ -129,69 +133,74 @@
             for name in names
         ]
         hint = wanted.hint if policy.resident else ""
-        choice = spread.choose(
+        choice = load_balancing.choose(
             candidates, hint, wanted.affinity, wanted.call.request
         )
         if choice is None:
             return None
         return self.known[choice.upstream], choice, len(candidates)
 
-    def began(self, life: str, request: str, patience: float) -> None:
+    def began(self, incarnation: str, request: str, patience: float) -> None:
         """Counts a request that goes there.
 
         Args:
-            life: Where it goes.
+            incarnation: Where it goes.
             request: Its id.
             patience: Seconds of silence that are still usual for its route.
         """
-        self.silences.began(life, request, patience, self.timers.now())
+        self.silence_detector.began(
+            incarnation, request, patience, self.timers.now()
+        )
 
-    def arrived(self, life: str) -> None:
+    def arrived(self, incarnation: str) -> None:
         """Notes that something came from it."""
-        self.silences.arrived(life, self.timers.now())
+        self.silence_detector.arrived(incarnation, self.timers.now())
 
-    def running(self, life: str) -> int:
+    def running(self, incarnation: str) -> int:
         """Returns how many requests of this process run there."""
-        return self.silences.waiting(life)
+        return self.silence_detector.waiting(incarnation)
 
-    def running_elsewhere(self, life: str) -> int:
+    def running_elsewhere(self, incarnation: str) -> int:
         """Returns how many requests other entries have there; 0 if unknown."""
-        return self._elsewhere(self.timers.now()).get(life, 0)
+        return self._elsewhere(self.timers.now()).get(incarnation, 0)
 
     def heard_age(self) -> float:
         """Returns how old that knowledge is, in seconds; -1 without any."""
-        age = self.timers.now() - self.others.heard
+        age = self.timers.now() - self.others.received_at
         return round(age, 3) if age < FORGOTTEN else -1.0
 
-    def report(self) -> program_messages.Running:
+    def report(self) -> program_messages.RunningCounts:
         """Returns what this entry has running."""
-        waits = self.silences.waits
-        counts = {life: len(requests) for life, requests in waits.items()}
-        return program_messages.Running(self.entry, counts)
+        waits = self.silence_detector.pending_requests
+        counts = {
+            incarnation: len(requests)
+            for incarnation, requests in waits.items()
+        }
+        return program_messages.RunningCounts(self.entry, counts)
 
     def hear(self, others: Mapping[str, int]) -> None:
         """Takes what other entries have running."""
-        self.others.hear(others, self.timers.now())
+        self.others.update(others, self.timers.now())
 
-    def ended(self, life: str, request: str) -> None:
+    def ended(self, incarnation: str, request: str) -> None:
         """Takes the request back out of the count; safe to repeat."""
-        self.silences.ended(life, request)
+        self.silence_detector.ended(incarnation, request)
 
-    def observe(self, life: str, seconds: float) -> None:
+    def observe(self, incarnation: str, seconds: float) -> None:
         """Takes the pause before a piece, or the time of a whole answer."""
-        if life in self.known:
-            self.speeds.observe(life, seconds, self.timers.now())
+        if incarnation in self.known:
+            self.latencies.observe(incarnation, seconds, self.timers.now())
 
-    def answered(self, life: str, began: float) -> None:
+    def answered(self, incarnation: str, began: float) -> None:
         """Notes a good answer to a request that was sent at `began`."""
-        self.standings.answered(life, began, self.timers.now())
+        self.penalties.answered(incarnation, began, self.timers.now())
 
     def failed(self, upstream: member_messages.Registration) -> None:
         """Notes that it failed a request, broke off or was not reached."""
-        if upstream.life not in self.known:
+        if upstream.incarnation not in self.known:
             return
         now = self.timers.now()
-        held = self.standings.failed(upstream.life, now)
+        held = self.penalties.failed(upstream.incarnation, now)
         self.events.emit(
             event_types.UpstreamAvoided(
                 upstream.upstream,
@@ -202,7 +211,7 @@
         )
 
     def _elsewhere(self, now: float) -> Mapping[str, int]:
-        return self.others.known(now) if self.policy.shared_load else {}
+        return self.others.current(now) if self.policy.shared_load else {}
 
     def _tell(self, item: member_messages.Registration, version: int) -> None:
         self.events.emit(
--- a/src/mintcleat/roles/sidecar/gate.py
+++ b/src/mintcleat/roles/sidecar/gate.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
 from mintcleat.decisions import calls
 from mintcleat.decisions import queue
 from mintcleat.domain import errors
@@ -60,16 +60,16 @@
     def left(self, programs: list[str]) -> None:
         """Notes that programs hold nothing at the engine any more."""
         for program in programs:
-            self.gate.left(program)
+            self.gate.program_left(program)
         self.pump()
 
     def learn(self, agent: str, tokens: int, turns: int) -> None:
         """Learns from a program that is gone."""
-        self.gate.learner.finished(agent, tokens, turns)
+        self.gate.estimator.finished(agent, tokens, turns)
 
     def usual_answer(self, agent: str) -> int:
         """Returns the tokens that a call of this agent usually generates."""
-        return self.gate.learner.answer_tokens(agent, _USUAL_TOKENS)
+        return self.gate.estimator.answer_tokens(agent, _USUAL_TOKENS)
 
     def enter(
         self, attempt: sidecar_attempts.Attempt, call: calls.Call
@@ -83,7 +83,7 @@
             raise attempt.cancelled
         answer = self.gate.offer(call, self.timers.now())
         match answer:
-            case admit.Refuse(kind, retry_after):
+            case admission.Refuse(kind, retry_after):
                 raise errors.kinds()[kind](
                     "The predicted wait here is too long.",
                     retry_after=retry_after,
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -6,8 +6,8 @@
 
 from loguru import logger
 
-from mintcleat.decisions import pace
-from mintcleat.decisions import retain
+from mintcleat.decisions import cache_retention
+from mintcleat.decisions import send_interval
 from mintcleat.domain import errors
 from mintcleat.domain import identities
 from mintcleat.ports import control as control_port
@@ -100,7 +100,9 @@
         self.admission = admission
         self.on_gone = on_gone
         self.ledger = sidecar_ledger.Ledger()
-        self.keeper = retain.Keeper(retain.Options(memory=0))
+        self.paused_caches = cache_retention.PausedCaches(
+            cache_retention.Options(memory=0)
+        )
         self.exports = Exports(export_bytes)
         self.lives: collections.OrderedDict[str, Life] = (
             collections.OrderedDict()
@@ -114,8 +116,12 @@
 
     def resize(self, info: upstream_port.EngineInfo) -> None:
         """Takes the size that the engine announces."""
-        rate = self.keeper.options.prefill_rate * 8 if info.kv_export else 0.0
-        self.keeper.options = retain.Options(
+        rate = (
+            self.paused_caches.options.prefill_rate * 8
+            if info.kv_export
+            else 0.0
+        )
+        self.paused_caches.options = cache_retention.Options(
             memory=info.memory, export_rate=rate
         )
 
@@ -125,16 +131,16 @@
 
     def called(self, program: str) -> int:
         """Notes that a program's next turn waits; returns what is cached."""
-        self.keeper.called(program, self.timers.now())
+        self.paused_caches.called(program, self.timers.now())
         return self.held(program)
 
     def refused(self, program: str) -> None:
         """Notes that the turn is not run here."""
-        self.keeper.refused(program, self.timers.now())
+        self.paused_caches.refused(program, self.timers.now())
 
     def resume(self, program: str) -> None:
         """Prepares the engine for a program's turn that starts now."""
-        self.keeper.started(program)
+        self.paused_caches.started(program)
         blob = self.exports.pop(program)
         if blob is None:
             return
@@ -150,14 +156,14 @@
             return
         self.ledger.ran(program, tokens)
         now = self.timers.now()
-        self._act(self.keeper.paused(program, agent, tokens, now))
-        memory = self.keeper.options.memory
+        self._act(self.paused_caches.paused(program, agent, tokens, now))
+        memory = self.paused_caches.options.memory
         used = self.ledger.total()
         if memory and used > _PRESSURE_HIGH * memory:
             needed = int(used - _PRESSURE_LOW * memory)
-            for action in self.keeper.victims(needed, now):
+            for action in self.paused_caches.victims(needed, now):
                 self._act(action)
-        self.admission.protect(self.keeper.expected_soon(now))
+        self.admission.protect(self.paused_caches.expected_soon(now))
 
     def note(self, program: str, life: Life) -> None:
         """Keeps what a program had, for the learner once it is gone."""
@@ -174,19 +180,19 @@
     def sweep(self) -> None:
         """Puts out what has been paused for too long."""
         now = self.timers.now()
-        for action in self.keeper.sweep(now):
+        for action in self.paused_caches.sweep(now):
             self._act(action)
             self.admission.left([action.program])
-        self.admission.protect(self.keeper.expected_soon(now))
+        self.admission.protect(self.paused_caches.expected_soon(now))
 
     def renew(self) -> None:
         """Asks which programs are gone and releases them."""
         programs = list(self.ledger.tokens)
         for start in range(0, len(programs), _RENEW_BATCH):
             batch = programs[start : start + _RENEW_BATCH]
-            gone = self.control.gone(self.node, batch, _ASK_SECONDS)
+            gone = self.control.ended_programs(self.node, batch, _ASK_SECONDS)
             for program in gone:
-                self.keeper.gone(program)
+                self.paused_caches.gone(program)
                 self.exports.pop(program)
                 self.on_gone(program)
                 self._learn(program)
@@ -213,26 +219,26 @@
         """Frees everything, for a planned stop."""
         self.stopped = True
         try:
-            self.ledger.mend(self.engine.listing())
+            self.ledger.mend(self.engine.cache_listing())
         except errors.MintcleatError as error:
             logger.info("No listing at the stop: {}", error.detail)
         self.release(list(self.ledger.tokens))
 
-    def _act(self, action: retain.Action) -> None:
+    def _act(self, action: cache_retention.Action) -> None:
         match action:
-            case retain.Export(program):
+            case cache_retention.Export(program):
                 self._export(program)
                 self.release([program])
-            case retain.Drop(program, 0):
+            case cache_retention.Drop(program, 0):
                 self.release([program])
-            case retain.Drop(program, keep):
+            case cache_retention.Drop(program, keep):
                 self._shorten(program, keep)
-            case retain.Hold():
+            case cache_retention.Hold():
                 return
 
     def _shorten(self, program: str, keep: int) -> None:
         try:
-            self.engine.shorten(program, keep)
+            self.engine.truncate(program, keep)
         except errors.MintcleatError as error:
             logger.info("{} is not shortened: {}", program, error.detail)
             return
@@ -255,7 +261,7 @@
 
     def _follow(self) -> None:
         if self.ledger.unsure:
-            self.ledger.mend(self.engine.listing())
+            self.ledger.mend(self.engine.cache_listing())
         events = self.engine.events(self.ledger.seq, _EVENT_WAIT)
         self.ledger.take(events)
         # Late events may still come; a listing at each of them would cost
@@ -266,7 +272,9 @@
     def _renew_forever(self, seconds: float) -> None:
         while not self.stopped:
             size = len(self.ledger.tokens) * _RENEWAL_BYTES
-            wait = pace.interval(seconds, size, pace.RENEWAL_BUDGET)
+            wait = send_interval.for_budget(
+                seconds, size, send_interval.RENEWAL_BUDGET
+            )
             self.timers.sleep(wait)
             if self.stopped:
                 return
--- a/src/mintcleat/roles/sidecar/presence.py
+++ b/src/mintcleat/roles/sidecar/presence.py
@@ -167,7 +167,7 @@
             return errors.NoUpstream(f"The upstream here is {state}.")
         if self.directory.quarantined(asked.digest):
             return errors.Quarantined("Upstreams crashed on this request.")
-        if not self.directory.in_lease() and not self._serves_stale(asked):
+        if not self.directory.has_lease() and not self._serves_stale(asked):
             return errors.LeaseExpired("The configuration here is too old.")
         return None
 
@@ -225,5 +225,5 @@
             prefill_rate=load.prefill_rate,
             free_memory=self.free_memory,
             state=self.state(),
-            new_wait=load.new_wait,
+            first_call_wait=load.first_call_wait,
         )
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -43,7 +43,7 @@
         self.heard.append(message)
         return identities.Done()
 
-    def gone(
+    def ended_programs(
         self,
         sidecar: identities.Incarnation,
         programs: list[str],
@@ -77,7 +77,7 @@
     def revision(self) -> int:
         return 1
 
-    def in_lease(self) -> bool:
+    def has_lease(self) -> bool:
         return self.lease
 
     def members(self, service: str) -> list[member_messages.Announcement]:
@@ -105,8 +105,8 @@
         self.asked.append(message)
         if self.held is not None:
             self.held.wait()
-        if isinstance(message, config_messages.ReadFence):
-            return config_messages.Fence(self.fencing_token)
+        if isinstance(message, config_messages.ReadFencingToken):
+            return config_messages.FencingToken(self.fencing_token)
         return identities.Done()
 
 
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -11,11 +11,11 @@
 from mintcleat.adapters import timers
 from mintcleat.configuration import directory
 from mintcleat.decisions import cold_start
-from mintcleat.decisions import comeback
+from mintcleat.decisions import jitter
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 from mintcleat.domain import member_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import events
 from mintcleat.roles.entry import allowances
 from mintcleat.roles.entry import gateway
@@ -24,21 +24,23 @@
 
 class HoldTest(testtools.TestCase):
     def test_call_waits_for_the_rest_of_the_usual_start(self) -> None:
-        self.assertEqual(0.75, cold_start.hold(0.25, 10.0, 0))
+        self.assertEqual(0.75, cold_start.hold_seconds(0.25, 10.0, 0))
 
     def test_call_waits_for_a_share_of_its_own_time_only(self) -> None:
         # It keeps the time to be answered by another entry.
-        self.assertEqual(0.25, cold_start.hold(0.0, 1.0, 0))
+        self.assertEqual(0.25, cold_start.hold_seconds(0.0, 1.0, 0))
 
     def test_entry_that_should_have_started_refuses_at_once(self) -> None:
-        self.assertEqual(0.0, cold_start.hold(1.0, 10.0, 0))
-        self.assertEqual(0.0, cold_start.hold(60.0, 10.0, 0))
+        self.assertEqual(0.0, cold_start.hold_seconds(1.0, 10.0, 0))
+        self.assertEqual(0.0, cold_start.hold_seconds(60.0, 10.0, 0))
 
     def test_calls_held_are_bounded(self) -> None:
-        self.assertEqual(0.0, cold_start.hold(0.0, 4.0, cold_start.MOST_HELD))
+        self.assertEqual(
+            0.0, cold_start.hold_seconds(0.0, 4.0, cold_start.MAX_HELD)
+        )
 
     def test_refused_callers_do_not_come_back_together(self) -> None:
-        found = [comeback.after(f"r{n}", 0.5) for n in range(400)]
+        found = [jitter.retry_after(f"r{n}", 0.5) for n in range(400)]
         self.assertTrue(0.3 <= min(found) < 0.32)
         self.assertTrue(0.68 < max(found) <= 0.7)
         tenths = [int(10 * at) for at in found]
@@ -72,7 +74,7 @@
                 if knows <= at + seconds:
                     at = max(at, knows)
                     break
-                again = comeback.after(f"{number}/{attempt}", 0.5)
+                again = jitter.retry_after(f"{number}/{attempt}", 0.5)
                 if attempt % 2:
                     again = chance.uniform(0.1, 0.4)
                 at += seconds + again
@@ -80,7 +82,7 @@
         return found
 
     def test_calls_are_served_when_service_is_back(self) -> None:
-        held = self.waits(cold_start.hold)
+        held = self.waits(cold_start.hold_seconds)
         refused = self.waits(lambda *given: 0.0)
         # Seconds, mean: 0.02 against 0.28 where all are refused.
         self.assertThat(sum(held) / 600, matchers.LessThan(0.05))
@@ -103,7 +105,7 @@
     def revision(self) -> int:
         return self.known
 
-    def in_lease(self) -> bool:
+    def has_lease(self) -> bool:
         return True
 
     def lease_left(self) -> float:
@@ -139,7 +141,7 @@
 
 
 class Answer:
-    head = routed.Head(200, "OK", (), 4, False)
+    head = routed_calls.ResponseHead(200, "OK", (), 4, False)
 
     def body(self) -> bytes:
         return b"done"
@@ -154,11 +156,13 @@
     def __init__(self) -> None:
         self.sent: list[str] = []
 
-    def send(self, upstream: Any, call: routed.RoutedCall, how: Any) -> Answer:
+    def send(
+        self, upstream: Any, call: routed_calls.RoutedCall, how: Any
+    ) -> Answer:
         self.sent.append(call.request)
         return Answer()
 
-    def forget(self, life: str) -> None:
+    def forget(self, incarnation: str) -> None:
         """Keeps nothing."""
 
 
@@ -166,7 +170,7 @@
     def __init__(self) -> None:
         self.status = 0
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def send_whole(self, head: routed_calls.ResponseHead, body: bytes) -> None:
         self.status = head.status
 
 
@@ -175,7 +179,7 @@
         super().setUp()
         self.configuration = Configuration()
         self.upstreams = Upstreams()
-        clock, told = timers.EventletTimers(), events.Silent()
+        clock, told = timers.EventletTimers(), events.NullEventReporter()
         allowed = allowances.Allowances(None, clock, told, self.configuration)
         self.gateway = gateway.Gateway(
             self.configuration,
@@ -186,8 +190,8 @@
             "e1",
         )
 
-    def call(self, deadline: float) -> routed.RoutedCall:
-        return routed.RoutedCall(
+    def call(self, deadline: float) -> routed_calls.RoutedCall:
+        return routed_calls.RoutedCall(
             request="r1",
             method="GET",
             host="h",
--- a/testing/test_config_history.py
+++ b/testing/test_config_history.py
@@ -175,7 +175,7 @@
             if not revision or newer is None:
                 continue
             self.check_keys(name, node, newer)
-            if not node.in_lease():
+            if not node.has_lease():
                 continue
             if now > newer + lease.MAX_LEASE + config_links.STEP:
                 late = now - newer
@@ -217,7 +217,7 @@
             held = {node.revision() for node in history.live.values()}
             self.assertEqual({newest}, held, f"seed {seed}")
             for node in history.live.values():
-                self.assertTrue(node.in_lease(), f"seed {seed}")
+                self.assertTrue(node.has_lease(), f"seed {seed}")
             accepted += newest
         # Too few accepted pushes would make the test meaningless.
         self.assertTrue(accepted > SEEDS * 3, accepted)
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -36,7 +36,7 @@
         super().__init__()
         self.step = 0.0
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return self.clock + self.step
 
 
@@ -46,7 +46,7 @@
     def __init__(self, state: machine.ConfigMachine) -> None:
         self.machine = state
         self.timers = SteppedTimers()
-        self.events = events.Silent()
+        self.events = events.NullEventReporter()
         self.leader_epoch = 0
         self.index = 0
 
@@ -55,7 +55,7 @@
         return self.machine.apply(self.index, commands.encode(command))
 
     def date(self) -> float:
-        return self.timers.wall()
+        return self.timers.wall_time()
 
 
 class LeaderTest(testtools.TestCase):
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -7,7 +7,7 @@
 import testtools
 
 from fakes import waiting_clock
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.decisions import limits as decisions
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
@@ -18,7 +18,7 @@
 from mintcleat.roles.entry import allowances
 
 WINDOW = 5.0
-SMALL = program_messages.Limit(10.0, 10.0, WINDOW)
+SMALL = program_messages.RateLimit(10.0, 10.0, WINDOW)
 TOLERANT = SMALL._replace(overage=0.1, slack=20.0)
 
 
@@ -31,10 +31,10 @@
 class CountTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
 
     def take(self, clock: float, program: str = "p", limit: Any = SMALL) -> Any:
-        return self.held.take("farmers", program, limit, clock)
+        return self.held.admit("farmers", program, limit, clock)
 
     def spend(self, clock: float, limit: Any = SMALL) -> int:
         count = 0
@@ -60,7 +60,7 @@
 
     def test_other_customers_are_not_touched(self) -> None:
         self.spend(0.0)
-        self.assertIsNone(self.held.take("studios", "p", SMALL, 0.0))
+        self.assertIsNone(self.held.admit("studios", "p", SMALL, 0.0))
 
     def test_refusal_tells_when_to_come_back(self) -> None:
         for clock in range(60):
@@ -77,7 +77,7 @@
 
     def test_request_that_ran_nowhere_is_given_back(self) -> None:
         self.spend(0.0)
-        self.held.give_back("farmers", 0.0)
+        self.held.refund("farmers", 0.0)
         self.assertEqual(1, self.spend(0.1))
 
     def test_limit_below_one_request_still_lets_one_through(self) -> None:
@@ -85,26 +85,26 @@
 
     def test_requests_ahead_are_few_and_never_near_the_limit(self) -> None:
         self.take(0.0)
-        self.assertEqual(6, self.held.hand_out("farmers", 50, TOLERANT, 0.0))
-        self.assertEqual(0, self.held.hand_out("farmers", 50, TOLERANT, 0.5))
+        self.assertEqual(6, self.held.count_ahead("farmers", 50, TOLERANT, 0.0))
+        self.assertEqual(0, self.held.count_ahead("farmers", 50, TOLERANT, 0.5))
         while self.held.usages["farmers"].used < 50:
             self.take(2.0)
-        self.assertEqual(0, self.held.hand_out("farmers", 50, TOLERANT, 2.0))
-        self.assertEqual(0, self.held.hand_out("farmers", 50, SMALL, 2.0))
+        self.assertEqual(0, self.held.count_ahead("farmers", 50, TOLERANT, 2.0))
+        self.assertEqual(0, self.held.count_ahead("farmers", 50, SMALL, 2.0))
 
     def test_state_of_idle_customers_leaves(self) -> None:
         for number in range(4200):
-            self.held.take(f"c{number}", "p", SMALL, 0.0)
+            self.held.admit(f"c{number}", "p", SMALL, 0.0)
         for number in range(4200):
-            self.held.take("farmers", "p", SMALL, 200.0 + number / 1000)
+            self.held.admit("farmers", "p", SMALL, 200.0 + number / 1000)
         self.assertEqual(["farmers"], list(self.held.usages))
 
     def test_state_goes_on_after_a_snapshot(self) -> None:
         self.spend(1.0)
-        copy = limits.Limits()
+        copy = limits.CustomerLimits()
         copy.load(self.held.state())
         self.assertEqual(self.held.state(), copy.state())
-        self.assertIsNotNone(copy.take("farmers", "p", SMALL, 2.0))
+        self.assertIsNotNone(copy.admit("farmers", "p", SMALL, 2.0))
 
 
 class GroupTest(testtools.TestCase):
@@ -126,7 +126,7 @@
         found = self.group.open(opening("a", self.one), 0.0)
         self.group.close(
             program_messages.CloseTurn(
-                "p", "a", 0, customer="farmers", counted=found.counted
+                "p", "a", 0, customer="farmers", counted_at=found.counted_at
             ),
             0.0,
         )
@@ -155,7 +155,7 @@
     """An entry that may freeze between a count and the sending of it."""
 
     def __init__(self) -> None:
-        self.ahead = decisions.Ahead()
+        self.ahead = decisions.RequestPrefetch()
         self.frozen_until = 0.0
 
 
@@ -170,8 +170,8 @@
     def __init__(self, seed: int, *, replicated: bool = True) -> None:
         self.random = random.Random(seed)
         self.replicated = replicated
-        self.held = limits.Limits()
-        self.limit = program_messages.Limit(
+        self.held = limits.CustomerLimits()
+        self.limit = program_messages.RateLimit(
             self.random.choice((1.0, 5.0, 20.0, 100.0)),
             float(self.random.choice((0, 1, 10, 100))),
             WINDOW,
@@ -188,7 +188,9 @@
 
     def run(self, steps: int) -> None:
         for _ in range(steps):
-            self.now += self.random.expovariate(3 * self.limit.most() / WINDOW)
+            self.now += self.random.expovariate(
+                3 * self.limit.window_limit() / WINDOW
+            )
             if self.random.random() < 0.005:
                 self.fail_over()
             if self.random.random() < 0.005:
@@ -211,7 +213,7 @@
         self.leaderless_until = self.now + away
         self.lag += away
         state = self.held.state()
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
         if self.replicated:
             self.held.load(state)
 
@@ -225,10 +227,10 @@
             return
         clock = self.now - self.lag
         program = f"p{self.random.randint(1, 3)}"
-        if self.held.take("farmers", program, self.limit, clock) is None:
+        if self.held.admit("farmers", program, self.limit, clock) is None:
             self.arrivals.append(self.now)
             wanted = self.random.randint(0, 3)
-            given = self.held.hand_out("farmers", wanted, self.limit, clock)
+            given = self.held.count_ahead("farmers", wanted, self.limit, clock)
             until = self.now + limits.AHEAD_SECONDS
             sender.ahead.put("farmers", given, until)
 
@@ -250,7 +252,7 @@
         """
         until = [*(at for at, _ in self.changes[1:]), math.inf]
         return max(
-            limit.most() + limit.tolerance()
+            limit.window_limit() + limit.tolerance()
             for (at, limit), over in zip(self.changes, until, strict=True)
             if at <= end and over >= begin - limits.AHEAD_SECONDS
         )
@@ -288,7 +290,7 @@
         self.assertGreater(found, 10)
 
     def test_entry_that_slept_sends_nothing_it_held_before(self) -> None:
-        ahead = decisions.Ahead()
+        ahead = decisions.RequestPrefetch()
         ahead.put("farmers", 3, until=1.0)
         self.assertTrue(ahead.take("farmers", 0.9))
         self.assertFalse(ahead.take("farmers", 6.0))
@@ -310,13 +312,13 @@
         share: float,
         *,
         plain: bool = False,
-        limit: program_messages.Limit = SMALL,
+        limit: program_messages.RateLimit = SMALL,
         seed: int = 1,
     ) -> None:
-        self.rate = share * limit.most() / WINDOW
+        self.rate = share * limit.window_limit() / WINDOW
         self.limit = limit
         self.plain = plain
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
         self.random = random.Random(seed)
 
     def play(self, seconds: float) -> tuple[int, int]:
@@ -334,7 +336,7 @@
             # Without the distinction every request is one of a program that
             # is under way.
             name = "one" if self.plain else f"p{program}"
-            error = self.held.take("farmers", name, self.limit, now)
+            error = self.held.admit("farmers", name, self.limit, now)
             if error is None:
                 ran += 1
                 done += 1
@@ -375,7 +377,7 @@
     def test_large_customer_at_most_of_its_limit_is_never_refused(
         self,
     ) -> None:
-        large = program_messages.Limit(200.0, 200.0, WINDOW)
+        large = program_messages.RateLimit(200.0, 200.0, WINDOW)
         ran, useful = Programs(0.62, limit=large).play(60.0)
         self.assertEqual(ran, useful)
 
@@ -423,7 +425,10 @@
             manifest.Policies(customers=held)
         )
         self.allowances = allowances.Allowances(
-            self.control, self.clock, events.Silent(), self.configuration
+            self.control,
+            self.clock,
+            events.NullEventReporter(),
+            self.configuration,
         )
 
     def test_customer_without_a_limit_costs_control_nothing(self) -> None:
@@ -481,7 +486,7 @@
             "r",
         )
         self.assertEqual(
-            [cut_off.ELECTION_SECONDS, cut_off.CUT_OFF_SECONDS],
+            [control_outage.ELECTION_SECONDS, control_outage.CUT_OFF_SECONDS],
             self.control.timeouts,
         )
-        self.assertEqual(cut_off.RETRY_SECONDS, error.retry_after)
+        self.assertEqual(control_outage.RETRY_SECONDS, error.retry_after)
--- a/testing/test_replication.py
+++ b/testing/test_replication.py
@@ -139,7 +139,7 @@
             lambda n: log.propose("g", command, 5.0), range(1200)
         ):
             pass
-        mark = log.driver.core.replicas["g"].state.mark
+        mark = log.driver.core.replicas["g"].state.snapshot
         self.assertGreater(mark.index, 1000)
         self.assertLess(log.wal.size(), 4 * 1024 * 1024)
 
@@ -335,7 +335,7 @@
     def test_handed_over_leadership_needs_no_timeout(self) -> None:
         leader = self.leader()
         self.write(b"before")
-        leader.log.hand_over(5.0)
+        leader.log.transfer_leadership(5.0)
         other = self.leader()
         self.assertIsNot(leader, other)
         other.log.propose("g", b"after", 2.0)
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -123,7 +123,7 @@
 
     def date(self) -> float:
         """Returns the wall clock, which isn't stepped here."""
-        return self.timers.wall()
+        return self.timers.wall_time()
 
     def propose(self, command: Any) -> Any:
         """Commits at once."""
@@ -139,7 +139,7 @@
         """Becomes the leader."""
         self.log.cluster.elect(self.log.address)
         command = commands.StartLeaderEpoch(
-            self.log.address, self.timers.wall()
+            self.log.address, self.timers.wall_time()
         )
         self.leader_epoch = self.propose(command).number
 
@@ -183,7 +183,7 @@
                 "anna",
                 "test",
                 version,
-                self.timers.wall(),
+                self.timers.wall_time(),
             )
         )
 
--- a/testing/test_sidecar_memory.py
+++ b/testing/test_sidecar_memory.py
@@ -169,7 +169,7 @@
             _, end = rig.call(
                 service_rig.turn(f"p{number}", messages=[text + " " * number])
             )
-            self.assertIsInstance(end, call_messages.Finished)
+            self.assertIsInstance(end, call_messages.AttemptFinished)
         memory = rig.sidecar.memory
         self.assertThat(memory.ledger.total(), matchers.LessThan(541))
         self.assertThat(engine.cache.used, matchers.LessThan(601))
@@ -179,6 +179,6 @@
         said = [service_rig.user(f"{n}" * 100) for n in range(4)]
         blocks.store("p", said)
         one = cache.count_tokens(said[0])
-        blocks.shorten("p", 2 * one)
+        blocks.truncate("p", 2 * one)
         self.assertEqual(2 * one, blocks.cached(said))
         self.assertEqual(2 * one, blocks.used)
