--- a/src/mintcleat/domain/call_messages.py
+++ b/src/mintcleat/domain/call_messages.py
@@ -70,7 +70,7 @@
     The attempt has not started and is not sealed.
     """
 
-    have: int
+    turns: int
 
 
 class Chunk(NamedTuple):
@@ -81,7 +81,7 @@
     text: str
 
 
-class Finished(NamedTuple):
+class AttemptFinished(NamedTuple):
     """End of a chat answer; sent after FinishCall was committed.
 
     Attributes:
@@ -108,7 +108,7 @@
     load: "LoadReport"
 
 
-class Refused(NamedTuple):
+class AttemptRefused(NamedTuple):
     """The attempt is sealed at this sidecar: it did not and will not run."""
 
     attempt: int
@@ -116,14 +116,14 @@
     load: "LoadReport"
 
 
-class Broken(NamedTuple):
+class AttemptFailed(NamedTuple):
     """The attempt ended without a whole answer; `failure` says the outcome."""
 
     attempt: int
     failure: errors.Failure
 
 
-class Attach(NamedTuple):
+class AttachAttempt(NamedTuple):
     """Follows a running attempt from the start of its answer."""
 
     program: str
@@ -143,7 +143,7 @@
     sidecar: identities.Incarnation
 
 
-class Sealed(NamedTuple):
+class AttemptState(NamedTuple):
     """State of an attempt after a SealAttempt.
 
     Attributes:
--- a/src/mintcleat/roles/entry/chat.py
+++ b/src/mintcleat/roles/entry/chat.py
@@ -256,7 +256,7 @@
         self, run: call_messages.RunTurn, need: call_messages.NeedHistory
     ) -> call_messages.RunTurn:
         fetch = program_messages.FetchHistory(
-            run.program, need.have + 1, run.base_turn
+            run.program, need.turns + 1, run.base_turn
         )
         history = self.attempts.control.ask(
             run.program, fetch, attempts_module.CONTROL_SECONDS
@@ -280,7 +280,7 @@
                     new = delivery.take(offset, text)
                     if new:
                         yield requests.Text(new)
-                case call_messages.Finished():
+                case call_messages.AttemptFinished():
                     self.placement.learn(message.load)
                     self.placement.ended(
                         context.service, message.load.sidecar, ok=True
@@ -288,12 +288,12 @@
                     yield from chat_call.replay(delivery, message.message)
                     yield chat_call.finished_end(message)
                     return attempts_module.Whole()
-                case call_messages.Refused(attempt, failure, load):
+                case call_messages.AttemptRefused(attempt, failure, load):
                     self.placement.learn(load)
                     progress.tried.add(load.sidecar)
                     cause = errors.from_failure(failure)
                     return attempts_module.Again(attempt, cause)
-                case call_messages.Broken(attempt, failure):
+                case call_messages.AttemptFailed(attempt, failure):
                     self._failed(context, progress)
                     return self._broken(context, attempt, failure)
                 case _:
@@ -310,7 +310,7 @@
     ) -> Iterator[requests.Text | requests.End]:
         """Attaches to an attempt that runs or ran elsewhere."""
         name = context.name
-        attach = call_messages.Attach(
+        attach = call_messages.AttachAttempt(
             name.program,
             name.customer,
             name.key,
--- a/src/mintcleat/roles/entry/chat_call.py
+++ b/src/mintcleat/roles/entry/chat_call.py
@@ -127,7 +127,7 @@
     return json.loads(message).get("content") or ""
 
 
-def finished_end(message: call_messages.Finished) -> requests.End:
+def finished_end(message: call_messages.AttemptFinished) -> requests.End:
     """Returns the end event of a finished attempt."""
     return requests.End(
         message.message,
--- a/src/mintcleat/roles/entry/service_calls.py
+++ b/src/mintcleat/roles/entry/service_calls.py
@@ -187,7 +187,7 @@
             return self._after_loss(context, attempt, placed)
         except errors.StreamTimeout:
             return self._after_loss(context, attempt, placed)
-        if isinstance(reply, call_messages.Broken) and (
+        if isinstance(reply, call_messages.AttemptFailed) and (
             attempts_module.never_delivered(reply.failure)
         ):
             cause = errors.NoUpstream("The sidecar was just restarted.")
@@ -199,8 +199,8 @@
         context: Context,
         attempt: int,
         reply: call_messages.ToolAnswer
-        | call_messages.Refused
-        | call_messages.Broken,
+        | call_messages.AttemptRefused
+        | call_messages.AttemptFailed,
     ) -> requests.ServiceAnswer | attempts_module.Again:
         match reply:
             case call_messages.ToolAnswer(_, status, headers, body, load):
@@ -211,12 +211,12 @@
                 return requests.ServiceAnswer(
                     status, headers, body, attempt, replayed=False
                 )
-            case call_messages.Refused(_, failure, load):
+            case call_messages.AttemptRefused(_, failure, load):
                 self.placement.learn(load)
                 return attempts_module.Again(
                     attempt, errors.from_failure(failure)
                 )
-            case call_messages.Broken(_, failure):
+            case call_messages.AttemptFailed(_, failure):
                 return self._broken(context, attempt, failure)
             case _:
                 raise errors.OutcomeUnknown(
@@ -237,7 +237,7 @@
         self, context: Context, underway: program_messages.Underway
     ) -> requests.ServiceAnswer | attempts_module.Again:
         name = context.name
-        attach = call_messages.Attach(
+        attach = call_messages.AttachAttempt(
             name.program,
             name.customer,
             name.key,
--- a/src/mintcleat/roles/sidecar/attempts.py
+++ b/src/mintcleat/roles/sidecar/attempts.py
@@ -26,10 +26,10 @@
 UNKNOWN = "unknown"
 
 Outcome = (
-    call_messages.Finished
+    call_messages.AttemptFinished
     | call_messages.ToolAnswer
-    | call_messages.Refused
-    | call_messages.Broken
+    | call_messages.AttemptRefused
+    | call_messages.AttemptFailed
 )
 
 
--- a/src/mintcleat/roles/sidecar/execution.py
+++ b/src/mintcleat/roles/sidecar/execution.py
@@ -211,7 +211,9 @@
         self.count("refused", error.kind)
         self.runner.refused(attempt)
         failure = error.failure()._replace(outcome=errors.NOT_RUN)
-        attempt.end(call_messages.Refused(attempt.number, failure, self.load()))
+        attempt.end(
+            call_messages.AttemptRefused(attempt.number, failure, self.load())
+        )
 
     def _end_broken(
         self,
@@ -222,7 +224,7 @@
         failure = error.failure()
         if failure.outcome == errors.NOT_RUN:
             failure = failure._replace(outcome=errors.UNKNOWN)
-        broken = call_messages.Broken(attempt.number, failure)
+        broken = call_messages.AttemptFailed(attempt.number, failure)
         final = failure.outcome == errors.RAN
         state = sidecar_attempts.RAN if final else sidecar_attempts.UNKNOWN
         if attempt.message.idempotent and not final:
--- a/src/mintcleat/roles/sidecar/run.py
+++ b/src/mintcleat/roles/sidecar/run.py
@@ -91,7 +91,7 @@
         if asked.attempt:
             self._commit(attempt, answer, end.usage)
         attempt.end(
-            call_messages.Finished(
+            call_messages.AttemptFinished(
                 asked.attempt,
                 attempt.total,
                 answer,
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -125,7 +125,7 @@
         handlers = {
             call_messages.RunTurn: self.run_turn,
             call_messages.RunTool: self.run_tool,
-            call_messages.Attach: self.attach,
+            call_messages.AttachAttempt: self.attach,
             call_messages.SealAttempt: self.seal,
             call_messages.CancelAttempt: self.cancel,
             call_messages.WatchLoad: self.watch_load,
@@ -183,7 +183,9 @@
             self._start(exchange, asked, [])
 
     def attach(
-        self, exchange: streams_port.Exchange, asked: call_messages.Attach
+        self,
+        exchange: streams_port.Exchange,
+        asked: call_messages.AttachAttempt,
     ) -> None:
         """Lets a caller follow an attempt from the start of its answer."""
         if asked.sidecar != self.node:
@@ -216,7 +218,7 @@
                 sealed = errors.Draining("The attempt was sealed.")
                 self.executor.cancel(attempt, sealed)
             state = self.attempts.seal(scope, asked.attempt)
-        exchange.send(call_messages.Sealed(asked.attempt, state))
+        exchange.send(call_messages.AttemptState(asked.attempt, state))
 
     def cancel(
         self,
@@ -289,7 +291,9 @@
         self.reporter.stopped = True
         for attempt in cut:
             failure = errors.OutcomeUnknown("The sidecar was stopped.")
-            attempt.end(call_messages.Broken(attempt.number, failure.failure()))
+            attempt.end(
+                call_messages.AttemptFailed(attempt.number, failure.failure())
+            )
         for subscription in self.subscriptions:
             subscription.cancel()
         self.memory.stopped = True
@@ -358,7 +362,9 @@
         if asked.attempt:
             self.attempts.seal(_scope(asked), asked.attempt)
         exchange.send(
-            call_messages.Refused(asked.attempt, error.failure(), self.load())
+            call_messages.AttemptRefused(
+                asked.attempt, error.failure(), self.load()
+            )
         )
 
     def _count(self, ended: str, kind: str) -> None:
@@ -384,7 +390,7 @@
         match self.attempts.state(scope, number):
             case sidecar_attempts.NEVER:
                 failure = errors.Draining("The attempt was sealed here.")
-                return call_messages.Refused(
+                return call_messages.AttemptRefused(
                     number, failure.failure(), self.load()
                 )
             case sidecar_attempts.RAN:
@@ -395,7 +401,7 @@
                 )
             case _:
                 failure = errors.OutcomeUnknown("The call may have run.")
-        return call_messages.Broken(number, failure.failure())
+        return call_messages.AttemptFailed(number, failure.failure())
 
     def _take_configuration(self) -> None:
         self.admission.configure()
@@ -424,8 +430,8 @@
     return sidecar_attempts.scope_of(asked.program, asked.customer, asked.key)
 
 
-def _other_incarnation(number: int) -> call_messages.Broken:
+def _other_incarnation(number: int) -> call_messages.AttemptFailed:
     failure = errors.OtherIncarnation(
         "The attempt belongs to another life of this sidecar."
     )
-    return call_messages.Broken(number, failure.failure())
+    return call_messages.AttemptFailed(number, failure.failure())
--- a/testing/test_codec.py
+++ b/testing/test_codec.py
@@ -23,7 +23,7 @@
         self.assertRaises(errors.BadRequest, codec.decode, data)
 
     def test_wrong_field_type_is_refused(self) -> None:
-        data = codec.encode(call_messages.Sealed("one", "never"))
+        data = codec.encode(call_messages.AttemptState("one", "never"))
         self.assertRaises(errors.BadRequest, codec.decode, data)
 
     def test_truncated_bytes_are_refused(self) -> None:
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -65,7 +65,7 @@
             base_turn=1, base_digest=b"w" * 16, history=history
         )
         _, end = self.rig.call(asked)
-        self.assertIsInstance(end, call_messages.Refused)
+        self.assertIsInstance(end, call_messages.AttemptRefused)
         self.assertEqual([], self.engine.runs)
 
     def test_copy_of_a_running_attempt_gets_the_same_answer(self) -> None:
@@ -79,7 +79,7 @@
     def test_attach_gets_the_answer_from_its_start(self) -> None:
         asked = service_rig.turn()
         self.rig.open(asked).receive(5.0)
-        attach = call_messages.Attach("p", "", "k1", 1, service_rig.NODE)
+        attach = call_messages.AttachAttempt("p", "", "k1", 1, service_rig.NODE)
         text, _ = self.rig.call(attach)
         self.assertEqual(right_answer(asked.messages), text)
 
@@ -94,7 +94,7 @@
         _, sealed = self.rig.call(seal)
         self.assertEqual("never", sealed.state)
         _, end = self.rig.call(service_rig.turn())
-        self.assertIsInstance(end, call_messages.Refused)
+        self.assertIsInstance(end, call_messages.AttemptRefused)
         self.assertEqual([], self.engine.runs)
 
     def test_call_without_program_is_not_committed(self) -> None:
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -103,7 +103,7 @@
     def test_engine_that_refuses_the_request_has_a_final_outcome(self) -> None:
         asked = service_rig.turn(parameters='{"max_tokens":"many"}')
         _, end = self.rig.call(asked)
-        self.assertIsInstance(end, call_messages.Broken)
+        self.assertIsInstance(end, call_messages.AttemptFailed)
 
     def test_end_waits_for_the_commit(self) -> None:
         """Control has no leader when the engine has finished.
@@ -119,7 +119,7 @@
         self.assertIsNone(attempt.outcome)
         self.rig.control.fail = None
         _, end = service_rig.drain(exchange)
-        self.assertIsInstance(end, call_messages.Finished)
+        self.assertIsInstance(end, call_messages.AttemptFinished)
 
     def test_refused_commit_does_not_claim_that_the_call_did_not_run(
         self,
@@ -153,7 +153,7 @@
         self.assertEqual(["a", "c"], [r.program for r in self.engine.runs])
         service_rig.drain_rest(first)
         _, end = service_rig.drain(second)
-        self.assertIsInstance(end, call_messages.Finished)
+        self.assertIsInstance(end, call_messages.AttemptFinished)
 
 
 class OrderTest(testtools.TestCase):
--- a/testing/test_sidecar_memory.py
+++ b/testing/test_sidecar_memory.py
@@ -169,7 +169,7 @@
             _, end = rig.call(
                 service_rig.turn(f"p{number}", messages=[text + " " * number])
             )
-            self.assertIsInstance(end, call_messages.Finished)
+            self.assertIsInstance(end, call_messages.AttemptFinished)
         memory = rig.sidecar.memory
         self.assertThat(memory.ledger.total(), matchers.LessThan(541))
         self.assertThat(engine.cache.used, matchers.LessThan(601))
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -35,7 +35,7 @@
     def test_waiting_call_runs_when_its_turn_comes(self) -> None:
         self.occupy()
         text, end = self.rig.call(service_rig.turn("second"))
-        self.assertIsInstance(end, call_messages.Finished)
+        self.assertIsInstance(end, call_messages.AttemptFinished)
         self.assertEqual(len(text), end.total)
 
     def test_history_dropped_while_waiting_is_still_answered(self) -> None:
@@ -104,7 +104,7 @@
         self.patch(side.admission, "leave", leave_and_seal)
         service_rig.drain_rest(first)
         _, end = service_rig.drain(waiting)
-        self.assertIsInstance(end, call_messages.Refused)
+        self.assertIsInstance(end, call_messages.AttemptRefused)
         self.assertEqual("never", side.attempts.state("second", 1))
         self.patch(side.admission, "leave", leave)
         self.rig.call(service_rig.turn("third"))
@@ -133,7 +133,7 @@
         self.assertEqual("draining", refused.failure.kind)
         self.assertEqual(0, self.rig.sidecar.stop(5.0))
         _, end = service_rig.drain_rest(first)
-        self.assertIsInstance(end, call_messages.Finished)
+        self.assertIsInstance(end, call_messages.AttemptFinished)
 
 
 class LimitTest(testtools.TestCase):
@@ -242,7 +242,7 @@
         self.assert_refused("lease_expired")
         self.rig.directory.lease = True
         _, end = self.rig.call(service_rig.turn())
-        self.assertIsInstance(end, call_messages.Refused)
+        self.assertIsInstance(end, call_messages.AttemptRefused)
         self.assertEqual([], self.engine.runs)
 
     def test_expired_lease_refuses(self) -> None:
