--- a/src/mintcleat/adapters/admin_http.py
+++ b/src/mintcleat/adapters/admin_http.py
@@ -218,7 +218,7 @@
             case "DELETE", [_, upstream]:
                 started = request.number("started", 0)
                 return self.ask(
-                    member_messages.LeaveUpstream(upstream, started)
+                    member_messages.DeregisterUpstream(upstream, started)
                 )
             case _:
                 raise _unknown(request)
@@ -228,7 +228,7 @@
         if not isinstance(start, bool):
             raise errors.BadRequest("'start' must be true or false.")
         return self.ask(
-            operator_messages.EmptyControl(
+            operator_messages.EvacuateControl(
                 request.text("instance"),
                 start,
                 request.text("operator", "unnamed"),
--- a/src/mintcleat/configuration/commands.py
+++ b/src/mintcleat/configuration/commands.py
@@ -206,7 +206,7 @@
     office: int
     service: str
     instance: str
-    fence: int
+    fencing_token: int
     outcome: str
     at: float
 
--- a/src/mintcleat/configuration/fence.py
+++ b/src/mintcleat/configuration/fence.py
@@ -21,11 +21,11 @@
         self.highest: int | None = None
         self.finished = 0
 
-    def learn(self, fence: int) -> None:
+    def learn(self, fencing_token: int) -> None:
         """Takes the highest committed number of a linearizable read."""
-        self.highest = max(self.highest or 0, fence)
+        self.highest = max(self.highest or 0, fencing_token)
 
-    def admit(self, fence: int) -> bool:
+    def admit(self, fencing_token: int) -> bool:
         """Tells whether the order must be carried out; False if it was.
 
         Raises:
@@ -36,17 +36,17 @@
                 "The highest fencing number is not known here yet.",
                 remedy="The config leader sends the order again.",
             )
-        if fence < self.highest:
+        if fencing_token < self.highest:
             raise errors.FencedOff(
-                f"Order {fence} is older than order {self.highest}."
+                f"Order {fencing_token} is older than order {self.highest}."
             )
-        self.highest = fence
-        return fence > self.finished
+        self.highest = fencing_token
+        return fencing_token > self.finished
 
-    def is_current(self, fence: int) -> bool:
+    def is_current(self, fencing_token: int) -> bool:
         """Tells whether no newer order came while this one waited."""
-        return fence == self.highest
+        return fencing_token == self.highest
 
-    def finish(self, fence: int) -> None:
+    def finish(self, fencing_token: int) -> None:
         """Notes that an order was carried out."""
-        self.finished = max(self.finished, fence)
+        self.finished = max(self.finished, fencing_token)
--- a/src/mintcleat/configuration/plan.py
+++ b/src/mintcleat/configuration/plan.py
@@ -148,7 +148,7 @@
     """Returns what shows that a version fails, or an empty text."""
     for upstream in view.upstreams:
         order = upstream.order
-        if order is None or order.fence <= rollout.started:
+        if order is None or order.fencing_token <= rollout.started:
             continue
         if order.model != model or order.epoch != upstream.epoch:
             continue
@@ -329,4 +329,4 @@
 def _of_rollout(
     order: rollouts.Order | None, rollout: rollouts.Rollout
 ) -> bool:
-    return order is not None and order.fence > rollout.started
+    return order is not None and order.fencing_token > rollout.started
--- a/src/mintcleat/configuration/rollouts.py
+++ b/src/mintcleat/configuration/rollouts.py
@@ -26,7 +26,7 @@
     """The last order of one instance; `outcome` is sent, done or failed."""
 
     epoch: int
-    fence: int
+    fencing_token: int
     action: str
     model: str
     outcome: str
@@ -54,26 +54,26 @@
     """Fencing counter, last order by instance, rollouts by service."""
 
     def __init__(self) -> None:
-        self.fence = 0
+        self.fencing_token = 0
         self.orders: dict[str, Order] = {}
         self.forgotten_fence = 0
         self.rollouts: dict[str, Rollout] = {}
 
     def take(self, count: int) -> int:
         """Takes fencing numbers; returns the highest of them."""
-        self.fence += max(1, count)
-        return self.fence
+        self.fencing_token += max(1, count)
+        return self.fencing_token
 
     def highest(self, instance: str) -> int:
         """Returns a number that no order of the instance exceeds yet."""
         order = self.orders.get(instance)
-        return order.fence if order else self.forgotten_fence
+        return order.fencing_token if order else self.forgotten_fence
 
     def plan(self, command: commands.PlanOrder) -> int:
         """Commits an order; the same step gets the same number again."""
         last = self.orders.get(command.instance)
         if last is not None and self._same_step(last, command):
-            return last.fence
+            return last.fencing_token
         self.orders.pop(command.instance, None)
         self.orders[command.instance] = Order(
             command.epoch,
@@ -85,13 +85,15 @@
         )
         while len(self.orders) > FENCES_KEPT:
             dropped = self.orders.pop(next(iter(self.orders)))
-            self.forgotten_fence = max(self.forgotten_fence, dropped.fence)
-        return self.fence
+            self.forgotten_fence = max(
+                self.forgotten_fence, dropped.fencing_token
+            )
+        return self.fencing_token
 
     def end(self, command: commands.EndOrder) -> bool:
         """Records an outcome; a report of an older order changes nothing."""
         order = self.orders.get(command.instance)
-        if order is None or order.fence != command.fence:
+        if order is None or order.fencing_token != command.fencing_token:
             return False
         self.orders[command.instance] = order._replace(
             outcome=command.outcome, at=command.at
@@ -109,7 +111,7 @@
             command.previous,
             RUNNING,
             "",
-            self.fence,
+            self.fencing_token,
             command.at,
         )
         self.rollouts[command.service] = rollout
@@ -128,7 +130,7 @@
     def state(self) -> list[Any]:
         """Returns everything as plain data."""
         return [
-            self.fence,
+            self.fencing_token,
             {name: list(order) for name, order in self.orders.items()},
             self.forgotten_fence,
             [list(rollout) for rollout in self.rollouts.values()],
@@ -136,7 +138,7 @@
 
     def load(self, state: list[Any]) -> None:
         """Takes what `state` returned."""
-        self.fence = state[0]
+        self.fencing_token = state[0]
         self.orders = {name: Order(*item) for name, item in state[1].items()}
         self.forgotten_fence = state[2]
         rollouts = [Rollout(*item) for item in state[3]]
--- a/src/mintcleat/domain/config_messages.py
+++ b/src/mintcleat/domain/config_messages.py
@@ -8,7 +8,7 @@
 from mintcleat.domain import identities
 
 
-class Follow(NamedTuple):
+class FollowConfiguration(NamedTuple):
     """Opens the configuration stream of one node.
 
     Attributes:
@@ -16,7 +16,7 @@
         address: The node's stream address.
         directory: Version of the directory that the node holds.
         digest: Digest of an update of which only a part has arrived.
-        held: Bytes of that update that the node has.
+        received: Bytes of that update that the node has.
     """
 
     node: identities.Incarnation
@@ -26,7 +26,7 @@
     revision: int
     directory: int = 0
     digest: bytes = b""
-    held: int = 0
+    received: int = 0
 
 
 class UpdatePart(NamedTuple):
@@ -64,7 +64,7 @@
     base: int = 0
 
 
-class Applied(NamedTuple):
+class RevisionApplied(NamedTuple):
     """A node's report: the revision it applied, and its own clock for echo."""
 
     revision: int
@@ -93,7 +93,7 @@
     source: str = ""
 
 
-class Pushed(NamedTuple):
+class ManifestPushed(NamedTuple):
     """The push is accepted as `revision`, now or when it was first sent.
 
     Attributes:
@@ -122,13 +122,13 @@
     """An order to an upstream, through its sidecar.
 
     Attributes:
-        fence: Fencing number, from the replicated counter.
+        fencing_token: Fencing number, from the replicated counter.
         action: `load`, `unload` or `role`.
         model: Model, adapter and version.
     """
 
     sidecar: identities.Incarnation
-    fence: int
+    fencing_token: int
     action: str
     model: str
 
@@ -154,13 +154,13 @@
     control: list[str] = []
 
 
-class ReadFence(NamedTuple):
+class ReadFencingToken(NamedTuple):
     """Asks for the highest fencing number by a linearizable read."""
 
     instance: str
 
 
-class Fence(NamedTuple):
+class FencingToken(NamedTuple):
     """No order of the instance committed so far has a higher number."""
 
-    fence: int
+    fencing_token: int
--- a/src/mintcleat/domain/member_messages.py
+++ b/src/mintcleat/domain/member_messages.py
@@ -41,7 +41,7 @@
     announcement: Announcement
 
 
-class Announced(NamedTuple):
+class LeaseRenewed(NamedTuple):
     """The lease is renewed for `lease` seconds from the sending of Announce.
 
     Attributes:
@@ -107,7 +107,7 @@
     registration: Registration
 
 
-class LeaveUpstream(NamedTuple):
+class DeregisterUpstream(NamedTuple):
     """A life of the upstream takes no new work and never will again.
 
     Attributes:
--- a/src/mintcleat/domain/operator_messages.py
+++ b/src/mintcleat/domain/operator_messages.py
@@ -9,7 +9,7 @@
 from mintcleat.domain import member_messages
 
 
-class EmptyControl(NamedTuple):
+class EvacuateControl(NamedTuple):
     """Asks to move all replicas off a control instance; repeat to poll.
 
     Attributes:
@@ -23,7 +23,7 @@
     origin: str
 
 
-class Emptied(NamedTuple):
+class EvacuationStatus(NamedTuple):
     """Whether nothing depends on the control instance any more."""
 
     done: bool
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -133,11 +133,13 @@
 
     def _leave(self, upstream: str, body: bytes) -> bytes:
         started = to_leaving(body)
-        return self._ask(member_messages.LeaveUpstream(upstream, started))
+        return self._ask(member_messages.DeregisterUpstream(upstream, started))
 
     def _empty(self, label: str, start: bool) -> bytes:
         found = self.config.ask(
-            operator_messages.EmptyControl(label, start, _OPERATOR, _OPERATOR),
+            operator_messages.EvacuateControl(
+                label, start, _OPERATOR, _OPERATOR
+            ),
             self.seconds,
         )
         state = "done" if found.done else "running"
--- a/src/mintcleat/roles/control/configuration/feed.py
+++ b/src/mintcleat/roles/control/configuration/feed.py
@@ -67,7 +67,7 @@
         lost_at: When its stream ended; infinite while it is open.
     """
 
-    follow: config_messages.Follow
+    follow: config_messages.FollowConfiguration
     revision: int
     applied_at: float
     lease_until: float
@@ -80,7 +80,7 @@
     def __init__(
         self,
         exchange: stream_ports.Exchange,
-        follow: config_messages.Follow,
+        follow: config_messages.FollowConfiguration,
         opened: float,
     ) -> None:
         self.exchange = exchange
@@ -91,7 +91,7 @@
         self.echo = NO_CLOCK
         self.members_sent = 0
         self.directory_sent = follow.directory
-        self.held = transfer.Point(follow.digest, follow.held)
+        self.held = transfer.Point(follow.digest, follow.received)
         self.restrictions_sent = -1
         self.announced: member_messages.Announcement | None = None
         self.duplicate: bool | None = None
@@ -132,7 +132,9 @@
         self.shelf = transfer.Shelf()
 
     def serve(
-        self, exchange: stream_ports.Exchange, follow: config_messages.Follow
+        self,
+        exchange: stream_ports.Exchange,
+        follow: config_messages.FollowConfiguration,
     ) -> None:
         """Serves one stream until it ends."""
         peer = self.attach(exchange, follow)
@@ -147,7 +149,9 @@
             self.detach(peer)
 
     def attach(
-        self, exchange: stream_ports.Exchange, follow: config_messages.Follow
+        self,
+        exchange: stream_ports.Exchange,
+        follow: config_messages.FollowConfiguration,
     ) -> Peer:
         """Takes a new stream in.
 
@@ -210,7 +214,9 @@
         table = self.source.table
         now = self.timers.now()
         match message:
-            case config_messages.Applied(revision=revision, clock=clock):
+            case config_messages.RevisionApplied(
+                revision=revision, clock=clock
+            ):
                 if revision != peer.applied:
                     peer.applied = revision
                     self._note(peer, applied_at=now)
@@ -335,7 +341,7 @@
             self._note(peer, lease_until=self.timers.now() + seconds)
         return seconds
 
-    def _announced(self, peer: Peer) -> member_messages.Announced | None:
+    def _announced(self, peer: Peer) -> member_messages.LeaseRenewed | None:
         if peer.announced is None:
             return None
         sidecar = peer.announced.sidecar
@@ -345,6 +351,6 @@
         if newer == peer.duplicate:
             return None
         peer.duplicate = newer
-        return member_messages.Announced(
+        return member_messages.LeaseRenewed(
             peer.announced.counter, self.times.member_lease, newer
         )
--- a/src/mintcleat/roles/control/configuration/relay.py
+++ b/src/mintcleat/roles/control/configuration/relay.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        follow: config_messages.Follow,
+        follow: config_messages.FollowConfiguration,
         replica: machine.ConfigMachine,
         table: members.Table,
         *,
@@ -70,7 +70,7 @@
             return ""
         return leader
 
-    def follow(self) -> config_messages.Follow:
+    def follow(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream.
 
         The replica may be ahead of what was told here. Starting from it
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -38,11 +38,11 @@
     operator_messages.DrainScope,
     operator_messages.ReleaseQuarantine,
     member_messages.ReportCrash,
-    config_messages.ReadFence,
+    config_messages.ReadFencingToken,
     operator_messages.SetControl,
     member_messages.RegisterUpstream,
-    member_messages.LeaveUpstream,
-    operator_messages.EmptyControl,
+    member_messages.DeregisterUpstream,
+    operator_messages.EvacuateControl,
 )
 # One answer of the trail; operators ask on from the last number.
 AUDIT_PAGE = 2_000
@@ -93,8 +93,8 @@
                 return operator_messages.Upstreams(
                     self.leader.membership.views(self.leader.machine.draining)
                 )
-            case config_messages.ReadFence(instance=instance):
-                return config_messages.Fence(
+            case config_messages.ReadFencingToken(instance=instance):
+                return config_messages.FencingToken(
                     self.leader.machine.ledger.highest(instance)
                 )
             case _:
@@ -108,7 +108,7 @@
                 return operator_messages.AuditTrail(
                     [operator_messages.AuditEntry(*entry) for entry in entries]
                 )
-            case operator_messages.EmptyControl():
+            case operator_messages.EvacuateControl():
                 return self._empty(message)
             case operator_messages.ShowCustomers():
                 return _customers(state.document)
@@ -151,7 +151,7 @@
                     )
             case member_messages.RegisterUpstream(registration=registration):
                 self.leader.registrar.register(registration)
-            case member_messages.LeaveUpstream(upstream=upstream):
+            case member_messages.DeregisterUpstream(upstream=upstream):
                 self.leader.registrar.leave(upstream, message.started)
             case operator_messages.SetControl():
                 self.leader.propose(commands.SetMember(*message, at))
@@ -173,7 +173,7 @@
 
     def _push(
         self, message: config_messages.PushManifest
-    ) -> config_messages.Pushed:
+    ) -> config_messages.ManifestPushed:
         try:
             parsed = manifest.parse(message.manifest)
         except errors.InvalidManifest as error:
@@ -200,11 +200,13 @@
                 self.leader.date(),
             )
         )
-        return config_messages.Pushed(accepted.revision, message.push_id)
+        return config_messages.ManifestPushed(
+            accepted.revision, message.push_id
+        )
 
     def _push_version(
         self, message: config_messages.PushManifest, parsed: manifest.Manifest
-    ) -> config_messages.Pushed:
+    ) -> config_messages.ManifestPushed:
         """Commits a numbered push.
 
         It waits for no lease of an earlier leader: such a lease ends within
@@ -215,7 +217,7 @@
         state = self.leader.machine.document
         if message.version <= state.version:
             self._tell_push(message, "not higher", began)
-            return config_messages.Pushed(
+            return config_messages.ManifestPushed(
                 state.revision, message.push_id, state.version
             )
         accepted = self.leader.propose(
@@ -231,7 +233,7 @@
             )
         )
         self._tell_push(message, "accepted", began)
-        return config_messages.Pushed(
+        return config_messages.ManifestPushed(
             accepted.revision, message.push_id, state.version
         )
 
@@ -276,8 +278,8 @@
         )
 
     def _empty(
-        self, message: operator_messages.EmptyControl
-    ) -> operator_messages.Emptied:
+        self, message: operator_messages.EvacuateControl
+    ) -> operator_messages.EvacuationStatus:
         """Starts moving replicas off an instance, or tells how far it is.
 
         Raises:
@@ -299,7 +301,9 @@
                     self.leader.date(),
                 )
             )
-        return operator_messages.Emptied(keeper.done(instance, state.emptied()))
+        return operator_messages.EvacuationStatus(
+            keeper.done(instance, state.emptied())
+        )
 
     def _note_refusal(
         self,
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -84,7 +84,7 @@
         self.served = (0, 0, 0)
         self.feed = config_feed.Feed(node.instance, self, timers, times)
         self.relay = config_relay.Relay(
-            config_messages.Follow(
+            config_messages.FollowConfiguration(
                 node, config_feed.CONTROL, failure_domain, address, 0
             ),
             self.machine,
@@ -107,7 +107,9 @@
         """Serves streams; the log must have been started."""
         for kind in config_requests.KINDS:
             self.streams.handle(kind, self._serve_request)
-        self.streams.handle(config_messages.Follow, self.feed.serve)
+        self.streams.handle(
+            config_messages.FollowConfiguration, self.feed.serve
+        )
         self.streams.handle(operator_messages.ShowNodes, self._serve_nodes)
         self.streams.handle(config_messages.Ping, self._serve_ping)
         self.subscriptions = [
--- a/src/mintcleat/roles/control/configuration/stream.py
+++ b/src/mintcleat/roles/control/configuration/stream.py
@@ -39,7 +39,7 @@
     def pick(self, attempt: int) -> str:
         """Returns the address to try, or an empty text for none."""
 
-    def follow(self) -> config_messages.Follow:
+    def follow(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream."""
 
     def applied(self) -> int:
@@ -146,7 +146,7 @@
     def _follow(self, address: str, attempt: int) -> None:
         held = self.incoming.point()
         follow = self.owner.follow()._replace(
-            digest=held.digest, held=held.size
+            digest=held.digest, received=held.size
         )
         exchange = self.streams.open(address, follow)
         self.exchange = exchange
@@ -191,7 +191,9 @@
         for message in self.owner.outgoing(first):
             exchange.send(message)
         exchange.send(
-            config_messages.Applied(self.owner.applied(), self.timers.now())
+            config_messages.RevisionApplied(
+                self.owner.applied(), self.timers.now()
+            )
         )
 
     def _pause(self, attempt: int) -> float:
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -210,9 +210,9 @@
         order = self.addresses()
         return order[attempt % len(order)] if order else ""
 
-    def follow(self) -> config_messages.Follow:
+    def follow(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream."""
-        return config_messages.Follow(
+        return config_messages.FollowConfiguration(
             self.node,
             self.role,
             self.failure_domain,
@@ -248,7 +248,7 @@
             case member_messages.DirectoryUpdate():
                 if self.registered.follow(message):
                     self._notify()
-            case member_messages.Announced(duplicate=duplicate):
+            case member_messages.LeaseRenewed(duplicate=duplicate):
                 self.duplicate = duplicate
             case _:
                 logger.warning("Unexpected {}", type(message).__name__)
--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -66,9 +66,9 @@
         policies: manifest.Policies,
     ) -> None:
         """Starts sending an order, unless it is being sent already."""
-        if order.fence in self.sending:
+        if order.fencing_token in self.sending:
             return
-        self.sending.add(order.fence)
+        self.sending.add(order.fencing_token)
         self.leader.timers.spawn(
             self._send, service, announced, order, policies
         )
@@ -89,9 +89,9 @@
                 if outcome:
                     self._end(service, announced, order, outcome)
         except errors.MintcleatError as error:
-            logger.info("Order {} waits: {}", order.fence, error.detail)
+            logger.info("Order {} waits: {}", order.fencing_token, error.detail)
         finally:
-            self.sending.discard(order.fence)
+            self.sending.discard(order.fencing_token)
 
     def _permitted(
         self, order: rollouts.Order, policies: manifest.Policies
@@ -100,7 +100,7 @@
             return True
         command = commands.TakePermit(
             self.leader.office,
-            str(order.fence),
+            str(order.fencing_token),
             policies.loads_per_minute,
             policies.load_burst,
             self.leader.date(),
@@ -119,7 +119,7 @@
         sidecar carries out once.
         """
         message = config_messages.Order(
-            announced.sidecar, order.fence, order.action, order.model
+            announced.sidecar, order.fencing_token, order.action, order.model
         )
         try:
             self.leader.streams.ask(announced.address, message, ORDER_SECONDS)
@@ -131,7 +131,7 @@
         except errors.MintcleatError as error:
             logger.warning(
                 "Order {} to {} failed: {}",
-                order.fence,
+                order.fencing_token,
                 announced.sidecar.instance,
                 error.detail,
             )
@@ -150,7 +150,7 @@
                 self.leader.office,
                 service,
                 announced.sidecar.instance,
-                order.fence,
+                order.fencing_token,
                 outcome,
                 self.leader.date(),
             )
@@ -204,7 +204,7 @@
             raise errors.FencedOff("The order is for another incarnation.")
         if self.gate.highest is None:
             self.gate.learn(self.read_fence())
-        self.gate.admit(order.fence)
+        self.gate.admit(order.fencing_token)
         with self.lock:
             self._carry_out(order)
         exchange.send(identities.Done(order.model))
@@ -212,15 +212,17 @@
     def _carry_out(self, order: config_messages.Order) -> None:
         # Asked again: while this order waited for the one before it, a newer
         # one may have come, or a copy of this one may have been carried out.
-        if not self.gate.admit(order.fence):
+        if not self.gate.admit(order.fencing_token):
             return
         self.upstream.hold_work(True)
         try:
             self._wait_idle()
-            if not self.gate.is_current(order.fence):
+            if not self.gate.is_current(order.fencing_token):
                 raise errors.FencedOff("A newer order came.")
-            self.upstream.carry_out(order.fence, order.action, order.model)
-            self.gate.finish(order.fence)
+            self.upstream.carry_out(
+                order.fencing_token, order.action, order.model
+            )
+            self.gate.finish(order.fencing_token)
         finally:
             self.upstream.hold_work(False)
 
--- a/src/mintcleat/roles/sidecar/orders.py
+++ b/src/mintcleat/roles/sidecar/orders.py
@@ -66,7 +66,7 @@
     """
 
     def read_fence() -> int:
-        read = config_messages.ReadFence(node.instance)
-        return directory.ask(read, _READ_SECONDS).fence
+        read = config_messages.ReadFencingToken(node.instance)
+        return directory.ask(read, _READ_SECONDS).fencing_token
 
     return orders.OrderReceiver(node, target, timers, read_fence)
--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -308,7 +308,9 @@
         end = cluster.now() + 10.0
         start = True
         while cluster.now() < end and cluster.running:
-            message = operator_messages.EmptyControl(one.name, start, "o", "t")
+            message = operator_messages.EvacuateControl(
+                one.name, start, "o", "t"
+            )
             answer = cluster.anyone().call(message)
             start = start and answer is None
             if answer is not None and answer.done:
--- a/testing/fakes/config_links.py
+++ b/testing/fakes/config_links.py
@@ -184,7 +184,8 @@
             service.feed.read(self.peer, message)
         clock = self.timers.now()
         service.feed.read(
-            self.peer, config_messages.Applied(self.owner.applied(), clock)
+            self.peer,
+            config_messages.RevisionApplied(self.owner.applied(), clock),
         )
 
 
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -65,7 +65,7 @@
         self.lease = True
         self.duplicate = False
         self.drained = False
-        self.fence = 0
+        self.fencing_token = 0
         self.quarantine: set[bytes] = set()
         self.suspects: set[bytes] = set()
         self.asked: list[Any] = []
@@ -105,8 +105,8 @@
         self.asked.append(message)
         if self.held is not None:
             self.held.wait()
-        if isinstance(message, config_messages.ReadFence):
-            return config_messages.Fence(self.fence)
+        if isinstance(message, config_messages.ReadFencingToken):
+            return config_messages.FencingToken(self.fencing_token)
         return identities.Done()
 
 
--- a/testing/test_config_stream.py
+++ b/testing/test_config_stream.py
@@ -32,8 +32,8 @@
         self.tried.append(address)
         return address
 
-    def follow(self) -> config_messages.Follow:
-        return config_messages.Follow(
+    def follow(self) -> config_messages.FollowConfiguration:
+        return config_messages.FollowConfiguration(
             self.node, "entry", "zone", "", self.revision, 0
         )
 
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -54,8 +54,8 @@
         self.taken.append(order)
         if order.model in self.broken:
             raise errors.UpstreamFailed("The weights are damaged.")
-        if order.fence not in self.done:
-            self.done.add(order.fence)
+        if order.fencing_token not in self.done:
+            self.done.add(order.fencing_token)
             domain = self.domains[int(name[-1]) % len(self.domains)]
             self.begun.setdefault(domain, self.timers.now())
             self.state[name] = "loading"
@@ -255,7 +255,7 @@
         self.push("2")
         self.fleet.lost = {"engine-0", "engine-3"}
         self.timers.advance(4.0)
-        first = {order.fence for order in self.fleet.taken}
+        first = {order.fencing_token for order in self.fleet.taken}
         self.assertTrue(first)
         self.fleet.lost = set()
         self.leader = self.leaders[1]
@@ -264,7 +264,9 @@
         self.assertEqual(rollouts.DONE, self.state())
         numbers: dict[str, set[int]] = {}
         for order in self.fleet.taken:
-            numbers.setdefault(order.sidecar.instance, set()).add(order.fence)
+            numbers.setdefault(order.sidecar.instance, set()).add(
+                order.fencing_token
+            )
         self.assertEqual([1] * 6, [len(item) for item in numbers.values()])
         self.assertEqual(4, self.fleet.least_ready)
 
@@ -298,7 +300,7 @@
             self.assertTrue(self.loads() <= 2 + passed, self.loads())
 
     def loads(self) -> int:
-        return len({order.fence for order in self.fleet.taken})
+        return len({order.fencing_token for order in self.fleet.taken})
 
 
 class PlanTest(testtools.TestCase):
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -174,7 +174,7 @@
         The sidecar is new and has seen no order, so it reads the highest
         number first and drops what lies below.
         """
-        self.rig.directory.fence = 9
+        self.rig.directory.fencing_token = 9
         self.assertRaises(errors.FencedOff, self.order, 8)
         self.assertEqual([], self.engine.orders)
         self.order(9)
--- a/testing/test_transfer.py
+++ b/testing/test_transfer.py
@@ -80,7 +80,9 @@
         clock = self.link.clock
         node = self.link.node
         if not self.waiting:
-            report = config_messages.Applied(node.applied(), clock.now())
+            report = config_messages.RevisionApplied(
+                node.applied(), clock.now()
+            )
             self.feed.read(self.peer, report)
             self.waiting = self.feed.pending(self.peer)
         message = self.waiting[0]
@@ -280,7 +282,9 @@
         before = link.node.lease.expires
         for _ in range(3):
             link.clock.sleep(0.3)
-            feed.read(peer, config_messages.Applied(1, link.clock.now()))
+            feed.read(
+                peer, config_messages.RevisionApplied(1, link.clock.now())
+            )
             for message in feed.pending(peer):
                 link.node.take(message)
         self.assertEqual(1, link.node.revision())
