--- a/bench/limits.py
+++ b/bench/limits.py
@@ -20,7 +20,7 @@
 from mintcleat.programs import limits
 
 WINDOW = 5.0
-LIMIT = program_messages.Limit(10.0, 10.0, WINDOW, 0.1, 20.0)
+LIMIT = program_messages.RateLimit(10.0, 10.0, WINDOW, 0.1, 20.0)
 SECONDS = 60.0
 # A turn and the calls of tools that follow it; a program has some of these.
 CALLS = 1.2
@@ -62,7 +62,7 @@
 
     def play(self, share: float) -> None:
         """Plays demand at a share of each customer's limit."""
-        rate = share * LIMIT.most() / WINDOW / (ROUNDS * (1 + CALLS))
+        rate = share * LIMIT.window_limit() / WINDOW / (ROUNDS * (1 + CALLS))
         due: list[tuple[float, str, str, int, Entry]] = []
         for customer in self.customers:
             at = self.random.expovariate(rate)
@@ -103,7 +103,7 @@
             return
         self.refused += 1
         recent = [at for at in self.arrivals[customer] if now - at < WINDOW]
-        self.owed += len(recent) + 1 <= LIMIT.most()
+        self.owed += len(recent) + 1 <= LIMIT.window_limit()
 
     def _allowed(
         self, now: float, customer: str, program: str, is_turn: int, entry: Any
@@ -112,7 +112,9 @@
             sent = entry.sent.setdefault(customer, collections.deque())
             while sent and now - sent[0] >= WINDOW:
                 sent.popleft()
-            if len(sent) + 1 > max(1.0, LIMIT.most() / len(self.entries)):
+            if len(sent) + 1 > max(
+                1.0, LIMIT.window_limit() / len(self.entries)
+            ):
                 return False
             sent.append(now)
             return True
@@ -158,8 +160,8 @@
 def ways() -> None:
     """Prints the table of ways."""
     print(
-        f"limit {LIMIT.most():g} in {WINDOW:g} s, "
-        f"{LIMIT.most() + LIMIT.tolerance():g} with its tolerance"
+        f"limit {LIMIT.window_limit():g} in {WINDOW:g} s, "
+        f"{LIMIT.window_limit() + LIMIT.tolerance():g} with its tolerance"
     )
     head = ("way", "entries", "customers", "demand", "requests", "refused",
             "owed", "fullest", "asked alone")  # fmt: skip
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -430,7 +430,7 @@
         "a" * 32, "", "agent-model", 12, "turn-12-" + "0" * 32, b"d" * 16,
         ["x" * 500], 700, True, here, "10.0.12.34:7101", 0, 1 << 60,
     )  # fmt: skip
-    granted = program_messages.Granted(
+    granted = program_messages.AttemptGranted(
         1 << 40, 11, b"d" * 16, 9000, 700, "a" * 32, "claim", "interactive"
     )
     finish = program_messages.FinishCall(
--- a/src/mintcleat/adapters/chat_http.py
+++ b/src/mintcleat/adapters/chat_http.py
@@ -63,16 +63,19 @@
 
 
 def whole_answer(
-    call: requests.ChatCall, events: Iterator[requests.Text | requests.End]
+    call: requests.ChatCall,
+    events: Iterator[requests.AnswerText | requests.AnswerEnd],
 ) -> bytes:
     """Returns the body of an answer that is not streamed."""
     for event in events:
-        if isinstance(event, requests.End):
+        if isinstance(event, requests.AnswerEnd):
             return json.dumps(completion(call, event)).encode()
     raise errors.UpstreamFailed("The answer had no end.")
 
 
-def completion(call: requests.ChatCall, end: requests.End) -> dict[str, Any]:
+def completion(
+    call: requests.ChatCall, end: requests.AnswerEnd
+) -> dict[str, Any]:
     """Returns OpenAI's chat.completion object."""
     choice = {
         "index": 0,
@@ -88,7 +91,7 @@
     }
 
 
-def usage(end: requests.End) -> dict[str, Any]:
+def usage(end: requests.AnswerEnd) -> dict[str, Any]:
     """Returns OpenAI's usage object."""
     counts = end.usage
     return {
@@ -100,7 +103,8 @@
 
 
 def streamed_answer(
-    call: requests.ChatCall, events: Iterator[requests.Text | requests.End]
+    call: requests.ChatCall,
+    events: Iterator[requests.AnswerText | requests.AnswerEnd],
 ) -> Iterator[bytes]:
     """Yields server-sent events; an error ends the stream as an event.
 
@@ -109,7 +113,7 @@
     """
     try:
         for event in events:
-            if isinstance(event, requests.Text):
+            if isinstance(event, requests.AnswerText):
                 yield chunk(call, {"content": event.text}, None)
             else:
                 yield chunk(call, {}, event.reason, usage(event))
--- a/src/mintcleat/decisions/limits.py
+++ b/src/mintcleat/decisions/limits.py
@@ -24,11 +24,11 @@
 
 def limit_of(
     customer: manifest.Customer, policies: manifest.Policies
-) -> program_messages.Limit | None:
+) -> program_messages.RateLimit | None:
     """Returns what a customer's requests are counted against; None for none."""
     if not customer.rate:
         return None
-    return program_messages.Limit(
+    return program_messages.RateLimit(
         customer.rate,
         customer.burst,
         policies.limit_window,
--- a/src/mintcleat/domain/program_messages.py
+++ b/src/mintcleat/domain/program_messages.py
@@ -9,7 +9,7 @@
 from mintcleat.domain import identities
 
 
-class Running(NamedTuple):
+class RunningCounts(NamedTuple):
     """What one entry has running, by life of the upstream.
 
     It rides on requests to the leader, which tells the other entries; it is
@@ -20,7 +20,7 @@
     by_upstream: dict[str, int]
 
 
-class Limit(NamedTuple):
+class RateLimit(NamedTuple):
     """How many requests a customer may send, over all entries.
 
     Attributes:
@@ -38,13 +38,13 @@
     overage: float = 0.0
     slack: float = 0.0
 
-    def most(self) -> float:
+    def window_limit(self) -> float:
         """Returns the requests that a window is meant to hold; one or more."""
         return max(1.0, self.rate * self.window + self.burst)
 
     def tolerance(self) -> float:
         """Returns the requests that a window may hold beyond that."""
-        return self.most() * self.overage + self.slack
+        return self.window_limit() * self.overage + self.slack
 
 
 class OpenTurn(NamedTuple):
@@ -59,7 +59,7 @@
         budget: Tokens that the program may be handed in all; 0 for no limit.
         reserve: Most tokens that this turn can hand out.
         retention: Seconds for which the program's turns are kept.
-        holds_chain: Whether the sender has the content of `previous` and all
+        has_chain: Whether the sender has the content of `previous` and all
             turns before it.
         running: What the sender has running; None in the log.
         customer: Whose program it is; empty for nobody's. Programs and turns
@@ -75,10 +75,10 @@
     budget: int
     reserve: int
     retention: float
-    holds_chain: bool = False
-    running: Running | None = None
+    has_chain: bool = False
+    running: RunningCounts | None = None
     customer: str = ""
-    limit: Limit | None = None
+    limit: RateLimit | None = None
     ahead: int = 0
 
 
@@ -106,7 +106,7 @@
             sender holds them.
         upstream: Where the program ran last; empty for a new one.
         others: What other entries have running, by life of the upstream.
-        counted: The group's clock at which the request was counted against
+        counted_at: The group's clock at which the request was counted against
             its customer's limit; below 0 for not at all.
         ahead: Requests counted for calls to come.
     """
@@ -114,7 +114,7 @@
     chain: list[KeptTurn]
     upstream: str
     others: dict[str, int] = {}
-    counted: float = -1.0
+    counted_at: float = -1.0
     ahead: int = 0
 
 
@@ -128,7 +128,7 @@
 
     customer: str
     program: str
-    limit: Limit
+    limit: RateLimit
     ahead: int = 0
 
 
@@ -148,7 +148,7 @@
         retention: Seconds for which it, and the turns before it, are kept.
         running: What the sender has running; None in the log.
         customer: Whose program it is, as in OpenTurn.
-        counted: As the opening told it, for a turn that ran nowhere: its
+        counted_at: As the opening told it, for a turn that ran nowhere: its
             request counts no more. Below 0 for one that is to count.
     """
 
@@ -161,9 +161,9 @@
     input: bytes = b""
     output: bytes = b""
     retention: float = 0.0
-    running: Running | None = None
+    running: RunningCounts | None = None
     customer: str = ""
-    counted: float = -1.0
+    counted_at: float = -1.0
 
 
 class CreateProgram(NamedTuple):
@@ -295,7 +295,7 @@
 class FindCall(NamedTuple):
     """Asks by a linearizable read what became of a key; grants nothing.
 
-    Answered by Recorded, Underway, the call's recorded failure, or Done with
+    Answered by CallRecorded, AttemptRunning, the call's recorded failure, or Done with
     `absent` when the key was never granted an attempt.
     """
 
@@ -306,7 +306,7 @@
     digest: bytes
 
 
-class Granted(NamedTuple):
+class AttemptGranted(NamedTuple):
     """An attempt may run at `sidecar`; committed.
 
     Attributes:
@@ -326,7 +326,7 @@
     klass: str
 
 
-class Recorded(NamedTuple):
+class CallRecorded(NamedTuple):
     """The call was finished before; this is its answer."""
 
     attempt: int
@@ -334,7 +334,7 @@
     usage: identities.Usage
 
 
-class Underway(NamedTuple):
+class AttemptRunning(NamedTuple):
     """Another attempt of this call is bound; attach to it or seal it there."""
 
     attempt: int
@@ -383,7 +383,7 @@
     programs: list[str]
 
 
-class Gone(NamedTuple):
+class ClosedPrograms(NamedTuple):
     """Programs whose engine memory must be released."""
 
     programs: list[str]
--- a/src/mintcleat/domain/requests.py
+++ b/src/mintcleat/domain/requests.py
@@ -61,13 +61,13 @@
     deadline: float
 
 
-class Text(NamedTuple):
+class AnswerText(NamedTuple):
     """Part of a chat answer, in order and without gaps."""
 
     text: str
 
 
-class End(NamedTuple):
+class AnswerEnd(NamedTuple):
     """End of a chat answer; it is recorded where there is a program.
 
     Attributes:
--- a/src/mintcleat/emulator/control.py
+++ b/src/mintcleat/emulator/control.py
@@ -33,7 +33,7 @@
         self.until = self.env.now + seconds
         self.board = shared_load.Board()
 
-    def ask(self, running: program_messages.Running) -> Any:
+    def ask(self, running: program_messages.RunningCounts) -> Any:
         """Commits one request; returns what the other entries have running.
 
         Raises:
--- a/src/mintcleat/ports/calls.py
+++ b/src/mintcleat/ports/calls.py
@@ -40,7 +40,7 @@
 
     def chat(
         self, call: requests.ChatCall
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Yields the parts of a chat answer and then its end."""
 
     def service(self, call: requests.ServiceCall) -> requests.ServiceAnswer:
--- a/src/mintcleat/programs/branches.py
+++ b/src/mintcleat/programs/branches.py
@@ -111,7 +111,7 @@
         if request.turn in account.settled:
             # Its sender gave it up before this copy arrived.
             return errors.Superseded(f"Turn {request.turn} was given up.")
-        counted, ahead = -1.0, 0
+        counted_at, ahead = -1.0, 0
         if request.turn not in account.held:
             left = account.budget - account.spent - sum(account.held.values())
             if account.budget and request.reserve > left:
@@ -126,14 +126,14 @@
                 return over
             account.held[request.turn] = request.reserve
             if request.limit is not None:
-                counted = clock
+                counted_at = clock
             ahead = self.limits.hand_out(
                 request.customer, request.ahead, request.limit, clock
             )
         upstream = chain[-1].upstream if chain else account.upstream
-        content = [] if request.holds_chain else chain
+        content = [] if request.has_chain else chain
         return program_messages.TurnOpened(
-            content, upstream, counted=counted, ahead=ahead
+            content, upstream, counted_at=counted_at, ahead=ahead
         )
 
     def count(self, request: program_messages.CountCall, clock: float) -> Any:
@@ -151,8 +151,8 @@
     def close(self, request: program_messages.CloseTurn, clock: float) -> Any:
         """Settles a turn, and keeps it where it ended whole."""
         account = self._account(request, clock)
-        if request.counted >= 0 and request.turn in account.held:
-            self.limits.give_back(request.customer, request.counted)
+        if request.counted_at >= 0 and request.turn in account.held:
+            self.limits.give_back(request.customer, request.counted_at)
         account.settle(request.turn, request.tokens)
         account.upstream = request.upstream or account.upstream
         if not request.keep:
--- a/src/mintcleat/programs/calls.py
+++ b/src/mintcleat/programs/calls.py
@@ -61,14 +61,18 @@
     match call.state:
         case records.FINISHED:
             answer = answers.load(group, call)
-            return program_messages.Recorded(call.attempt, answer, call.usage)
+            return program_messages.CallRecorded(
+                call.attempt, answer, call.usage
+            )
         case records.FAILED:
             return errors.from_failure(call.failure)
         case records.UNKNOWN:
             return errors.OutcomeUnknown(
                 f"Attempt {call.attempt} of key {call.key} may have run."
             )
-    return program_messages.Underway(call.attempt, call.sidecar, call.address)
+    return program_messages.AttemptRunning(
+        call.attempt, call.sidecar, call.address
+    )
 
 
 def _resend(
@@ -133,7 +137,7 @@
         if past.request != request.digest:
             return _key_conflict(request)
         answer = past.messages[-1].encode()
-        return program_messages.Recorded(past.attempt, answer, past.usage)
+        return program_messages.CallRecorded(past.attempt, answer, past.usage)
     if _is_past_key(program, request.key):
         return _key_conflict(request)
     return _wrong_turn(program, request)
@@ -197,7 +201,7 @@
     group: state.Group,
     table: dict[Any, records.Call],
     request: program_messages.BeginCall,
-) -> program_messages.Granted:
+) -> program_messages.AttemptGranted:
     call = records.Call(
         number=group.last_attempt + 1,
         program=request.program,
@@ -231,7 +235,7 @@
     group: state.Group,
     call: records.Call,
     request: program_messages.BeginCall,
-) -> program_messages.Granted:
+) -> program_messages.AttemptGranted:
     group.last_attempt += 1
     call.attempt = group.last_attempt
     call.sidecar = request.sidecar
@@ -245,15 +249,15 @@
 
 def _granted(
     group: state.Group, call: records.Call
-) -> program_messages.Granted:
+) -> program_messages.AttemptGranted:
     if not call.program:
-        return program_messages.Granted(
+        return program_messages.AttemptGranted(
             call.attempt, 0, digests.EMPTY, 0, 0, "", "", ""
         )
     program = group.programs[call.program]
     chain = group.chain(program)
     is_limited = any(ancestor.budget.tokens for ancestor in chain)
-    return program_messages.Granted(
+    return program_messages.AttemptGranted(
         attempt=call.attempt,
         base_turn=program.next_turn - 1,
         base_digest=program.digest,
--- a/src/mintcleat/programs/limits.py
+++ b/src/mintcleat/programs/limits.py
@@ -115,14 +115,14 @@
     def take(
         self,
         program: str,
-        limit: program_messages.Limit,
+        limit: program_messages.RateLimit,
         clock: float,
     ) -> Need | None:
         """Counts a request, or returns why it may not be sent."""
         self._forget(limit.window, clock)
         used = self.used
         begins = program not in self.active
-        most = limit.most()
+        most = limit.window_limit()
         last = most + limit.tolerance() * (1 - _AHEAD_SHARE)
         if used + 1 > (most if begins else last):
             if not begins:
@@ -140,12 +140,12 @@
         return None
 
     def hand_out(
-        self, wanted: int, limit: program_messages.Limit, clock: float
+        self, wanted: int, limit: program_messages.RateLimit, clock: float
     ) -> int:
         """Counts requests ahead of need; returns how many."""
         while self.ahead and clock - self.ahead[0][0] > AHEAD_SECONDS:
             self.ahead.popleft()
-        most = limit.most()
+        most = limit.window_limit()
         room = int(limit.tolerance() * _AHEAD_SHARE) - sum(
             n for _, n in self.ahead
         )
@@ -158,10 +158,10 @@
             self.ahead.append((clock, given))
         return given
 
-    def give_back(self, counted: float) -> None:
+    def give_back(self, counted_at: float) -> None:
         """Takes back a request that was counted at a clock and never ran."""
         for slot in reversed(self.slots):
-            if slot.start <= counted:
+            if slot.start <= counted_at:
                 if slot.count:
                     slot.count -= 1
                     self.used -= 1
@@ -269,7 +269,7 @@
         self,
         customer: str,
         program: str,
-        limit: program_messages.Limit | None,
+        limit: program_messages.RateLimit | None,
         clock: float,
     ) -> errors.LimitReached | None:
         """Counts a request of a customer, or returns its refusal."""
@@ -292,7 +292,7 @@
         self,
         customer: str,
         wanted: int,
-        limit: program_messages.Limit | None,
+        limit: program_messages.RateLimit | None,
         clock: float,
     ) -> int:
         """Counts requests that an entry may send later; returns how many."""
@@ -301,11 +301,11 @@
             return 0
         return usage.hand_out(wanted, limit, clock)
 
-    def give_back(self, customer: str, counted: float) -> None:
+    def give_back(self, customer: str, counted_at: float) -> None:
         """Takes back a request that was counted and never ran."""
         usage = self.usages.get(customer)
         if usage is not None:
-            usage.give_back(counted)
+            usage.give_back(counted_at)
 
     def state(self) -> list[Any]:
         """Returns everything as plain data."""
--- a/src/mintcleat/programs/machine.py
+++ b/src/mintcleat/programs/machine.py
@@ -154,13 +154,13 @@
 
     def _gone(
         self, request: program_messages.RenewResidency
-    ) -> program_messages.Gone:
+    ) -> program_messages.ClosedPrograms:
         gone = []
         for name in request.programs:
             program = self.programs.get(name)
             if program is None or program.state != records.OPEN:
                 gone.append(name)
-        return program_messages.Gone(gone)
+        return program_messages.ClosedPrograms(gone)
 
 
 def _attributes(program: records.Program) -> program_messages.CreateProgram:
--- a/src/mintcleat/roles/entry/allowances.py
+++ b/src/mintcleat/roles/entry/allowances.py
@@ -53,7 +53,7 @@
         self.ahead = limits.Ahead()
         self.waiting = 0
 
-    def limit_of(self, customer: str) -> program_messages.Limit | None:
+    def limit_of(self, customer: str) -> program_messages.RateLimit | None:
         """Returns a customer's limit as this entry knows it; None for none."""
         policies = self.configuration.manifest().policies
         held = policies.customers.get(customer)
--- a/src/mintcleat/roles/entry/attempts.py
+++ b/src/mintcleat/roles/entry/attempts.py
@@ -127,7 +127,7 @@
         self.timers = timers
 
     def begin(self, name: CallName, begin: program_messages.BeginCall) -> Any:
-        """Returns Granted, Recorded or Underway."""
+        """Returns AttemptGranted, CallRecorded or AttemptRunning."""
         try:
             return self.control.ask(name.scope, begin, CONTROL_SECONDS)
         except errors.ControlUnavailable as error:
@@ -140,7 +140,7 @@
         request_digest: bytes,
         refusal: errors.MintcleatError,
     ) -> Any:
-        """Returns Recorded or Underway of an earlier send, or refuses.
+        """Returns CallRecorded or AttemptRunning of an earlier send, or refuses.
 
         This entry takes no new work, but the caller may be sending again
         what has run already. "Not run" would then be untrue, and the caller
--- a/src/mintcleat/roles/entry/chat.py
+++ b/src/mintcleat/roles/entry/chat.py
@@ -61,7 +61,7 @@
 
     def run(
         self, context: chat_call.Context
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Yields the answer's parts and then its end.
 
         Raises:
@@ -83,7 +83,7 @@
 
     def _attempt(
         self, context: chat_call.Context, progress: Progress
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Places and runs one attempt; returns what to do next."""
         progress.attempts += 1
         try:
@@ -99,7 +99,10 @@
             return (yield from self._run(context, progress, placed, run))
         reply = self._begin(context, progress, placed)
         match reply:
-            case program_messages.Recorded() | program_messages.Underway():
+            case (
+                program_messages.CallRecorded()
+                | program_messages.AttemptRunning()
+            ):
                 return (yield from self._earlier(progress, reply))
             case _:
                 run = self._run_message(context, placed, reply)
@@ -110,7 +113,7 @@
         context: chat_call.Context,
         progress: Progress,
         refusal: errors.MintcleatError,
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Tells what an earlier send of the call left, or refuses."""
         reply = self.attempts.known(
             context.name, context.call.turn, context.digest, refusal
@@ -120,10 +123,10 @@
     def _earlier(
         self,
         progress: Progress,
-        reply: program_messages.Recorded | program_messages.Underway,
-    ) -> Iterator[requests.Text | requests.End]:
+        reply: program_messages.CallRecorded | program_messages.AttemptRunning,
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Replays a recorded answer, or follows the attempt under way."""
-        if isinstance(reply, program_messages.Underway):
+        if isinstance(reply, program_messages.AttemptRunning):
             return attempts_module.Follow(
                 reply.attempt, reply.sidecar, reply.address
             )
@@ -181,7 +184,7 @@
         self,
         context: chat_call.Context,
         placed: placement_module.Placed,
-        granted: program_messages.Granted | None,
+        granted: program_messages.AttemptGranted | None,
     ) -> call_messages.RunTurn:
         call = context.call
         return call_messages.RunTurn(
@@ -211,7 +214,7 @@
         progress: Progress,
         placed: placement_module.Placed,
         run: call_messages.RunTurn,
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Sends one attempt to its sidecar and relays what comes."""
         try:
             exchange = self.streams.open(placed.address, run)
@@ -269,7 +272,7 @@
         progress: Progress,
         exchange: streams_port.Exchange,
         first: Any,
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Relays one answer; returns what to do next."""
         message = first
         delivery = progress.delivery
@@ -279,7 +282,7 @@
                 case call_messages.Chunk(_, offset, text):
                     new = delivery.take(offset, text)
                     if new:
-                        yield requests.Text(new)
+                        yield requests.AnswerText(new)
                 case call_messages.AttemptFinished():
                     self.placement.learn(message.load)
                     self.placement.ended(
@@ -307,7 +310,7 @@
         context: chat_call.Context,
         progress: Progress,
         follow: attempts_module.Follow,
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Attaches to an attempt that runs or ran elsewhere."""
         name = context.name
         attach = call_messages.AttachAttempt(
--- a/src/mintcleat/roles/entry/chat_call.py
+++ b/src/mintcleat/roles/entry/chat_call.py
@@ -46,7 +46,7 @@
 
 def replay(
     delivery: delivery_module.Delivery, message: str
-) -> Iterator[requests.Text]:
+) -> Iterator[requests.AnswerText]:
     """Yields what the caller lacks of the whole recorded answer."""
     text = answer_text(message)
     if delivery.seen == len(text):
@@ -54,7 +54,7 @@
     delivery.restart()
     new = delivery.take(0, text)
     if new:
-        yield requests.Text(new)
+        yield requests.AnswerText(new)
 
 
 def place_call(context: Context, attempts: int) -> calls.Call:
@@ -127,9 +127,9 @@
     return json.loads(message).get("content") or ""
 
 
-def finished_end(message: call_messages.AttemptFinished) -> requests.End:
+def finished_end(message: call_messages.AttemptFinished) -> requests.AnswerEnd:
     """Returns the end event of a finished attempt."""
-    return requests.End(
+    return requests.AnswerEnd(
         message.message,
         message.reason,
         message.usage,
@@ -139,8 +139,8 @@
     )
 
 
-def recorded_end(reply: program_messages.Recorded) -> requests.End:
+def recorded_end(reply: program_messages.CallRecorded) -> requests.AnswerEnd:
     """Returns the end event of an answer recorded earlier."""
-    return requests.End(
+    return requests.AnswerEnd(
         reply.answer.decode(), "stop", reply.usage, reply.attempt, replayed=True
     )
--- a/src/mintcleat/roles/entry/customer_calls.py
+++ b/src/mintcleat/roles/entry/customer_calls.py
@@ -72,7 +72,7 @@
 
     def chat(
         self, call: requests.ChatCall
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Yields the parts of a chat answer and then its end."""
         self._count(call)
         return self.calls.chat(call._replace(customer=self.customer))
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -157,7 +157,7 @@
 
     def chat(
         self, call: requests.ChatCall
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Yields the parts of a chat answer and then its end."""
         refusal = self._refusal(idempotent_service=False)
         if refusal is not None and not (call.program or call.key):
@@ -229,7 +229,7 @@
 
     def _counted(
         self, context: chat_call.Context
-    ) -> Iterator[requests.Text | requests.End]:
+    ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Runs a chat call, counted as running until its last byte."""
         self.metrics.count("calls_total", kind="chat")
         started = self.timers.now()
@@ -243,7 +243,7 @@
                     first = False
                     waited = self.timers.now() - started
                     self.metrics.observe("first_token_seconds", waited)
-                ended = isinstance(event, requests.End)
+                ended = isinstance(event, requests.AnswerEnd)
                 if ended:
                     attempt = event.attempt
                     self._note_turn(context, event)
@@ -261,7 +261,9 @@
                 attempt=attempt,
             ).debug("Chat call {} in {:.4f} s", _ENDED[ended], taken)
 
-    def _note_turn(self, context: chat_call.Context, end: requests.End) -> None:
+    def _note_turn(
+        self, context: chat_call.Context, end: requests.AnswerEnd
+    ) -> None:
         """Keeps where the program's history is cached now.
 
         A stale note costs a rebuild, never a wrong answer: order and budget
--- a/src/mintcleat/roles/entry/service_calls.py
+++ b/src/mintcleat/roles/entry/service_calls.py
@@ -96,17 +96,17 @@
         if not context.committed:
             return self._run(context, placed, 0)
         reply = self._begin(context, placed, sealed)
-        if isinstance(reply, program_messages.Granted):
+        if isinstance(reply, program_messages.AttemptGranted):
             return self._run(context, placed, reply.attempt)
         return self._earlier(context, reply)
 
     def _earlier(
         self,
         context: Context,
-        reply: program_messages.Recorded | program_messages.Underway,
+        reply: program_messages.CallRecorded | program_messages.AttemptRunning,
     ) -> requests.ServiceAnswer | attempts_module.Again:
         """Returns the recorded answer, or follows the attempt under way."""
-        if isinstance(reply, program_messages.Underway):
+        if isinstance(reply, program_messages.AttemptRunning):
             return self._follow(context, reply)
         return recorded_answer(reply)
 
@@ -135,9 +135,9 @@
         placed: placement_module.Placed,
         sealed: int,
     ) -> (
-        program_messages.Granted
-        | program_messages.Recorded
-        | program_messages.Underway
+        program_messages.AttemptGranted
+        | program_messages.CallRecorded
+        | program_messages.AttemptRunning
     ):
         call = context.call
         begin = program_messages.BeginCall(
@@ -234,7 +234,7 @@
         raise cause
 
     def _follow(
-        self, context: Context, underway: program_messages.Underway
+        self, context: Context, underway: program_messages.AttemptRunning
     ) -> requests.ServiceAnswer | attempts_module.Again:
         name = context.name
         attach = call_messages.AttachAttempt(
@@ -309,7 +309,9 @@
     )
 
 
-def recorded_answer(reply: program_messages.Recorded) -> requests.ServiceAnswer:
+def recorded_answer(
+    reply: program_messages.CallRecorded,
+) -> requests.ServiceAnswer:
     """Returns the answer that an earlier send of this call got."""
     status, headers, body = msgpack.unpackb(reply.answer, raw=False)
     return requests.ServiceAnswer(
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_keeper.py
@@ -66,14 +66,14 @@
         chain: list[program_messages.KeptTurn],
         hint: str,
         others: Mapping[str, int],
-        counted: float = -1.0,
+        counted_at: float = -1.0,
     ) -> None:
         self.call = call
         self.retention = retention
         self.chain = chain
         self.hint = hint
         self.others = others
-        self.counted = counted
+        self.counted_at = counted_at
 
     def body(self) -> bytes:
         """Returns what the upstream is to receive."""
@@ -106,7 +106,7 @@
         call: routed.RoutedCall,
         reserve: int,
         retention: float,
-        running: program_messages.Running,
+        running: program_messages.RunningCounts,
     ) -> OpenedTurn:
         """Reserves a turn's tokens and returns what it goes on from.
 
@@ -177,7 +177,7 @@
             chain,
             reply.upstream,
             reply.others,
-            reply.counted,
+            reply.counted_at,
         )
 
     def keep(
@@ -186,7 +186,7 @@
         tokens: int,
         upstream: str,
         output: bytes,
-        running: program_messages.Running,
+        running: program_messages.RunningCounts,
     ) -> None:
         """Commits a turn that ended whole, so that others can go on from it.
 
@@ -237,9 +237,14 @@
             ran: Whether it may have run; otherwise its customer gets the
                 request back.
         """
-        counted = -1.0 if ran else turn.counted
+        counted_at = -1.0 if ran else turn.counted_at
         self.timers.spawn(
-            self._settle, turn.call, tokens, upstream, turn.retention, counted
+            self._settle,
+            turn.call,
+            tokens,
+            upstream,
+            turn.retention,
+            counted_at,
         )
 
     def forget(self, call: routed.RoutedCall) -> None:
@@ -252,7 +257,7 @@
         tokens: int,
         upstream: str,
         retention: float,
-        counted: float = -1.0,
+        counted_at: float = -1.0,
     ) -> None:
         program = call.program.program
         began = self.timers.now()
@@ -263,7 +268,7 @@
             upstream,
             retention=retention,
             customer=call.customer,
-            counted=counted,
+            counted_at=counted_at,
         )
         try:
             self.control.ask(program, request, SETTLE_SECONDS)
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -163,11 +163,11 @@
         age = self.timers.now() - self.others.heard
         return round(age, 3) if age < FORGOTTEN else -1.0
 
-    def report(self) -> program_messages.Running:
+    def report(self) -> program_messages.RunningCounts:
         """Returns what this entry has running."""
         waits = self.silences.waits
         counts = {life: len(requests) for life, requests in waits.items()}
-        return program_messages.Running(self.entry, counts)
+        return program_messages.RunningCounts(self.entry, counts)
 
     def hear(self, others: Mapping[str, int]) -> None:
         """Takes what other entries have running."""
--- a/testing/fakes/program_rig.py
+++ b/testing/fakes/program_rig.py
@@ -245,9 +245,9 @@
             upstream = self.upstreams[name]
             sidecar = upstream.incarnation
             reply = self._begin(call, upstream, sealed)
-            if isinstance(reply, program_messages.Recorded):
+            if isinstance(reply, program_messages.CallRecorded):
                 return reply.answer.decode()
-            if isinstance(reply, program_messages.Underway):
+            if isinstance(reply, program_messages.AttemptRunning):
                 upstream = self.upstreams[reply.address]
                 sidecar = reply.sidecar
             elif not self.faults.happens(0.05):
--- a/testing/test_branches.py
+++ b/testing/test_branches.py
@@ -58,7 +58,7 @@
 
     def test_sender_that_holds_the_chain_gets_only_the_upstream(self) -> None:
         self.run_turn("a")
-        found = self.group.open(opening("b", "a", holds_chain=True), 0.0)
+        found = self.group.open(opening("b", "a", has_chain=True), 0.0)
         self.assertEqual(program_messages.TurnOpened([], "u1"), found)
 
     def test_turn_that_never_ended_whole_can_not_be_continued(self) -> None:
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -18,7 +18,7 @@
 from mintcleat.roles.entry import allowances
 
 WINDOW = 5.0
-SMALL = program_messages.Limit(10.0, 10.0, WINDOW)
+SMALL = program_messages.RateLimit(10.0, 10.0, WINDOW)
 TOLERANT = SMALL._replace(overage=0.1, slack=20.0)
 
 
@@ -126,7 +126,7 @@
         found = self.group.open(opening("a", self.one), 0.0)
         self.group.close(
             program_messages.CloseTurn(
-                "p", "a", 0, customer="farmers", counted=found.counted
+                "p", "a", 0, customer="farmers", counted_at=found.counted_at
             ),
             0.0,
         )
@@ -171,7 +171,7 @@
         self.random = random.Random(seed)
         self.replicated = replicated
         self.held = limits.Limits()
-        self.limit = program_messages.Limit(
+        self.limit = program_messages.RateLimit(
             self.random.choice((1.0, 5.0, 20.0, 100.0)),
             float(self.random.choice((0, 1, 10, 100))),
             WINDOW,
@@ -188,7 +188,9 @@
 
     def run(self, steps: int) -> None:
         for _ in range(steps):
-            self.now += self.random.expovariate(3 * self.limit.most() / WINDOW)
+            self.now += self.random.expovariate(
+                3 * self.limit.window_limit() / WINDOW
+            )
             if self.random.random() < 0.005:
                 self.fail_over()
             if self.random.random() < 0.005:
@@ -250,7 +252,7 @@
         """
         until = [*(at for at, _ in self.changes[1:]), math.inf]
         return max(
-            limit.most() + limit.tolerance()
+            limit.window_limit() + limit.tolerance()
             for (at, limit), over in zip(self.changes, until, strict=True)
             if at <= end and over >= begin - limits.AHEAD_SECONDS
         )
@@ -310,10 +312,10 @@
         share: float,
         *,
         plain: bool = False,
-        limit: program_messages.Limit = SMALL,
+        limit: program_messages.RateLimit = SMALL,
         seed: int = 1,
     ) -> None:
-        self.rate = share * limit.most() / WINDOW
+        self.rate = share * limit.window_limit() / WINDOW
         self.limit = limit
         self.plain = plain
         self.held = limits.Limits()
@@ -375,7 +377,7 @@
     def test_large_customer_at_most_of_its_limit_is_never_refused(
         self,
     ) -> None:
-        large = program_messages.Limit(200.0, 200.0, WINDOW)
+        large = program_messages.RateLimit(200.0, 200.0, WINDOW)
         ran, useful = Programs(0.62, limit=large).play(60.0)
         self.assertEqual(ran, useful)
 
--- a/testing/test_program_service.py
+++ b/testing/test_program_service.py
@@ -112,7 +112,7 @@
             [create("p"), begin("p"), begin("p", key="other", digest=b"o" * 16)]
         )
         self.assertThat(
-            replies[1], matchers.IsInstance(program_messages.Granted)
+            replies[1], matchers.IsInstance(program_messages.AttemptGranted)
         )
         self.assertEqual("call_running", replies[2].kind)
 
--- a/testing/test_programs_differential.py
+++ b/testing/test_programs_differential.py
@@ -18,9 +18,9 @@
 RETENTION = 250.0
 WORDS = {
     program_messages.ProgramView: "view",
-    program_messages.Granted: "granted",
-    program_messages.Recorded: "recorded",
-    program_messages.Underway: "underway",
+    program_messages.AttemptGranted: "granted",
+    program_messages.CallRecorded: "recorded",
+    program_messages.AttemptRunning: "underway",
     identities.Done: "done",
 }
 
@@ -104,9 +104,12 @@
         return (reply.kind,)
     word = WORDS[type(reply)]
     match reply:
-        case program_messages.Recorded():
+        case program_messages.CallRecorded():
             return (word, reply.attempt, reply.answer)
-        case program_messages.Granted() | program_messages.Underway():
+        case (
+            program_messages.AttemptGranted()
+            | program_messages.AttemptRunning()
+        ):
             return (word, reply.attempt)
     return (word,)
 
@@ -119,7 +122,7 @@
         self.plain = machine.ProgramMachine()
         self.restored = machine.ProgramMachine()
         self.grants: list[
-            tuple[program_messages.BeginCall, program_messages.Granted]
+            tuple[program_messages.BeginCall, program_messages.AttemptGranted]
         ] = []
         self.met: set[str] = set()
         self.clock = 0.0
@@ -155,7 +158,7 @@
         self,
         action: str,
         begin: program_messages.BeginCall,
-        granted: program_messages.Granted,
+        granted: program_messages.AttemptGranted,
         rest: list[Any],
     ) -> Any:
         name = (begin.program, begin.customer, begin.key, granted.attempt)
@@ -183,7 +186,7 @@
         self.met.add(expected[0])
         assert summary(reply) == expected, request
         assert summary(other) == expected, request
-        if isinstance(reply, program_messages.Granted):
+        if isinstance(reply, program_messages.AttemptGranted):
             self.grants.append((request, reply))
 
     def check_state(self) -> None:
--- a/testing/test_programs_machine.py
+++ b/testing/test_programs_machine.py
@@ -93,7 +93,9 @@
             attempt = self.apply(begin(turn, f"k{turn}")).attempt
             self.apply(finish(f"k{turn}", attempt))
         reply = self.apply(begin(1, "k1"))
-        self.assertEqual(program_messages.Recorded(1, b"yes", (3, 4, 0)), reply)
+        self.assertEqual(
+            program_messages.CallRecorded(1, b"yes", (3, 4, 0)), reply
+        )
         self.check_refused(errors.KeyConflict, begin(1, "k1", digest=b"x" * 16))
 
     def test_history_holds_what_was_acknowledged_and_rolls_its_digest(
@@ -124,7 +126,9 @@
         first = self.apply(begin(1, "a", nonce=7))
         self.assertEqual(first, self.apply(begin(1, "a", nonce=7)))
         self.assertEqual(
-            program_messages.Underway(first.attempt, SIDECAR, "10.0.0.1:1"),
+            program_messages.AttemptRunning(
+                first.attempt, SIDECAR, "10.0.0.1:1"
+            ),
             self.apply(begin(1, "a", nonce=8)),
         )
 
@@ -140,7 +144,7 @@
         self.check_refused(errors.CallRunning, begin(1, "a", nonce=7))
         self.assertThat(
             self.apply(begin(1, "b", nonce=9)),
-            matchers.IsInstance(program_messages.Granted),
+            matchers.IsInstance(program_messages.AttemptGranted),
         )
 
     def test_unknown_call_is_never_granted_again_unless_idempotent(
@@ -156,7 +160,7 @@
         self.assertEqual(10, self.show().reserved)
         self.apply(finish("t", attempt))
         self.assertThat(
-            self.apply(tool), matchers.IsInstance(program_messages.Recorded)
+            self.apply(tool), matchers.IsInstance(program_messages.CallRecorded)
         )
         self.assertEqual((7, 0), (self.show().used, self.show().reserved))
 
@@ -196,10 +200,14 @@
         tool = begin(0, "t", idempotent=False)
         self.apply(tool)
         reply = self.apply(tool._replace(sidecar=later))
-        self.assertThat(reply, matchers.IsInstance(program_messages.Underway))
+        self.assertThat(
+            reply, matchers.IsInstance(program_messages.AttemptRunning)
+        )
         self.apply(begin(1, "a"))
         reply = self.apply(begin(1, "a", sidecar=later))
-        self.assertThat(reply, matchers.IsInstance(program_messages.Granted))
+        self.assertThat(
+            reply, matchers.IsInstance(program_messages.AttemptGranted)
+        )
 
     def test_failed_call_answers_its_failure_and_frees_the_turn(self) -> None:
         self.create()
@@ -213,15 +221,17 @@
         call = begin(0, "t", program="", idempotent=False)
         attempt = self.apply(call).attempt
         self.assertThat(
-            self.apply(call), matchers.IsInstance(program_messages.Underway)
+            self.apply(call),
+            matchers.IsInstance(program_messages.AttemptRunning),
         )
         self.apply(finish("t", attempt, program=""))
         self.assertThat(
-            self.apply(call), matchers.IsInstance(program_messages.Recorded)
+            self.apply(call), matchers.IsInstance(program_messages.CallRecorded)
         )
         other = call._replace(customer="studio")
         self.assertThat(
-            self.apply(other), matchers.IsInstance(program_messages.Granted)
+            self.apply(other),
+            matchers.IsInstance(program_messages.AttemptGranted),
         )
 
 
@@ -261,7 +271,8 @@
                 key = f"{step[:1]}{round_number}"
                 granted = self.apply(begin(0, key, digest=step))
                 self.assertThat(
-                    granted, matchers.IsInstance(program_messages.Granted)
+                    granted,
+                    matchers.IsInstance(program_messages.AttemptGranted),
                 )
         self.check_refused(
             errors.LoopDetected, begin(0, "again", digest=b"1" * 16)
@@ -326,7 +337,9 @@
         self.apply(tick)
         self.assertEqual((10, 0), (self.show().used, self.show().reserved))
         reply = self.apply(begin(1, "b"))
-        self.assertThat(reply, matchers.IsInstance(program_messages.Granted))
+        self.assertThat(
+            reply, matchers.IsInstance(program_messages.AttemptGranted)
+        )
 
     def test_closed_sub_agent_leaves_its_open_root(self) -> None:
         self.create()
