--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -353,7 +353,7 @@
         for turn in range(3):
             said = [f"{number} {turn} " + "x" * 200, "y" * 400]
             held.finish(f"program-{number:06d}", turn, digest, said)
-            digest = digests.rolling(digest, said)
+            digest = digests.chain(digest, said)
     return held
 
 
--- a/src/mintcleat/adapters/caller_http.py
+++ b/src/mintcleat/adapters/caller_http.py
@@ -214,7 +214,9 @@
     scheme, _, key = http_request.header(environ, "Authorization").partition(
         " "
     )
-    return keys.presented([key.strip()] if scheme.lower() == "bearer" else [])
+    return keys.digest_from_fields(
+        [key.strip()] if scheme.lower() == "bearer" else []
+    )
 
 
 def no_such_path(environ: http_request.Environ) -> errors.BadRequest:
--- a/src/mintcleat/adapters/event_log.py
+++ b/src/mintcleat/adapters/event_log.py
@@ -93,7 +93,7 @@
         passed, self.refilled = now - self.refilled, now
         budget = self.budget
         self.room = min(budget.burst, self.room + passed * budget.lines)
-        weight = events.weight_of(event)
+        weight = events.severity_of(event)
         if len(self.waiting) >= budget.waiting or self.broken:
             return False
         if weight == events.DETAIL and self.room < budget.burst / 2:
--- a/src/mintcleat/domain/digests.py
+++ b/src/mintcleat/domain/digests.py
@@ -9,7 +9,7 @@
 EMPTY = b""
 
 
-def rolling(previous: bytes, messages: list[str]) -> bytes:
+def chain(previous: bytes, messages: list[str]) -> bytes:
     """Returns the digest of a history after one more turn.
 
     Each message is prefixed by its length, so that no two lists of messages
--- a/src/mintcleat/domain/events.py
+++ b/src/mintcleat/domain/events.py
@@ -373,15 +373,15 @@
     return "".join(letters)
 
 
-def weight_of_kind(kind: type) -> str:
+def severity_of_kind(kind: type) -> str:
     """Returns how urgent the lines of a kind are."""
     if kind in _STATE:
         return STATE
     return ERROR if kind in _ERRORS else DETAIL
 
 
-def weight_of(event: Any) -> str:
+def severity_of(event: Any) -> str:
     """Returns which lines give way first when there are too many."""
     if isinstance(event, CallEnded) and event.outcome != "whole":
         return ERROR
-    return weight_of_kind(type(event))
+    return severity_of_kind(type(event))
--- a/src/mintcleat/domain/keys.py
+++ b/src/mintcleat/domain/keys.py
@@ -22,7 +22,7 @@
     return PREFIX + hashed.hexdigest()
 
 
-def presented(fields: list[str]) -> str:
+def digest_from_fields(fields: list[str]) -> str:
     """Returns the digest of the key that a request carries; empty for none.
 
     A key in two header fields is none: proxies differ on which of them
@@ -33,7 +33,7 @@
     return digest(fields[0])
 
 
-def stored(key: str) -> str:
+def as_digest(key: str) -> str:
     """Returns what a manifest holds of a key that an operator wrote.
 
     A manifest that was read back has digests in place of keys, and is pushed
@@ -52,6 +52,6 @@
     )
 
 
-def short(held: str) -> str:
+def short_digest(held: str) -> str:
     """Returns the name of a key in lines and errors, from its digest."""
     return held.removeprefix(PREFIX)[:_SHOWN]
--- a/src/mintcleat/domain/manifest.py
+++ b/src/mintcleat/domain/manifest.py
@@ -246,7 +246,7 @@
         return parsed
     customers = {
         name: msgspec.structs.replace(
-            item, keys=[key and keys.stored(key) for key in item.keys]
+            item, keys=[key and keys.as_digest(key) for key in item.keys]
         )
         for name, item in parsed.policies.customers.items()
     }
--- a/src/mintcleat/domain/manifest_faults.py
+++ b/src/mintcleat/domain/manifest_faults.py
@@ -279,7 +279,7 @@
             continue
         holder = holders.setdefault(key, name)
         if holder != name or key in held[:index]:
-            shown = keys.short(key)
+            shown = keys.short_digest(key)
             out.append(
                 Fault(where, f"is the key {shown} that {holder!r} has too")
             )
--- a/src/mintcleat/domain/member_messages.py
+++ b/src/mintcleat/domain/member_messages.py
@@ -90,7 +90,7 @@
     started: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Names this life of the upstream; the next one has another name.
 
         What was learned of one life says nothing about the next, which holds
--- a/src/mintcleat/domain/program_messages.py
+++ b/src/mintcleat/domain/program_messages.py
@@ -295,8 +295,8 @@
 class FindCall(NamedTuple):
     """Asks by a linearizable read what became of a key; grants nothing.
 
-    Answered by CallRecorded, AttemptRunning, the call's recorded failure, or Done with
-    `absent` when the key was never granted an attempt.
+    Answered by CallRecorded, AttemptRunning, the call's recorded failure, or
+    Done with `absent` when the key was never granted an attempt.
     """
 
     program: str
--- a/src/mintcleat/domain/registrations.py
+++ b/src/mintcleat/domain/registrations.py
@@ -22,14 +22,14 @@
 # Longer names are nobody's; each is kept by every node.
 _LONGEST_NAME = 200
 # What the log and every peer can still carry as a whole number.
-LARGEST = 2**63 - 1
+MAX_INTEGER = 2**63 - 1
 _MOST_SLOTS = 1_000_000
 _LONGEST_COLD = 86_400.0
 _PORTS = range(1, 65_536)
 
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=_LONGEST_NAME)]
 _Text = Annotated[str, msgspec.Meta(max_length=_LONGEST_NAME)]
-_Count = Annotated[int, msgspec.Meta(ge=0, le=LARGEST)]
+_Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
 
 
 class _Fields(msgspec.Struct, forbid_unknown_fields=True):
--- a/src/mintcleat/domain/routed.py
+++ b/src/mintcleat/domain/routed_calls.py
@@ -3,44 +3,44 @@
 from typing import NamedTuple
 
 
-class Part(NamedTuple):
+class PromptPart(NamedTuple):
     """One part of a prompt, in order; requests share parts by id."""
 
-    part: str
+    id: str
     tokens: int
 
 
-class Program(NamedTuple):
+class ProgramContext(NamedTuple):
     """What a request says of the agent program that it belongs to.
 
     Attributes:
         program: Id of the program; empty for a request outside of any.
-        line: Line of turns within it; sub-agents have their own.
+        session: Line of turns within it; sub-agents have their own.
         previous: Turn that this one goes on from; empty for none.
         budget: Tokens that the program may be handed in all; 0 for no limit.
-        finish: Seconds within which the program should end; 0 for no aim.
+        finish_within: Target time of the program in seconds; 0 for none.
     """
 
     program: str = ""
-    line: str = ""
+    session: str = ""
     previous: str = ""
     budget: int = 0
-    finish: float = 0.0
+    finish_within: float = 0.0
 
 
 class Generation(NamedTuple):
     """What a request says of the tokens that it costs.
 
     Attributes:
-        prompt: Tokens to read.
-        most: Most tokens to generate.
+        prompt_tokens: Tokens to read.
+        max_tokens: Most tokens to generate.
         parts: The prompt in parts, shared ones first.
     """
 
     model: str = ""
-    prompt: int = 0
-    most: int = 0
-    parts: tuple[Part, ...] = ()
+    prompt_tokens: int = 0
+    max_tokens: int = 0
+    parts: tuple[PromptPart, ...] = ()
 
 
 class RoutedCall(NamedTuple):
@@ -66,7 +66,7 @@
     deadline: float = 0.0
     affinity: str = ""
     last_event: str = ""
-    program: Program = Program()
+    program: ProgramContext = ProgramContext()
     generation: Generation = Generation()
     key: str = ""
     customer: str = ""
@@ -77,7 +77,7 @@
         return self.target.partition("?")[0]
 
 
-class Head(NamedTuple):
+class ResponseHead(NamedTuple):
     """Start of an upstream's answer, to be passed on unchanged.
 
     Attributes:
@@ -92,17 +92,17 @@
     events: bool
 
 
-class Sending(NamedTuple):
+class UpstreamRequest(NamedTuple):
     """How a call goes to one upstream.
 
     Attributes:
         body: What the upstream is to receive.
-        left: Seconds after which its work is of no use any more.
+        deadline: Seconds after which its work is of no use any more.
         last_event: Id of the event after which it is to go on.
         urgency: 0 to 9; a lower one is admitted first.
     """
 
     body: bytes
-    left: float
+    deadline: float
     last_event: str
     urgency: int
--- a/src/mintcleat/emulator/engine.py
+++ b/src/mintcleat/emulator/engine.py
@@ -7,7 +7,7 @@
 
 import simpy
 
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.emulator import plan
 
 # Of the batch's time, a wait that is shorter than this is none, in seconds.
@@ -37,7 +37,7 @@
     def __init__(
         self,
         env: simpy.Environment,
-        parts: tuple[routed.Part, ...],
+        parts: tuple[routed_calls.PromptPart, ...],
         keep_as: str,
         output: int,
         told: Callable[[], None],
@@ -68,13 +68,13 @@
         )
         self.size = 0
 
-    def match(self, parts: tuple[routed.Part, ...]) -> int:
+    def match(self, parts: tuple[routed_calls.PromptPart, ...]) -> int:
         """Returns the tokens of the leading parts that are held."""
         found = 0
         for part in parts:
-            if part.part not in self.parts:
+            if part.id not in self.parts:
                 break
-            self.parts.move_to_end(part.part)
+            self.parts.move_to_end(part.id)
             found += part.tokens
         return found
 
@@ -251,7 +251,7 @@
             self.read += tokens
             if not run.to_read:
                 for part in run.parts:
-                    self.cache.put(part.part, part.tokens)
+                    self.cache.put(part.id, part.tokens)
         held = sum(run.context for run in self.batch)
         self.cache.shrink(max(0, self.model.memory - held))
 
--- a/src/mintcleat/emulator/entry.py
+++ b/src/mintcleat/emulator/entry.py
@@ -11,7 +11,7 @@
 from mintcleat.decisions import policy as policy_module
 from mintcleat.domain import errors
 from mintcleat.domain import member_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.emulator import control as control_module
 from mintcleat.emulator import engine as engine_module
 from mintcleat.emulator import plain as plain_module
@@ -109,12 +109,21 @@
         self.numbers = itertools.count()
         self.name = name
         self.loads = upstream_loads.UpstreamLoads(
-            fleet, Clock(env), events.Silent(), lambda life: None, name, policy
+            fleet,
+            Clock(env),
+            events.Silent(),
+            lambda incarnation: None,
+            name,
+            policy,
         )
         self.loads.read()
 
     def turn(
-        self, call: routed.RoutedCall, hint: str, output: int, patience: float
+        self,
+        call: routed_calls.RoutedCall,
+        hint: str,
+        output: int,
+        patience: float,
     ) -> Any:
         """Runs a turn; returns the life of the engine that ran it.
 
@@ -127,17 +136,17 @@
             raise Failed from None
         self.loads.hear(others)
         wanted = upstream_loads.Wanted(call, hint, "", False)
-        life = yield from self._offer(
+        incarnation = yield from self._offer(
             MODEL, wanted, self._run_turn, patience, output
         )
         try:
             yield from self.control.ask(self.loads.report())
         except control_module.Outage:
             raise Failed from None
-        return life
+        return incarnation
 
     def call(
-        self, call: routed.RoutedCall, work: float, repeatable: bool
+        self, call: routed_calls.RoutedCall, work: float, repeatable: bool
     ) -> Any:
         """Calls the plain service.
 
@@ -161,10 +170,10 @@
             if found is None or len(tried) >= routed_run.MAX_OFFERS:
                 raise Failed
             upstream = found[0]
-            tried.add(upstream.life)
+            tried.add(upstream.incarnation)
             request = f"{wanted.call.request}/{next(self.numbers)}"
             sent_at = self.env.now
-            self.loads.began(upstream.life, request, patience)
+            self.loads.began(upstream.incarnation, request, patience)
             try:
                 yield from run(upstream, wanted.call, request, size)
             except engine_module.Ended as ended:
@@ -175,34 +184,35 @@
                     raise Failed from None
             except simpy.Interrupt:
                 silent = self.env.now - max(
-                    sent_at, self.loads.silences.heard.get(upstream.life, 0.0)
+                    sent_at,
+                    self.loads.silences.heard.get(upstream.incarnation, 0.0),
                 )
                 said = evidence.of_cut(False, silent, patience)
                 self._note(upstream, said, sent_at)
                 raise Failed from None
             else:
                 self._note(upstream, evidence.Evidence.WELL, sent_at)
-                return upstream.life
+                return upstream.incarnation
             finally:
-                self.loads.ended(upstream.life, request)
+                self.loads.ended(upstream.incarnation, request)
 
     def _run_turn(
         self,
         upstream: member_messages.Registration,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         request: str,
         output: int,
     ) -> Any:
-        life = upstream.life
+        incarnation = upstream.incarnation
         server = self.fleet.engines[upstream.upstream]
         last = 0.0
 
         def told() -> None:
             nonlocal last
             now = self.env.now
-            self.loads.arrived(life)
+            self.loads.arrived(incarnation)
             if last:
-                self.loads.observe(life, now - last)
+                self.loads.observe(incarnation, now - last)
             last = now
 
         run = engine_module.Run(
@@ -219,14 +229,14 @@
     def _run_call(
         self,
         upstream: member_messages.Registration,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         request: str,
         work: float,
     ) -> Any:
         sent_at = self.env.now
         yield from self.fleet.plains[upstream.upstream].serve(work)
-        self.loads.arrived(upstream.life)
-        self.loads.observe(upstream.life, self.env.now - sent_at)
+        self.loads.arrived(upstream.incarnation)
+        self.loads.observe(upstream.incarnation, self.env.now - sent_at)
 
     def _note(
         self,
@@ -238,4 +248,4 @@
             case evidence.Evidence.FAILED:
                 self.loads.failed(upstream)
             case evidence.Evidence.WELL:
-                self.loads.answered(upstream.life, sent_at)
+                self.loads.answered(upstream.incarnation, sent_at)
--- a/src/mintcleat/emulator/programs.py
+++ b/src/mintcleat/emulator/programs.py
@@ -8,7 +8,7 @@
 
 import simpy
 
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.emulator import entry as entry_module
 from mintcleat.emulator import plan
 from mintcleat.roles.entry import routed_run
@@ -47,7 +47,7 @@
 class Line(NamedTuple):
     """One line of turns: the prompt so far and where it ran last."""
 
-    parts: tuple[routed.Part, ...]
+    parts: tuple[routed_calls.PromptPart, ...]
     hint: str
 
 
@@ -115,7 +115,9 @@
         """Runs it and notes its end."""
         began = self.env.now
         turns = max(1, round(self._amount(self.kind.turns)))
-        shared = routed.Part(f"{self.name}-{self.number % 3}", self.kind.shared)
+        shared = routed_calls.PromptPart(
+            f"{self.name}-{self.number % 3}", self.kind.shared
+        )
         ideal = 0.0
         served = True
         try:
@@ -202,8 +204,10 @@
         for attempt in range(TRIES):
             if attempt:
                 yield self.env.timeout(self.chance.uniform(*AGAIN))
-            own = routed.Part(f"{self.id}?{next(self.numbers)}", prompt)
-            call = self._request(line.parts[-1].part, (*line.parts, own))
+            own = routed_calls.PromptPart(
+                f"{self.id}?{next(self.numbers)}", prompt
+            )
+            call = self._request(line.parts[-1].id, (*line.parts, own))
             entry = self.chance.choice(self.callers.entries)
             run = self.env.process(
                 self._guarded_turn(entry, call, line.hint, output)
@@ -214,7 +218,7 @@
                 yield run
             if run.value:
                 yield self.env.timeout(kind.way / 1000.0)
-                kept = routed.Part(call.request, prompt + output)
+                kept = routed_calls.PromptPart(call.request, prompt + output)
                 ideal = self._ideal(prompt, output)
                 return Line((*line.parts, kept), run.value), ideal
         raise Gone
@@ -229,7 +233,7 @@
     def _guarded_turn(
         self,
         entry: entry_module.Entry,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         hint: str,
         output: int,
     ) -> Any:
@@ -240,16 +244,16 @@
             return ""
 
     def _request(
-        self, previous: str, parts: tuple[routed.Part, ...]
-    ) -> routed.RoutedCall:
+        self, previous: str, parts: tuple[routed_calls.PromptPart, ...]
+    ) -> routed_calls.RoutedCall:
         prompt = sum(part.tokens for part in parts)
-        return routed.RoutedCall(
+        return routed_calls.RoutedCall(
             f"{self.id}-{next(self.numbers)}",
             "POST",
             "",
             "/",
             (),
             b"",
-            program=routed.Program(self.id, previous=previous),
-            generation=routed.Generation("m", prompt, 0, parts),
+            program=routed_calls.ProgramContext(self.id, previous=previous),
+            generation=routed_calls.Generation("m", prompt, 0, parts),
         )
--- a/src/mintcleat/main/cli_customers.py
+++ b/src/mintcleat/main/cli_customers.py
@@ -36,7 +36,7 @@
         rows = [
             (
                 item["customer"],
-                keys.short(key["digest"]) if key else "none",
+                keys.short_digest(key["digest"]) if key else "none",
                 age(now - key["since"]) if key and key["since"] else "",
                 item["rate"] or "no limit",
                 item["burst"],
@@ -58,7 +58,7 @@
         revision = self._change(
             customer, operator, lambda before: [*before, held]
         )
-        shown = keys.short(held)
+        shown = keys.short_digest(held)
         self._print(
             {"customer": customer, "key": key, "revision": revision},
             f"{key}\nkey {shown} of {customer}, revision {revision}",
--- a/src/mintcleat/main/event_page.py
+++ b/src/mintcleat/main/event_page.py
@@ -48,7 +48,7 @@
         f"| {meanings.get(name, '')} |"
         for name, hint in hints.items()
     ]
-    weight = _WEIGHTS[events.weight_of_kind(kind)]
+    weight = _WEIGHTS[events.severity_of_kind(kind)]
     return (
         f"## `{events.name_of(kind)}`: {weight}\n\n{summary.strip()}\n\n"
         "| field | type | meaning |\n|---|---|---|\n" + "\n".join(rows) + "\n"
--- a/src/mintcleat/platform/callers.py
+++ b/src/mintcleat/platform/callers.py
@@ -8,7 +8,7 @@
 from mintcleat.adapters import http1_server
 from mintcleat.domain import errors
 from mintcleat.domain import keys
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import forwarding
 
 REQUEST_ID = "x-request-id"
@@ -68,7 +68,9 @@
 class Gateway(Protocol):
     """The entry's way of a request."""
 
-    def handle(self, call: routed.RoutedCall, reply: forwarding.Reply) -> None:
+    def handle(
+        self, call: routed_calls.RoutedCall, reply: forwarding.Reply
+    ) -> None:
         """Answers a request, or raises the refusal."""
 
 
@@ -102,11 +104,11 @@
     def __init__(self, reply: http1_server.Reply) -> None:
         self.reply = reply
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def whole(self, head: routed_calls.ResponseHead, body: bytes) -> None:
         """Sends an upstream's whole answer."""
         self.reply.send(head.status, list(head.headers), body, head.reason)
 
-    def begin(self, head: routed.Head) -> None:
+    def begin(self, head: routed_calls.ResponseHead) -> None:
         """Sends the head of an upstream's answer."""
         self.reply.start(head.status, list(head.headers), head.reason)
 
@@ -119,7 +121,7 @@
         self.reply.end()
 
 
-def to_call(request: http1_server.Request) -> routed.RoutedCall:
+def to_call(request: http1_server.Request) -> routed_calls.RoutedCall:
     """Returns a request in the product's own terms.
 
     Raises:
@@ -130,7 +132,7 @@
         raise errors.BadRequest("The request carries no id.")
     named = {name.strip().lower() for name in header("connection").split(",")}
     dropped = _DROPPED | named
-    return routed.RoutedCall(
+    return routed_calls.RoutedCall(
         request=header(REQUEST_ID),
         method=request.method,
         host=header("host").rpartition(":")[0] or header("host"),
@@ -142,7 +144,7 @@
         deadline=_number(header(DEADLINE)) / 1000.0,
         affinity=header("x-affinity-key"),
         last_event=header(LAST_EVENT),
-        program=routed.Program(
+        program=routed_calls.ProgramContext(
             header("x-program-id"),
             header("x-session-id"),
             header("x-previous-turn"),
@@ -150,20 +152,20 @@
             _number(header("x-finish-milliseconds")) / 1000.0,
         ),
         generation=_generation(header),
-        key=keys.presented(
+        key=keys.digest_from_fields(
             [value for name, value in request.headers if name == KEY]
         ),
     )
 
 
-def _generation(header: Any) -> routed.Generation:
+def _generation(header: Any) -> routed_calls.Generation:
     prompt, _, most = header("x-token-counts").partition(",")
     parts = []
     for item in header("x-prompt-prefix").split(","):
         part, _, tokens = item.strip().partition(":")
         if part:
-            parts.append(routed.Part(part, int(_number(tokens))))
-    return routed.Generation(
+            parts.append(routed_calls.PromptPart(part, int(_number(tokens))))
+    return routed_calls.Generation(
         header("x-model"),
         int(_number(prompt)),
         int(_number(most)),
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -174,7 +174,10 @@
         errors.BadRequest: There is a body that can't be read.
     """
     started = _object(body).get(_STARTED, 0) if body else 0
-    if type(started) is not int or not 0 <= started <= registrations.LARGEST:
+    if (
+        type(started) is not int
+        or not 0 <= started <= registrations.MAX_INTEGER
+    ):
         raise errors.BadRequest(f"No start of a life: {_STARTED}.")
     return started
 
--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -7,7 +7,7 @@
 from mintcleat.adapters import http1_client
 from mintcleat.domain import errors
 from mintcleat.domain import member_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.platform import callers
 
 _EXPECT_UPSTREAM = "x-expect-instance"
@@ -29,17 +29,17 @@
     def send(
         self,
         upstream: member_messages.Registration,
-        call: routed.RoutedCall,
-        sending: routed.Sending,
+        call: routed_calls.RoutedCall,
+        request: routed_calls.UpstreamRequest,
     ) -> "HttpAnswer":
         """Sends a request and returns the answer once its head has come."""
-        connection = self.pool.take(upstream.life, upstream.address)
+        connection = self.pool.take(upstream.incarnation, upstream.address)
         try:
             connection.send(
                 call.method,
                 call.target,
-                _headers(upstream, call, sending),
-                sending.body,
+                _headers(upstream, call, request),
+                request.body,
             )
             head = _answer_to(connection, call.request)
             return HttpAnswer(self.pool, upstream, connection, head)
@@ -47,9 +47,9 @@
             connection.close()
             raise
 
-    def forget(self, life: str) -> None:
+    def forget(self, incarnation: str) -> None:
         """Drops the idle connections of a life of an upstream that is over."""
-        self.pool.forget(life)
+        self.pool.forget(incarnation)
 
 
 class HttpAnswer:
@@ -78,7 +78,7 @@
         self._check(status)
         kind = self.fields.get("content-type", "")
         length = self.fields.get("content-length", "")
-        self.head = routed.Head(
+        self.head = routed_calls.ResponseHead(
             status,
             response.reason.decode("latin-1"),
             tuple(
@@ -104,7 +104,7 @@
             yield data
         self.connection = None
         if connection.finish(_keep_alive(self.fields.get("keep-alive", ""))):
-            self.pool.give(self.upstream.life, connection)
+            self.pool.give(self.upstream.incarnation, connection)
         else:
             connection.close()
 
@@ -139,19 +139,19 @@
 
 def _headers(
     upstream: member_messages.Registration,
-    call: routed.RoutedCall,
-    sending: routed.Sending,
+    call: routed_calls.RoutedCall,
+    request: routed_calls.UpstreamRequest,
 ) -> list[tuple[str, str]]:
     headers = [
         *call.headers,
-        (callers.DEADLINE, str(int(sending.left * 1000))),
+        (callers.DEADLINE, str(int(request.deadline * 1000))),
         (_EXPECT_UPSTREAM, upstream.upstream),
-        (_URGENCY, str(sending.urgency)),
+        (_URGENCY, str(request.urgency)),
     ]
     if call.customer:
         headers.append((callers.CUSTOMER, call.customer))
-    if sending.last_event:
-        headers.append((callers.LAST_EVENT, sending.last_event))
+    if request.last_event:
+        headers.append((callers.LAST_EVENT, request.last_event))
     return headers
 
 
--- a/src/mintcleat/ports/forwarding.py
+++ b/src/mintcleat/ports/forwarding.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from mintcleat.domain import member_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 
 
 class Answer(Protocol):
@@ -14,7 +14,7 @@
         head: Its head.
     """
 
-    head: routed.Head
+    head: routed_calls.ResponseHead
 
     def body(self) -> bytes:
         """Returns the whole body.
@@ -40,8 +40,8 @@
     def send(
         self,
         upstream: member_messages.Registration,
-        call: routed.RoutedCall,
-        sending: routed.Sending,
+        call: routed_calls.RoutedCall,
+        request: routed_calls.UpstreamRequest,
     ) -> Answer:
         """Sends a request and returns the answer once its head has come.
 
@@ -51,17 +51,17 @@
             errors.StreamClosed: It may have run, and no answer will come.
         """
 
-    def forget(self, life: str) -> None:
+    def forget(self, incarnation: str) -> None:
         """Drops what is kept for a life of an upstream that is over."""
 
 
 class Reply(Protocol):
     """The answer to one caller, in the callers' own protocol."""
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def whole(self, head: routed_calls.ResponseHead, body: bytes) -> None:
         """Sends an upstream's whole answer."""
 
-    def begin(self, head: routed.Head) -> None:
+    def begin(self, head: routed_calls.ResponseHead) -> None:
         """Sends the head of an upstream's answer."""
 
     def write(self, data: bytes) -> None:
--- a/src/mintcleat/programs/outcomes.py
+++ b/src/mintcleat/programs/outcomes.py
@@ -95,7 +95,7 @@
     program.context = usage.prompt_tokens + usage.completion_tokens
     answer = request.answer.decode(errors="replace")
     texts = [*call.messages, answer]
-    program.digest = digests.rolling(program.digest, texts)
+    program.digest = digests.chain(program.digest, texts)
     turn = records.TurnRecord(
         turn=call.turn,
         key=call.key,
--- a/src/mintcleat/roles/entry/attempts.py
+++ b/src/mintcleat/roles/entry/attempts.py
@@ -140,7 +140,7 @@
         request_digest: bytes,
         refusal: errors.MintcleatError,
     ) -> Any:
-        """Returns CallRecorded or AttemptRunning of an earlier send, or refuses.
+        """Returns an earlier send's CallRecorded or AttemptRunning, or refuses.
 
         This entry takes no new work, but the caller may be sending again
         what has run already. "Not run" would then be untrue, and the caller
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -7,7 +7,7 @@
 from mintcleat.domain import errors
 from mintcleat.domain import events as event_types
 from mintcleat.domain import manifest
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
@@ -71,7 +71,9 @@
         """Returns what callers may send."""
         return self.configuration.manifest().limits
 
-    def handle(self, call: routed.RoutedCall, reply: forwarding.Reply) -> None:
+    def handle(
+        self, call: routed_calls.RoutedCall, reply: forwarding.Reply
+    ) -> None:
         """Answers a request.
 
         Raises:
@@ -92,7 +94,7 @@
             raise
 
     def _route(
-        self, call: routed.RoutedCall, began: float
+        self, call: routed_calls.RoutedCall, began: float
     ) -> routed_run.RoutedRun:
         if not self._has_word():
             self._await_word(call)
@@ -111,7 +113,7 @@
             self.means, call, match, name, service, began, caller.priority
         )
 
-    def _match(self, call: routed.RoutedCall) -> routes.Match:
+    def _match(self, call: routed_calls.RoutedCall) -> routes.Match:
         """Returns the route of a request.
 
         Raises:
@@ -145,7 +147,7 @@
         )
         return self.informed
 
-    def _await_word(self, call: routed.RoutedCall) -> None:
+    def _await_word(self, call: routed_calls.RoutedCall) -> None:
         """Holds a call while this entry has just started.
 
         Raises:
@@ -185,7 +187,7 @@
 
     def _tell_refusal(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         run: routed_run.RoutedRun | None,
         error: errors.MintcleatError,
         began: float,
--- a/src/mintcleat/roles/entry/identity.py
+++ b/src/mintcleat/roles/entry/identity.py
@@ -118,7 +118,7 @@
         self.events.emit(
             event_types.KeyUnknown(
                 request,
-                keys.short(key),
+                keys.short_digest(key),
                 round(self.timers.now() - arrived, 4),
                 round(arrived - self.configuration.known_until(), 4),
                 self.configuration.revision(),
@@ -155,7 +155,7 @@
 
 def _unauthorized(key: str) -> errors.Unauthorized:
     """Returns the refusal of a request whose key surely opens nothing."""
-    shown = keys.short(key)
+    shown = keys.short_digest(key)
     named = f"The key {shown}" if shown else "A request without one key"
     return errors.Unauthorized(
         f"{named} is no customer's.",
--- a/src/mintcleat/roles/entry/routed_answer.py
+++ b/src/mintcleat/roles/entry/routed_answer.py
@@ -4,7 +4,7 @@
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 from mintcleat.domain import member_messages
-from mintcleat.domain import server_events
+from mintcleat.domain import server_sent_events
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
 from mintcleat.roles.entry import turn_keeper
@@ -64,9 +64,9 @@
         return self.upstream.upstream if self.upstream else ""
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """The life of the upstream asked last; empty for none."""
-        return self.upstream.life if self.upstream else ""
+        return self.upstream.incarnation if self.upstream else ""
 
     def deliver(
         self,
@@ -110,7 +110,7 @@
         self.first = self.timers.now()
         self._received()
         if said is evidence.Evidence.WELL:
-            self.loads.observe(self.life, self.first - sent_at)
+            self.loads.observe(self.incarnation, self.first - sent_at)
         self.begun = True
         reply.whole(head, body)
 
@@ -121,9 +121,9 @@
             self.status = answer.head.status
             self.begun = True
             reply.begin(answer.head)
-        buffer = server_events.EventBuffer()
+        buffer = server_sent_events.EventBuffer()
         for data in answer.pieces():
-            self.loads.arrived(self.life)
+            self.loads.arrived(self.incarnation)
             for event in buffer.feed(data):
                 self._pass_on(event, reply)
         if buffer.rest:
@@ -139,16 +139,16 @@
         would look like load on the upstream, and like its silence.
         """
         self.received = True
-        self.loads.ended(self.life, self.request)
+        self.loads.ended(self.incarnation, self.request)
 
     def _pass_on(
-        self, event: server_events.Event, reply: forwarding.Reply
+        self, event: server_sent_events.Event, reply: forwarding.Reply
     ) -> None:
         now = self.timers.now()
         if self.piece_at:
             pause = now - self.piece_at
             self.gap = max(self.gap, pause)
-            self.loads.observe(self.life, pause)
+            self.loads.observe(self.incarnation, pause)
         else:
             self.first = now
         self.piece_at = now
@@ -165,7 +165,11 @@
         output = b"".join(data + b"\n" for data in self.output)
         try:
             self.turns.keep(
-                self.turn, self.tokens, self.life, output, self.loads.report()
+                self.turn,
+                self.tokens,
+                self.incarnation,
+                output,
+                self.loads.report(),
             )
         except errors.MintcleatError as error:
             raise errors.TurnUnrecorded(
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -18,7 +18,7 @@
 from mintcleat.domain import events as event_types
 from mintcleat.domain import manifest
 from mintcleat.domain import member_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import directory as directory_port
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import forwarding
@@ -110,7 +110,7 @@
     def __init__(
         self,
         means: Means,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         match: routes.Match,
         service_name: str,
         service: manifest.Service,
@@ -191,7 +191,7 @@
             )
             return
         step = max(1, self.service.tokens_per_event)
-        reserve = step * math.ceil(self.call.generation.most / step)
+        reserve = step * math.ceil(self.call.generation.max_tokens / step)
         retention = self.route.retention or BUDGET_SECONDS
         loads = self.means.loads
         turn = self.means.turns.open(
@@ -207,7 +207,7 @@
             return
         # The program's cache is where a turn began to run, not where a
         # request for it went.
-        ran_at = answer.life if answer.begun else ""
+        ran_at = answer.incarnation if answer.begun else ""
         ran = bool(self.attempts)
         self.means.turns.settle(answer.turn, answer.tokens, ran_at, ran)
 
@@ -217,11 +217,11 @@
         while True:
             upstream = self._place()
             self.offers += 1
-            self.tried.add(upstream.life)
+            self.tried.add(upstream.incarnation)
             self.sent_at = self.now
             patience = PATIENCE * self.route.target_latency
             loads = self.means.loads
-            loads.began(upstream.life, self.call.request, patience)
+            loads.began(upstream.incarnation, self.call.request, patience)
             try:
                 self._attempt(upstream, reply)
             except errors.MintcleatError as error:
@@ -241,7 +241,7 @@
                 self._note(upstream, evidence.of_answer(self.answer.status))
                 return
             finally:
-                loads.ended(upstream.life, self.call.request)
+                loads.ended(upstream.incarnation, self.call.request)
 
     def _note(
         self,
@@ -252,7 +252,7 @@
             case evidence.Evidence.FAILED:
                 self.means.loads.failed(upstream)
             case evidence.Evidence.WELL:
-                self.means.loads.answered(upstream.life, self.sent_at)
+                self.means.loads.answered(upstream.incarnation, self.sent_at)
 
     def _place(self) -> member_messages.Registration:
         turn = self.answer.turn
@@ -283,8 +283,8 @@
                 upstream.upstream,
                 self.offers + 1,
                 choice.reason,
-                self.means.loads.running(upstream.life),
-                self.means.loads.running_elsewhere(upstream.life),
+                self.means.loads.running(upstream.incarnation),
+                self.means.loads.running_elsewhere(upstream.incarnation),
                 self.means.loads.heard_age(),
                 candidates,
                 round(self.until - self.now, 3),
@@ -304,7 +304,7 @@
         answer = self.means.upstreams.send(
             upstream,
             self.call,
-            routed.Sending(
+            routed_calls.UpstreamRequest(
                 body,
                 max(0.0, self.until - self.now),
                 self.answer.last_event,
@@ -312,7 +312,7 @@
             ),
         )
         try:
-            self.means.loads.arrived(upstream.life)
+            self.means.loads.arrived(upstream.incarnation)
             repeat = self.route.repeat == "any"
             left = self.attempts < self.route.attempts
             self.answer.deliver(answer, reply, self.sent_at, repeat and left)
@@ -387,7 +387,7 @@
                 self.match.name,
                 self.service_name,
                 program.program,
-                program.line,
+                program.session,
                 program.previous,
                 round(self.until - self.began, 3),
                 configuration.revision(),
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_keeper.py
@@ -7,7 +7,7 @@
 from mintcleat.domain import errors
 from mintcleat.domain import events as event_types
 from mintcleat.domain import program_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import control as control_ports
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         retention: float,
         chain: list[program_messages.KeptTurn],
         hint: str,
@@ -103,7 +103,7 @@
 
     def open(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         reserve: int,
         retention: float,
         running: program_messages.RunningCounts,
@@ -247,13 +247,13 @@
             counted_at,
         )
 
-    def forget(self, call: routed.RoutedCall) -> None:
+    def forget(self, call: routed_calls.RoutedCall) -> None:
         """Takes back an opening that may or may not have been committed."""
         self.timers.spawn(self._settle, call, 0, "", 0.0)
 
     def _settle(
         self,
-        call: routed.RoutedCall,
+        call: routed_calls.RoutedCall,
         tokens: int,
         upstream: str,
         retention: float,
@@ -282,7 +282,11 @@
         self._tell_settled(call, tokens, False, began)
 
     def _tell_settled(
-        self, call: routed.RoutedCall, tokens: int, kept: bool, began: float
+        self,
+        call: routed_calls.RoutedCall,
+        tokens: int,
+        kept: bool,
+        began: float,
     ) -> None:
         self.events.emit(
             event_types.TurnSettled(
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -14,7 +14,7 @@
 from mintcleat.domain import member_messages
 from mintcleat.domain import program_messages
 from mintcleat.domain import registrations
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 
@@ -40,7 +40,7 @@
         repeatable: Whether it may run once more elsewhere.
     """
 
-    call: routed.RoutedCall
+    call: routed_calls.RoutedCall
     hint: str
     affinity: str
     repeatable: bool
@@ -86,22 +86,24 @@
     def read(self) -> None:
         """Takes the directory as it is now."""
         registered = self.configuration.registered
-        entries = {item.life: item for item in registered.entries.values()}
-        for life in self.known.keys() - entries.keys():
-            held = self.known[life]
+        entries = {
+            item.incarnation: item for item in registered.entries.values()
+        }
+        for incarnation in self.known.keys() - entries.keys():
+            held = self.known[incarnation]
             self._tell(held._replace(state="gone"), registered.version)
-            self.speeds.forget(life)
-            self.standings.forget(life)
-            self.gone(life)
-        for life, item in entries.items():
-            held = self.known.get(life)
+            self.speeds.forget(incarnation)
+            self.standings.forget(incarnation)
+            self.gone(incarnation)
+        for incarnation, item in entries.items():
+            held = self.known.get(incarnation)
             if held is None or not directory.same_in_force(held, item):
                 self._tell(item, registered.version)
         self.known = entries
         self.by_service = {}
-        for life, item in entries.items():
+        for incarnation, item in entries.items():
             if item.state == registrations.READY:
-                self.by_service.setdefault(item.service, {})[life] = item
+                self.by_service.setdefault(item.service, {})[incarnation] = item
 
     def choose(
         self, service: str, tried: set[str], wanted: Wanted
@@ -111,7 +113,7 @@
         ready = self.by_service.get(service, {})
         policy = self.policy
         names = standing.usable(
-            [life for life in ready if life not in tried],
+            [incarnation for incarnation in ready if incarnation not in tried],
             self.standings if policy.standing else None,
             self.silences if policy.silence else None,
             wanted.repeatable,
@@ -136,27 +138,27 @@
             return None
         return self.known[choice.upstream], choice, len(candidates)
 
-    def began(self, life: str, request: str, patience: float) -> None:
+    def began(self, incarnation: str, request: str, patience: float) -> None:
         """Counts a request that goes there.
 
         Args:
-            life: Where it goes.
+            incarnation: Where it goes.
             request: Its id.
             patience: Seconds of silence that are still usual for its route.
         """
-        self.silences.began(life, request, patience, self.timers.now())
+        self.silences.began(incarnation, request, patience, self.timers.now())
 
-    def arrived(self, life: str) -> None:
+    def arrived(self, incarnation: str) -> None:
         """Notes that something came from it."""
-        self.silences.arrived(life, self.timers.now())
+        self.silences.arrived(incarnation, self.timers.now())
 
-    def running(self, life: str) -> int:
+    def running(self, incarnation: str) -> int:
         """Returns how many requests of this process run there."""
-        return self.silences.waiting(life)
+        return self.silences.waiting(incarnation)
 
-    def running_elsewhere(self, life: str) -> int:
+    def running_elsewhere(self, incarnation: str) -> int:
         """Returns how many requests other entries have there; 0 if unknown."""
-        return self._elsewhere(self.timers.now()).get(life, 0)
+        return self._elsewhere(self.timers.now()).get(incarnation, 0)
 
     def heard_age(self) -> float:
         """Returns how old that knowledge is, in seconds; -1 without any."""
@@ -166,32 +168,35 @@
     def report(self) -> program_messages.RunningCounts:
         """Returns what this entry has running."""
         waits = self.silences.waits
-        counts = {life: len(requests) for life, requests in waits.items()}
+        counts = {
+            incarnation: len(requests)
+            for incarnation, requests in waits.items()
+        }
         return program_messages.RunningCounts(self.entry, counts)
 
     def hear(self, others: Mapping[str, int]) -> None:
         """Takes what other entries have running."""
         self.others.hear(others, self.timers.now())
 
-    def ended(self, life: str, request: str) -> None:
+    def ended(self, incarnation: str, request: str) -> None:
         """Takes the request back out of the count; safe to repeat."""
-        self.silences.ended(life, request)
+        self.silences.ended(incarnation, request)
 
-    def observe(self, life: str, seconds: float) -> None:
+    def observe(self, incarnation: str, seconds: float) -> None:
         """Takes the pause before a piece, or the time of a whole answer."""
-        if life in self.known:
-            self.speeds.observe(life, seconds, self.timers.now())
+        if incarnation in self.known:
+            self.speeds.observe(incarnation, seconds, self.timers.now())
 
-    def answered(self, life: str, began: float) -> None:
+    def answered(self, incarnation: str, began: float) -> None:
         """Notes a good answer to a request that was sent at `began`."""
-        self.standings.answered(life, began, self.timers.now())
+        self.standings.answered(incarnation, began, self.timers.now())
 
     def failed(self, upstream: member_messages.Registration) -> None:
         """Notes that it failed a request, broke off or was not reached."""
-        if upstream.life not in self.known:
+        if upstream.incarnation not in self.known:
             return
         now = self.timers.now()
-        held = self.standings.failed(upstream.life, now)
+        held = self.standings.failed(upstream.incarnation, now)
         self.events.emit(
             event_types.UpstreamAvoided(
                 upstream.upstream,
--- a/src/mintcleat/roles/sidecar/history.py
+++ b/src/mintcleat/roles/sidecar/history.py
@@ -50,7 +50,7 @@
             if turn.turn <= len(kept):
                 continue
             previous = kept[-1].digest if kept else digests.EMPTY
-            digest = digests.rolling(previous, turn.messages)
+            digest = digests.chain(previous, turn.messages)
             if turn.turn != len(kept) + 1 or digest != turn.digest:
                 self.drop(program)
                 raise errors.BadRequest(
@@ -72,7 +72,7 @@
         kept = self.turns.get(program, [])[:base]
         if len(kept) < base:
             return
-        turn = identities.Turn(base + 1, added, digests.rolling(digest, added))
+        turn = identities.Turn(base + 1, added, digests.chain(digest, added))
         self._store(program, [*kept, turn])
 
     def drop(self, program: str) -> None:
--- a/src/mintcleat/standins/cache.py
+++ b/src/mintcleat/standins/cache.py
@@ -163,7 +163,7 @@
     found = []
     digest = digests.EMPTY
     for message in messages:
-        digest = digests.rolling(digest, [message])
+        digest = digests.chain(digest, [message])
         found.append((digest, count_tokens(message)))
     return found
 
--- a/testing/histories.py
+++ b/testing/histories.py
@@ -192,7 +192,7 @@
     for name, final in record.finals.items():
         digest = digests.EMPTY
         for number, turn in enumerate(final.turns, start=1):
-            digest = digests.rolling(digest, turn.messages)
+            digest = digests.chain(digest, turn.messages)
             if turn.turn != number or turn.digest != digest:
                 yield Violation("history", f"{name} is broken at {number}")
             if (name, number, turn.messages[0]) not in sent:
--- a/testing/test_admin_http.py
+++ b/testing/test_admin_http.py
@@ -186,7 +186,7 @@
         self.assertEqual(keys.digest("plain-key"), key["digest"])
         self.assertGreater(key["since"], 0)
         _, out, _ = self.run_cli("customers", "list")
-        self.assertIn(keys.short(key["digest"]), out)
+        self.assertIn(keys.short_digest(key["digest"]), out)
         self.assertNotIn("plain-key", out)
 
     def test_key_is_shown_once_and_taken_away_by_its_digest(self) -> None:
@@ -197,7 +197,7 @@
         self.assertEqual(
             [keys.digest("plain-key"), keys.digest(made["key"])], held
         )
-        shown = keys.short(held[0])
+        shown = keys.short_digest(held[0])
         code, out, _ = self.run_cli("customers", "remove_key", "farmers", shown)
         self.assertEqual(0, code, out)
         listed = self.run_json("customers", "list")["customers"]
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -15,7 +15,7 @@
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 from mintcleat.domain import member_messages
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.ports import events
 from mintcleat.roles.entry import allowances
 from mintcleat.roles.entry import gateway
@@ -139,7 +139,7 @@
 
 
 class Answer:
-    head = routed.Head(200, "OK", (), 4, False)
+    head = routed_calls.ResponseHead(200, "OK", (), 4, False)
 
     def body(self) -> bytes:
         return b"done"
@@ -154,11 +154,13 @@
     def __init__(self) -> None:
         self.sent: list[str] = []
 
-    def send(self, upstream: Any, call: routed.RoutedCall, how: Any) -> Answer:
+    def send(
+        self, upstream: Any, call: routed_calls.RoutedCall, how: Any
+    ) -> Answer:
         self.sent.append(call.request)
         return Answer()
 
-    def forget(self, life: str) -> None:
+    def forget(self, incarnation: str) -> None:
         """Keeps nothing."""
 
 
@@ -166,7 +168,7 @@
     def __init__(self) -> None:
         self.status = 0
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def whole(self, head: routed_calls.ResponseHead, body: bytes) -> None:
         self.status = head.status
 
 
@@ -186,8 +188,8 @@
             "e1",
         )
 
-    def call(self, deadline: float) -> routed.RoutedCall:
-        return routed.RoutedCall(
+    def call(self, deadline: float) -> routed_calls.RoutedCall:
+        return routed_calls.RoutedCall(
             request="r1",
             method="GET",
             host="h",
--- a/testing/test_digests.py
+++ b/testing/test_digests.py
@@ -8,17 +8,17 @@
 
 class RollingTest(testtools.TestCase):
     def test_boundaries_between_messages_count(self) -> None:
-        first = digests.rolling(b"", ["ab", "c"])
-        second = digests.rolling(b"", ["a", "bc"])
+        first = digests.chain(b"", ["ab", "c"])
+        second = digests.chain(b"", ["a", "bc"])
         self.assertThat(first, matchers.Not(matchers.Equals(second)))
 
     def test_previous_digest_counts(self) -> None:
-        previous = digests.rolling(b"", ["a"])
-        first = digests.rolling(previous, ["b"])
-        second = digests.rolling(b"", ["b"])
+        previous = digests.chain(b"", ["a"])
+        first = digests.chain(previous, ["b"])
+        second = digests.chain(b"", ["b"])
         self.assertThat(first, matchers.Not(matchers.Equals(second)))
 
     def test_same_history_gives_the_same_sixteen_bytes(self) -> None:
-        first = digests.rolling(b"", ["a", "ä"])
+        first = digests.chain(b"", ["a", "ä"])
         self.assertThat(first, matchers.HasLength(16))
-        self.assertEqual(first, digests.rolling(b"", ["a", "ä"]))
+        self.assertEqual(first, digests.chain(b"", ["a", "ä"]))
--- a/testing/test_emulator.py
+++ b/testing/test_emulator.py
@@ -11,7 +11,7 @@
 
 from mintcleat.decisions import policy
 from mintcleat.domain import errors
-from mintcleat.domain import routed
+from mintcleat.domain import routed_calls
 from mintcleat.emulator import engine
 from mintcleat.emulator import plan
 from mintcleat.emulator import play
@@ -54,7 +54,7 @@
         def wait() -> object:
             run = engine.Run(
                 self.env,
-                tuple(routed.Part(*part) for part in parts),
+                tuple(routed_calls.PromptPart(*part) for part in parts),
                 f"{name}-kept",
                 output,
                 lambda: None,
--- a/testing/test_evidence.py
+++ b/testing/test_evidence.py
@@ -79,14 +79,17 @@
                 eventlet.sleep(0.005)
         self.system.control_common.streams.stop()
         with eventlet.Timeout(20):
-            while any(self.loads.running(life) for life in self.loads.known):
+            while any(
+                self.loads.running(incarnation)
+                for incarnation in self.loads.known
+            ):
                 eventlet.sleep(0.005)
         # The turns still wait for control by now.
         now = self.system.entry_common.timers.now()
         silent = [
-            life
-            for life in self.loads.known
-            if self.loads.silences.silent(life, now + 60.0)
+            incarnation
+            for incarnation in self.loads.known
+            if self.loads.silences.silent(incarnation, now + 60.0)
         ]
         self.assertEqual([], silent)
         self.assertEqual([False] * 6, [turn.wait().whole for turn in turns])
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -39,7 +39,7 @@
     digest = digests.EMPTY
     turns = []
     for number, pair in enumerate(pairs, start=1):
-        digest = digests.rolling(digest, pair)
+        digest = digests.chain(digest, pair)
         turns.append(identities.Turn(number, list(pair), digest))
     return turns
 
--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -131,7 +131,7 @@
         )
         for key in (FARMERS, STUDIOS, LATER, "no-such-key-at-all"):
             self.assertNotIn(key, written)
-        shown = keys.short(keys.digest("no-such-key-at-all"))
+        shown = keys.short_digest(keys.digest("no-such-key-at-all"))
         self.assertIn(shown, written)
         trail = self.system.control.part.config.machine.trail.state()
         self.assertNotIn(LATER, str(trail))
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -74,9 +74,9 @@
         self.start(SECOND, 1)
         loads = self.system.entry.gateway.loads
         now = self.system.entry_common.timers.now()
-        life = f"e1#{SECOND}"
-        self.assertEqual({life}, set(loads.known))
-        self.assertTrue(loads.standings.allows(life, False, now))
+        incarnation = f"e1#{SECOND}"
+        self.assertEqual({incarnation}, set(loads.known))
+        self.assertTrue(loads.standings.allows(incarnation, False, now))
         self.assertEqual({}, loads.standings.standings)
         self.assertEqual({}, loads.speeds.speeds)
 
--- a/testing/test_identity.py
+++ b/testing/test_identity.py
@@ -25,16 +25,16 @@
 class KeyTest(testtools.TestCase):
     def test_digest_stands_for_a_key_and_opens_nothing(self) -> None:
         held = keys.digest(KEY)
-        self.assertEqual(held, keys.stored(held))
+        self.assertEqual(held, keys.as_digest(held))
         self.assertNotEqual(held, keys.digest(held))
 
     def test_only_one_field_of_sound_length_is_a_key(self) -> None:
-        self.assertEqual(keys.digest(KEY), keys.presented([KEY]))
+        self.assertEqual(keys.digest(KEY), keys.digest_from_fields([KEY]))
         for fields in ([], [""], [KEY, KEY], ["x" * 1_000_000]):
-            self.assertEqual("", keys.presented(fields))
+            self.assertEqual("", keys.digest_from_fields(fields))
 
     def test_bytes_that_are_no_text_are_a_key_like_any(self) -> None:
-        self.assertNotEqual("", keys.presented(["\udcff\x00"]))
+        self.assertNotEqual("", keys.digest_from_fields(["\udcff\x00"]))
 
 
 class ManifestTest(testtools.TestCase):
@@ -58,7 +58,7 @@
             policies(farmers={"keys": [KEY]}, studios={"keys": [KEY]})
         )
         self.assertIn("$.policies.customers.studios.keys[0]", detail)
-        self.assertIn(keys.short(keys.digest(KEY)), detail)
+        self.assertIn(keys.short_digest(keys.digest(KEY)), detail)
         self.assertNotIn(KEY, detail)
 
     def test_key_beside_its_own_digest_is_one_key_twice(self) -> None:
@@ -111,7 +111,7 @@
 
 def sent(key: str) -> str:
     """Returns what the entry has of a key."""
-    return keys.presented([key] if key else [])
+    return keys.digest_from_fields([key] if key else [])
 
 
 class IdentityTest(testtools.TestCase):
--- a/testing/test_registrations.py
+++ b/testing/test_registrations.py
@@ -48,7 +48,7 @@
     def test_one_that_tells_no_start_is_read(self) -> None:
         body = {name: v for name, v in WHOLE.items() if name != "born"}
         found = control_api.to_registration("e1", json.dumps(body).encode())
-        self.assertEqual(("e1", 0), (found.life, found.started))
+        self.assertEqual(("e1", 0), (found.incarnation, found.started))
 
     def test_wrong_field_is_named(self) -> None:
         wrong = {
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -37,7 +37,7 @@
         first = service_rig.turn()
         _, end = self.rig.call(first)
         answer = end.message
-        digest = digests.rolling(b"", [*first.messages, answer])
+        digest = digests.chain(b"", [*first.messages, answer])
         second = service_rig.turn(
             attempt=2,
             base_turn=1,
@@ -51,7 +51,7 @@
 
     def test_missing_history_is_asked_for_and_checked(self) -> None:
         added = [service_rig.user("old"), batch.answer_message("yes")]
-        digest = digests.rolling(b"", added)
+        digest = digests.chain(b"", added)
         asked = service_rig.turn(base_turn=1, base_digest=digest)
         _, need = self.rig.call(asked)
         self.assertEqual(call_messages.NeedHistory(0), need)
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -45,7 +45,7 @@
         as it was checked at the arrival, not what is left of it.
         """
         added = [service_rig.user("old"), batch.answer_message("yes")]
-        digest = digests.rolling(b"", added)
+        digest = digests.chain(b"", added)
         first = self.occupy()
         asked = service_rig.turn(
             "second",
--- a/testing/test_traces.py
+++ b/testing/test_traces.py
@@ -80,5 +80,5 @@
 
     def test_every_event_of_a_request_names_it(self) -> None:
         for kind in events.KINDS:
-            if events.weight_of_kind(kind) != events.STATE:
+            if events.severity_of_kind(kind) != events.STATE:
                 self.assertEqual("request", kind._fields[0], kind)
