--- a/bench/policy_world.py
+++ b/bench/policy_world.py
@@ -155,7 +155,7 @@
             load.prefill_rate,
             self.engine.free(),
             place.READY,
-            load.new_wait,
+            load.first_call_wait,
         )
 
     def offer(self, job: Job) -> admit.Refuse | None:
--- a/src/mintcleat/decisions/place.py
+++ b/src/mintcleat/decisions/place.py
@@ -108,7 +108,7 @@
         A program's first call may also wait for memory.
         """
         report = self.report
-        reported = report.new_wait if first else report.wait
+        reported = report.first_call_wait if first else report.wait
         if not lag:
             return reported
         limit = max(1, report.limit)
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -54,7 +54,7 @@
     wait: float
     token_time: float
     prefill_rate: float
-    new_wait: float
+    first_call_wait: float
 
 
 class Gate:
--- a/src/mintcleat/domain/call_messages.py
+++ b/src/mintcleat/domain/call_messages.py
@@ -181,7 +181,7 @@
         prefill_rate: Learned prompt tokens a second; 0 until measured.
         free_memory: Tokens of cache that are free.
         state: `ready`, `loading`, `draining` or `down`.
-        new_wait: Predicted wait of a program's first call, in seconds.
+        first_call_wait: Predicted wait of a program's first call, in seconds.
     """
 
     sidecar: identities.Incarnation
@@ -194,4 +194,4 @@
     prefill_rate: float
     free_memory: int
     state: str
-    new_wait: float = 0.0
+    first_call_wait: float = 0.0
--- a/src/mintcleat/roles/sidecar/presence.py
+++ b/src/mintcleat/roles/sidecar/presence.py
@@ -225,5 +225,5 @@
             prefill_rate=load.prefill_rate,
             free_memory=self.free_memory,
             state=self.state(),
-            new_wait=load.new_wait,
+            first_call_wait=load.first_call_wait,
         )
--- a/testing/test_load_outcomes.py
+++ b/testing/test_load_outcomes.py
@@ -101,7 +101,7 @@
             load.prefill_rate,
             0,
             place.READY,
-            load.new_wait,
+            load.first_call_wait,
         )
         self.fleet.report(report, self.now)
 
