--- a/src/mintcleat/domain/control_events.py
+++ b/src/mintcleat/domain/control_events.py
@@ -1,13 +1,18 @@
-"""What control instances tell of elections, disks and configuration.
+"""Log events of control instances: elections, disks and configuration.
 
-The rules of `events` hold for these too.
+See `domain.events` for the rules that all events follow.
 """
 
 from typing import NamedTuple
 
 
 class LeaderChanged(NamedTuple):
-    """A group has another leader, or none."""
+    """The leader of a replication group changed.
+
+    Attributes:
+        leader: Leader of the group; empty for none.
+        role: Role of this replica in the group.
+    """
 
     group: str
     leader: str
@@ -16,13 +21,14 @@
 
 
 class LeaderElected(NamedTuple):
-    """This replica was elected to lead a group.
+    """This replica was elected leader of a group.
 
     Attributes:
-        last_index: Last entry that it held then; a leader that lacks an
-            acknowledged entry shows here.
-        grants: Voters that chose it, as `instance@epoch`.
-        voters: All voters, by its own log.
+        last_index: Index of the last entry of its log at that time. A value
+            below the index of an acknowledged entry means data loss.
+        last_term: Term of that entry.
+        grants: Voters that voted for it, as `instance@epoch`.
+        voters: All voters according to its own log.
     """
 
     group: str
@@ -34,11 +40,11 @@
 
 
 class VotersChanged(NamedTuple):
-    """A change of who votes in a group is committed and was applied here.
+    """A committed membership change of a group was applied here.
 
     Attributes:
-        index: Entry that carries the change.
-        reason: What it did, and for whom.
+        index: Index of the log entry with the change.
+        reason: The change and the replicas concerned.
     """
 
     group: str
@@ -50,15 +56,16 @@
 
 
 class DiskOpened(NamedTuple):
-    """What a start found on its disk.
+    """The instance opened its disk at the start.
 
     Attributes:
         identity: Replica identity, as `instance@epoch`.
-        formatted: Whether the disk was empty, or a copy, and got it now.
-        founder: Whether this instance may start groups that nobody knows.
-        log_bytes: Size of the log.
-        cut_bytes: Length of the torn tail that was cut off it.
-        groups: By group: term, last index, its term, snapshot's index.
+        formatted: Whether the identity is new because the disk was empty or
+            a copy.
+        founder: Whether this instance may create groups that do not exist.
+        log_bytes: Size of the write-ahead log.
+        cut_bytes: Length of the torn tail that was truncated.
+        groups: By group: term, last index, its term, snapshot index.
     """
 
     identity: str
@@ -70,10 +77,13 @@
 
 
 class SnapshotSent(NamedTuple):
-    """A follower that is behind the log was sent a snapshot.
+    """A snapshot was sent to a follower that needs compacted log entries.
 
     Attributes:
-        whole: Whether all of it could be sent.
+        to: Replica identity of the follower.
+        index: Last log entry that the snapshot includes.
+        size: Size in bytes.
+        whole: Whether the snapshot was sent completely.
     """
 
     group: str
@@ -84,7 +94,13 @@
 
 
 class SnapshotInstalled(NamedTuple):
-    """A snapshot of the leader replaced this replica's state."""
+    """A snapshot from the leader replaced this replica's state.
+
+    Attributes:
+        index: Last log entry that the snapshot includes.
+        term: Term of that entry.
+        size: Size in bytes.
+    """
 
     group: str
     index: int
@@ -93,13 +109,16 @@
 
 
 class ConfigurationPushed(NamedTuple):
-    """An operator's push was decided.
+    """The leader accepted or rejected an operator's push.
 
     Attributes:
-        index: Entry of the log that carries the version in force; 0 when it
-            came here in a snapshot.
-        term: Term of the leader that decides.
-        holders: Voters that were known to hold that entry on disk.
+        version: Version that was pushed.
+        revision: Revision in force after the decision.
+        after_s: Time that the decision took.
+        index: Log entry with the version in force; 0 when it arrived here in
+            a snapshot.
+        term: Term of the leader that decided.
+        holders: Voters known to have that entry on disk.
     """
 
     version: int
@@ -116,9 +135,10 @@
     """The leader answered an operator's read of the configuration.
 
     Attributes:
-        office: Number under which it decides.
-        commit: Last index known to be committed then.
-        applied: Last index that its machine had.
+        office: Leader epoch of the config leader.
+        commit: Commit index at that time.
+        applied: Last index that was applied to the state machine.
+        lease_left_s: Remaining time of the leader lease.
     """
 
     version: int
--- a/src/mintcleat/domain/errors.py
+++ b/src/mintcleat/domain/errors.py
@@ -1,7 +1,8 @@
 """Typed errors that callers and operators see.
 
 Each kind has an HTTP status, a default outcome and a remedy. The outcome is
-a promise: `not_run` means that the request did not and will not run.
+a guarantee: `not_run` means that the request did not run and will not run
+later.
 """
 
 from typing import ClassVar
@@ -13,7 +14,7 @@
 
 
 class Failure(NamedTuple):
-    """An error on the wire; `raise_failure` turns it into its class again."""
+    """An error in a message; `from_failure` converts it to its class."""
 
     kind: str
     detail: str
@@ -23,20 +24,20 @@
 
 
 class MintcleatError(Exception):
-    """Base of every typed error.
+    """Base class of all typed errors.
 
     Attributes:
-        detail: What happened, for a person.
-        outcome: One of `not_run`, `unknown`, `ran`.
-        remedy: What the reader can do about it.
-        retry_after: Seconds after which a retry makes sense; 0 for no advice.
+        detail: What happened, in one or more sentences.
+        outcome: Whether the request ran: `not_run`, `unknown` or `ran`.
+        remedy: What the caller or operator can do.
+        retry_after: Seconds to wait before a retry; 0 when unspecified.
     """
 
     kind: ClassVar[str] = "internal"
     status: ClassVar[int] = 502
     default_outcome: ClassVar[str] = UNKNOWN
     default_remedy: ClassVar[str] = (
-        "Look in the daemon's log for the request id and report a bug."
+        "Search the daemon's log for the request id and report a bug."
     )
 
     def __init__(
@@ -54,7 +55,7 @@
         super().__init__(f"{detail} {self.remedy}")
 
     def failure(self) -> Failure:
-        """Returns the wire form."""
+        """Returns the error as it is sent in messages."""
         return Failure(
             self.kind, self.detail, self.outcome, self.remedy, self.retry_after
         )
@@ -79,7 +80,7 @@
 
 
 class UnknownProgram(MintcleatError):
-    """No such program, or it was expired by the retention policy."""
+    """The program does not exist, or its retention is over."""
 
     kind = "unknown_program"
     status = 404
@@ -88,7 +89,7 @@
 
 
 class UnknownService(MintcleatError):
-    """The manifest names no such service."""
+    """The manifest defines no service of this name."""
 
     kind = "unknown_service"
     status = 404
@@ -106,24 +107,24 @@
 
 
 class UnknownUpstream(MintcleatError):
-    """No announced upstream, or failure domain of one, has this name."""
+    """No announced upstream has this name or failure domain."""
 
     kind = "unknown_upstream"
     status = 404
     default_outcome = NOT_RUN
     default_remedy = (
-        "Use a name that `mintcleat upstreams list` shows, or --ahead for one "
-        "that is not there now."
+        "Use a name that `mintcleat upstreams list` shows, or pass --ahead for "
+        "one that is not announced."
     )
 
 
 class UnknownRoute(MintcleatError):
-    """No route of the manifest covers the request's host and path."""
+    """No route of the manifest matches the request's host and path."""
 
     kind = "unknown_route"
     status = 404
     default_outcome = NOT_RUN
-    default_remedy = "Use a host and path that the manifest's routes cover."
+    default_remedy = "Use a host and path that match a route of the manifest."
 
 
 class UnknownTurn(MintcleatError):
@@ -132,11 +133,11 @@
     kind = "unknown_turn"
     status = 404
     default_outcome = NOT_RUN
-    default_remedy = "Start a new line of turns without a previous turn."
+    default_remedy = "Start a new conversation without a previous turn."
 
 
 class TooFewInstances(MintcleatError):
-    """Without this control instance the groups could not bear a loss."""
+    """Without this control instance no group would survive a failure."""
 
     kind = "too_few_instances"
     status = 409
@@ -145,7 +146,7 @@
 
 
 class UnknownCustomer(MintcleatError):
-    """The manifest names no such customer."""
+    """The manifest defines no customer of this name."""
 
     kind = "unknown_customer"
     status = 404
@@ -163,12 +164,12 @@
 
 
 class WrongTurn(MintcleatError):
-    """The turn is not the program's next one."""
+    """The turn is not the program's next turn."""
 
     kind = "wrong_turn"
     status = 409
     default_outcome = NOT_RUN
-    default_remedy = "Read the program and send the turn it names as next."
+    default_remedy = "Fetch the program and send its next turn."
 
 
 class KeyConflict(MintcleatError):
@@ -177,7 +178,7 @@
     kind = "key_conflict"
     status = 409
     default_outcome = NOT_RUN
-    default_remedy = "Use a fresh Idempotency-Key for a different request."
+    default_remedy = "Use a new Idempotency-Key for a different request."
 
 
 class ProgramClosed(MintcleatError):
@@ -199,7 +200,7 @@
 
 
 class CallRunning(MintcleatError):
-    """Another call of this program holds the turn."""
+    """Another call of this program is running the turn."""
 
     kind = "call_running"
     status = 409
@@ -208,7 +209,7 @@
 
 
 class RevisionConflict(MintcleatError):
-    """Another push won the revision."""
+    """Another push changed the manifest after the expected revision."""
 
     kind = "revision_conflict"
     status = 409
@@ -217,7 +218,7 @@
 
 
 class TooLarge(MintcleatError):
-    """The body, a header or a message is over its size limit."""
+    """The body, a header or a message exceeds its size limit."""
 
     kind = "too_large"
     status = 413
@@ -235,16 +236,16 @@
 
 
 class LoopDetected(MintcleatError):
-    """The program sends the same call over and over."""
+    """The program repeated the same call too often."""
 
     kind = "loop_detected"
     status = 422
     default_outcome = NOT_RUN
-    default_remedy = "Mend the agent's loop, then start a new program."
+    default_remedy = "Fix the agent's loop, then start a new program."
 
 
 class Quarantined(MintcleatError):
-    """Upstreams crashed while they ran this request."""
+    """Upstreams crashed while running this request."""
 
     kind = "quarantined"
     status = 422
@@ -253,27 +254,27 @@
 
 
 class InvalidManifest(MintcleatError):
-    """The manifest has faults; the detail lists each with its path."""
+    """The manifest is invalid; the detail lists every error with its path."""
 
     kind = "invalid_manifest"
     status = 422
     default_outcome = NOT_RUN
     default_remedy = (
-        "Mend every fault and check with `mintcleat manifest check`."
+        "Fix every error and check with `mintcleat manifest check`."
     )
 
 
 class InvalidSettings(MintcleatError):
-    """A field of the settings file is wrong."""
+    """A field of the settings file is invalid."""
 
     kind = "invalid_settings"
     status = 422
     default_outcome = NOT_RUN
-    default_remedy = "Mend the field and check with `mintcleatd --check`."
+    default_remedy = "Fix the field and check with `mintcleatd --check`."
 
 
 class ShareExceeded(MintcleatError):
-    """The customer is over its share while others wait."""
+    """The customer exceeds its share while other customers wait."""
 
     kind = "share_exceeded"
     status = 429
@@ -282,7 +283,7 @@
 
 
 class LimitReached(MintcleatError):
-    """The customer has sent all the requests that its limit allows."""
+    """The customer has reached its request limit."""
 
     kind = "limit_reached"
     status = 429
@@ -294,13 +295,13 @@
 
 
 class LimitNear(LimitReached):
-    """A program can't begin: those under way need what is left of the limit."""
+    """A new program can't start: running ones need the rest of the limit."""
 
     kind = "limit_near"
 
 
 class Overloaded(MintcleatError):
-    """The predicted wait is over the limit."""
+    """The predicted wait exceeds the limit."""
 
     kind = "overloaded"
     status = 503
@@ -309,7 +310,7 @@
 
 
 class NoUpstream(MintcleatError):
-    """No upstream of the service takes new work."""
+    """No upstream of the service accepts new work."""
 
     kind = "no_upstream"
     status = 503
@@ -318,21 +319,21 @@
 
 
 class UpstreamBusy(NoUpstream):
-    """The upstream said that it did not run the request: it is full."""
+    """The upstream is full and refused the request without running it."""
 
     kind = "upstream_busy"
     default_remedy = "Send again after retry_after seconds."
 
 
 class WrongUpstream(NoUpstream):
-    """Another upstream has the address by now; it did not run the request."""
+    """The address now belongs to another upstream; the request did not run."""
 
     kind = "wrong_upstream"
-    default_remedy = "Send again; the directory is read anew."
+    default_remedy = "Send again; the directory is refreshed."
 
 
 class LeaseExpired(MintcleatError):
-    """This instance's configuration lease ran out."""
+    """This instance's configuration lease has expired."""
 
     kind = "lease_expired"
     status = 503
@@ -341,16 +342,16 @@
 
 
 class Draining(MintcleatError):
-    """This instance or upstream takes no new work."""
+    """This instance or upstream accepts no new work."""
 
     kind = "draining"
     status = 503
     default_outcome = NOT_RUN
-    default_remedy = "Send again; another instance will take it."
+    default_remedy = "Send again; another instance will accept it."
 
 
 class ControlUnavailable(MintcleatError):
-    """No control quorum answered before anything was proposed."""
+    """No quorum of control instances answered; nothing was proposed."""
 
     kind = "control_unavailable"
     status = 503
@@ -359,7 +360,7 @@
 
 
 class DeadlineUnmet(MintcleatError):
-    """The call cannot end, or did not end, before its deadline."""
+    """The call cannot finish, or did not finish, before its deadline."""
 
     kind = "deadline_unmet"
     status = 504
@@ -368,7 +369,7 @@
 
 
 class OutcomeUnknown(MintcleatError):
-    """Nobody can tell whether the request ran."""
+    """It is unknown whether the request ran."""
 
     kind = "outcome_unknown"
     status = 504
@@ -379,41 +380,41 @@
 
 
 class UpstreamFailed(MintcleatError):
-    """The upstream took the request and failed."""
+    """The upstream accepted the request and failed."""
 
     kind = "upstream_failed"
     status = 502
     default_outcome = RAN
-    default_remedy = "Look at the upstream's own error, then send again."
+    default_remedy = "Check the upstream's own error, then send again."
 
 
 class TurnUnrecorded(MintcleatError):
-    """The upstream's answer is whole, but no leader recorded the turn."""
+    """The upstream's answer is complete, but no leader recorded the turn."""
 
     kind = "turn_unrecorded"
     status = 504
-    default_remedy = "Send the turn again: no later turn can go on from it."
+    default_remedy = "Send the turn again; no later turn can continue from it."
 
 
 class StreamClosed(MintcleatError):
     """The peer closed the exchange or its connection was lost."""
 
     kind = "stream_closed"
-    default_remedy = "Send again with the same key; see that the peer runs."
+    default_remedy = "Send again with the same key; check that the peer runs."
 
 
 class StreamTimeout(MintcleatError):
-    """No message came within the time allowed."""
+    """No message arrived before the timeout."""
 
     kind = "stream_timeout"
-    default_remedy = "Send again with the same key; see how loaded the peer is."
+    default_remedy = "Send again with the same key; check the peer's load."
 
 
 class NotLeader(MintcleatError):
     """This replica does not lead the group; nothing was proposed.
 
     Attributes:
-        leader: Stream address of the leader, empty when unknown.
+        leader: Stream address of the leader; empty when unknown.
     """
 
     kind = "not_leader"
@@ -423,43 +424,43 @@
 
     @property
     def leader(self) -> str:
-        """The leader's address; it travels as the detail."""
+        """Stream address of the leader, which is sent as the detail."""
         return self.detail
 
 
 class ProposalLost(MintcleatError):
-    """Leadership was lost after the proposal; it may yet be committed."""
+    """Leadership was lost after the proposal, which may still be committed."""
 
     kind = "proposal_lost"
     status = 504
-    default_remedy = "Ask the group's leader what came of it; resend by key."
+    default_remedy = "Ask the group's leader for the outcome, or resend by key."
 
 
 class StorageFailed(MintcleatError):
-    """The disk refused a write or a sync; the replica has stopped."""
+    """A write or sync failed; the replica has stopped."""
 
     kind = "storage_failed"
     default_remedy = "Free or replace the disk, then restart the instance."
 
 
 class StorageFull(MintcleatError):
-    """The disk takes no more bytes; nothing of the write is left on it."""
+    """The disk is full; no part of the write is left on it."""
 
     kind = "storage_full"
-    default_remedy = "Free space in the data folder; the write is repeated."
+    default_remedy = "Free space in the data folder; the write is retried."
 
 
 class StorageDamaged(MintcleatError):
-    """The log is damaged before its tail."""
+    """The log is corrupt before its tail."""
 
     kind = "storage_damaged"
     default_remedy = (
-        "Empty the data folder and let `mintcleat control replace` rebuild it."
+        "Empty the data folder and rebuild it with `mintcleat control replace`."
     )
 
 
 class FencedOff(MintcleatError):
-    """The order carries a fencing number lower than one already seen."""
+    """The order carries a fencing token lower than one already seen."""
 
     kind = "fenced_off"
     status = 409
@@ -468,10 +469,10 @@
 
 
 class OtherIncarnation(MintcleatError):
-    """The attempt is bound to another life of the sidecar that was asked.
+    """The attempt is bound to another incarnation of the sidecar.
 
-    Whoever sent the attempt once, and to nobody else, knows that it did not
-    run; to anybody else its outcome is unknown.
+    A client that sent the attempt once, and to no other sidecar, knows that
+    it did not run. For any other client the outcome is unknown.
     """
 
     kind = "other_incarnation"
@@ -488,7 +489,7 @@
 
 
 def kinds() -> dict[str, type[MintcleatError]]:
-    """Returns every error class by its kind."""
+    """Returns all error classes by their kind."""
     found = {MintcleatError.kind: MintcleatError}
     pending = list(MintcleatError.__subclasses__())
     while pending:
@@ -499,7 +500,7 @@
 
 
 def from_failure(failure: Failure) -> MintcleatError:
-    """Returns the typed error that a wire failure stands for."""
+    """Returns the typed error of a failure in a message."""
     error = kinds().get(failure.kind, MintcleatError)
     return error(
         failure.detail,
--- a/src/mintcleat/domain/events.py
+++ b/src/mintcleat/domain/events.py
@@ -1,9 +1,10 @@
-"""What processes tell of their decisions, as typed data.
+"""Structured log events.
 
-An event is written as one JSON object a line: the time, the instance, the
-event's name and its fields. Fields in seconds end in `_s` or `_age_s`; an
-age says how old an input of the decision was. No field holds content of a
-request. `docs/reference/logs.md` is made from this module.
+An event is logged as one JSON object per line: the time, the instance, the
+event's name and its fields. The name on the line is the class name in snake
+case. Fields in seconds end in `_s`; those that end in `_age_s` give the age
+of an input of a decision. No field holds content of a request.
+`docs/reference/logs.md` is generated from this module.
 """
 
 from typing import Any
@@ -11,14 +12,20 @@
 
 from mintcleat.domain import control_events
 
-# How urgent a line is when there are more than the budget allows.
+# Severities. When there are more lines than the log budget allows, DETAIL
+# lines are dropped first and STATE lines last.
 ERROR = "error"
 STATE = "state"
 DETAIL = "detail"
 
 
 class ProcessStarted(NamedTuple):
-    """The process serves its addresses."""
+    """The process started and accepts connections.
+
+    Attributes:
+        address: Address that it serves.
+        start_s: Time that the start took.
+    """
 
     role: str
     instance: str
@@ -27,41 +34,59 @@
 
 
 class ProcessStopping(NamedTuple):
-    """The process begins a planned stop."""
+    """A planned stop of the process began.
+
+    Attributes:
+        under_way: Requests that are still running.
+    """
 
     role: str
     under_way: int
 
 
 class ProcessStopped(NamedTuple):
-    """The process ends; `cut` requests had no answer yet."""
+    """The process stopped.
+
+    Attributes:
+        cut: Requests that were aborted without an answer.
+    """
 
     role: str
     cut: int
 
 
 class SettingsReloaded(NamedTuple):
-    """The settings file was read again; `changed` names the fields."""
+    """The settings file was reloaded.
+
+    Attributes:
+        changed: Names of the changed fields.
+    """
 
     changed: list[str]
 
 
 class DependencyLost(NamedTuple):
-    """Something that this process relies on does not answer."""
+    """A dependency of this process does not answer."""
 
     dependency: str
     detail: str
 
 
 class DependencyRegained(NamedTuple):
-    """It answers again."""
+    """A dependency that was lost answers again."""
 
     dependency: str
     detail: str
 
 
 class ConfigurationApplied(NamedTuple):
-    """A revision of the configuration is in force here."""
+    """This process applied a revision of the configuration.
+
+    Attributes:
+        routes: Number of routes in it.
+        services: Number of services in it.
+        lease_left_s: Remaining time of the configuration lease.
+    """
 
     revision: int
     routes: int
@@ -70,12 +95,13 @@
 
 
 class UpstreamChanged(NamedTuple):
-    """An upstream came, changed its state or went.
+    """An upstream was added, changed its state or was removed.
 
     Attributes:
-        state: `ready`, `draining`, or how it went: `gone` as an entry sees
-            it, `left` or `silent` as the config leader does.
-        directory: Version of the directory that says so.
+        state: `ready` or `draining`; after a removal `gone` at an entry, and
+            `left` (deregistered) or `silent` (registration expired) at the
+            config leader.
+        directory: Version of the directory with this change.
     """
 
     upstream: str
@@ -86,12 +112,12 @@
 
 
 class RegistrationRefused(NamedTuple):
-    """What came as an upstream's registration names none to use.
+    """A registration of an upstream was invalid and was refused.
 
     Attributes:
-        upstream: Id that it was sent under, cut to a bounded length.
-        peer: Address that it came from.
-        detail: The first field that is wrong.
+        upstream: Id in the request, truncated to a maximum length.
+        peer: Address of the sender.
+        detail: The first invalid field.
     """
 
     upstream: str
@@ -100,12 +126,12 @@
 
 
 class UpstreamAvoided(NamedTuple):
-    """An upstream failed; it gets few requests or none for a while.
+    """An upstream failed and gets few or no requests for some time.
 
     Attributes:
-        failures: Failures that count, less what good answers took back.
-        avoided_s: Time without requests; those that may not be repeated keep
-            away until `failures` is below a half.
+        failures: Failure penalty; failures raise it, answers lower it.
+        avoided_s: Time without any requests. Requests that must not be
+            repeated are sent elsewhere until `failures` is below 0.5.
     """
 
     upstream: str
@@ -115,11 +141,16 @@
 
 
 class CallTaken(NamedTuple):
-    """A request came and its route was found.
+    """A request arrived and matched a route.
 
     Attributes:
-        revision: Configuration that the route comes from.
-        lease_left_s: Time left of the lease on it; 0 when it ran out.
+        line: Session within the program; each sub-agent has its own.
+        previous: Turn that the request continues; empty for none.
+        limit_s: Time from the arrival to the request's deadline.
+        revision: Configuration revision that defines the route.
+        lease_left_s: Remaining time of the configuration lease; 0 when it
+            has expired.
+        directory: Version of the directory.
     """
 
     request: str
@@ -136,7 +167,14 @@
 
 
 class TurnOpened(NamedTuple):
-    """The control leader reserved the tokens of a turn."""
+    """A control leader reserved the tokens of a turn.
+
+    Attributes:
+        reserved: Tokens reserved.
+        turns_before: Turns of history before this one.
+        upstream_hint: Upstream that ran the program last; empty for none.
+        commit_s: Time until the reservation was committed.
+    """
 
     request: str
     program: str
@@ -149,7 +187,11 @@
 class CallCounted(NamedTuple):
     """Control counted a call against its customer's limit before it was sent.
 
-    Calls that were counted ahead, with an earlier turn, have no such line.
+    Calls that were counted in advance, with an earlier turn, have no such
+    line.
+
+    Attributes:
+        commit_s: Time until the count was committed.
     """
 
     request: str
@@ -159,14 +201,16 @@
 
 
 class CallPlaced(NamedTuple):
-    """An upstream was chosen.
+    """An upstream was selected for an attempt.
 
     Attributes:
         reason: `resident`, `affinity` or `least`.
-        running: Requests of this process that run there.
-        elsewhere: Requests of other entries there, as far as is known.
-        heard_age_s: Age of what is known of other entries; -1 for nothing.
-        candidates: Upstreams that could be chosen.
+        running: Requests of this process that run at the upstream.
+        elsewhere: Requests of other entries at the upstream, as last reported.
+        heard_age_s: Age of the last report on other entries; -1 for none.
+        candidates: Number of upstreams that were eligible.
+        left_s: Time left until the request's deadline.
+        directory: Version of the directory.
     """
 
     request: str
@@ -182,11 +226,14 @@
 
 
 class AttemptFailed(NamedTuple):
-    """An upstream did not answer the request.
+    """An attempt failed at an upstream.
 
     Attributes:
         kind: Kind of the typed error.
         outcome: `not_run` or `unknown`.
+        after_s: Time since the request was sent to the upstream.
+        last_event: Id of the last event of the stream that was received;
+            empty for none.
     """
 
     request: str
@@ -200,14 +247,18 @@
 
 
 class CallRefused(NamedTuple):
-    """The request is answered by this process, not by an upstream.
+    """This process refused the request with an error.
 
     Attributes:
-        customer: Whose request it is; empty for nobody's, and for one that
-            was refused before that was known.
-        revision: Configuration that the decision rests on.
-        known_age_s: Time since which a push may have been accepted that is
-            not known here.
+        kind: Kind of the typed error.
+        outcome: Whether the request ran: `not_run`, `unknown` or `ran`.
+        retry_after_s: Advised delay before a retry; 0 for none.
+        after_s: Time since the request arrived.
+        customer: Customer of the request; empty when it has none or was
+            refused before the customer was known.
+        revision: Configuration revision that the decision was based on.
+        known_age_s: Age of the configuration: a push accepted within this
+            time may be missing here.
     """
 
     request: str
@@ -224,15 +275,19 @@
 
 
 class KeyUnknown(NamedTuple):
-    """A request came with a key that is no customer's, or not yet.
+    """A request arrived with a key that no known customer has.
+
+    The key may belong to a customer whose push has not arrived here yet, so
+    the request waits for control for a short time.
 
     Attributes:
-        key: Short digest of the key; empty when it sent none.
-        waited_s: Time for which word from control was waited for.
-        behind_s: Time before the request up to which all pushes were known
-            in the end; below 0 when they were known beyond it.
-        waiting: Other such requests that waited then.
-        sure: Whether every push from before the request is known here.
+        key: Short digest of the key; empty when the request had none.
+        waited_s: Time spent waiting for an update from control.
+        behind_s: How long before the request's arrival the known
+            configuration ends after the wait; negative when it includes
+            pushes made after the arrival.
+        waiting: Other such requests that were waiting at the time.
+        sure: Whether every push made before the request is known here.
     """
 
     request: str
@@ -245,13 +300,13 @@
 
 
 class CallHeld(NamedTuple):
-    """A call came before this process had word of control.
+    """A call arrived before this process had a configuration.
 
     Attributes:
         uptime_s: Time since the process started.
-        limit_s: Longest time for which the call was to wait; 0 for none.
-        held: Other calls that waited then.
-        outcome: `released`, when a configuration came, or `refused`.
+        limit_s: Maximum time that the call could wait; 0 for no wait.
+        held: Other calls that were waiting at the time.
+        outcome: `released` when a configuration arrived, else `refused`.
     """
 
     request: str
@@ -263,13 +318,14 @@
 
 
 class CallEnded(NamedTuple):
-    """The caller got an upstream's answer.
+    """An upstream's answer was forwarded to the caller.
 
     Attributes:
-        outcome: `whole` or `cut`.
-        first_s: Time to its first byte.
+        outcome: `whole`, or `cut` when the answer broke off.
+        first_s: Time to the first byte.
         gap_s: Longest pause between two events.
-        tokens: Tokens that were handed out.
+        total_s: Time to the last byte.
+        tokens: Tokens in the forwarded answer.
     """
 
     request: str
@@ -286,7 +342,11 @@
 
 
 class CallerGone(NamedTuple):
-    """The caller left before the end of its answer."""
+    """The caller disconnected before the end of the answer.
+
+    Attributes:
+        after_s: Time since the request arrived.
+    """
 
     request: str
     route: str
@@ -296,7 +356,13 @@
 
 
 class TurnSettled(NamedTuple):
-    """The tokens of a turn are on record, and the turn where it is kept."""
+    """The tokens of a turn were recorded.
+
+    Attributes:
+        tokens: Tokens sent to the caller.
+        kept: Whether the turn's content was stored for later turns.
+        commit_s: Time until the record was committed.
+    """
 
     request: str
     program: str
@@ -306,7 +372,7 @@
 
 
 class TurnUnsettled(NamedTuple):
-    """The tokens of a turn stay reserved: no control leader answered."""
+    """The tokens of a turn stay reserved because no control leader answered."""
 
     request: str
     program: str
@@ -315,11 +381,12 @@
 
 
 class MemoryGrown(NamedTuple):
-    """The process has held more memory than ever before, by a step.
+    """The peak memory of the process grew by another step.
 
     Attributes:
-        peak_mb: Most memory that it has held, in MB.
-        parts: What may have grown with the load, in bytes or items by name.
+        peak_mb: Peak memory in MB.
+        parts: Size of each structure that grows with the load, in bytes or
+            items.
     """
 
     peak_mb: float
@@ -327,7 +394,11 @@
 
 
 class LinesDropped(NamedTuple):
-    """Lines that were over the budget or that the reader did not take."""
+    """Lines were dropped because of the log budget or a slow reader.
+
+    Attributes:
+        dropped: Number of lines.
+    """
 
     dropped: int
     reason: str
@@ -364,7 +435,7 @@
 
 
 def name_of(kind: type) -> str:
-    """Returns an event's name on its line, such as `call_placed`."""
+    """Returns the name of an event on its line, such as `call_placed`."""
     letters = []
     for letter in kind.__name__:
         if letter.isupper() and letters:
@@ -374,14 +445,14 @@
 
 
 def severity_of_kind(kind: type) -> str:
-    """Returns how urgent the lines of a kind are."""
+    """Returns the default severity of a kind of event."""
     if kind in _STATE:
         return STATE
     return ERROR if kind in _ERRORS else DETAIL
 
 
 def severity_of(event: Any) -> str:
-    """Returns which lines give way first when there are too many."""
+    """Returns the severity of one event, which may depend on its fields."""
     if isinstance(event, CallEnded) and event.outcome != "whole":
         return ERROR
     return severity_of_kind(type(event))
