--- a/src/mintcleat/domain/call_messages.py
+++ b/src/mintcleat/domain/call_messages.py
@@ -1,6 +1,6 @@
 """Messages between an entry and a sidecar.
 
-See `domain.messages` for what all messages have in common.
+See `domain.messages` for the encoding that all messages share.
 """
 
 from typing import NamedTuple
@@ -13,11 +13,20 @@
     """Runs one attempt of a chat turn, or of a chat call without a program.
 
     Attributes:
-        base_turn: Turns of history before `messages`, with `base_digest`.
-        history: Turns that the sidecar said it lacks.
+        key: Idempotency key of the call.
+        attempt: Number of the attempt within the call.
+        sidecar: Incarnation that the attempt is bound to.
+        base_turn: Number of turns that precede `messages`.
+        base_digest: Digest of the history up to `base_turn`.
+        history: Turns that the sidecar reported as missing.
+        messages: New chat messages, each as JSON text.
         parameters: The caller's body without `messages`, as JSON text.
-        deadline: Seconds left when sent; 0 for none.
+        deadline: Seconds left at the time of sending; 0 for no deadline.
+        klass: Priority class, `interactive` or `batch`.
+        root: Id of the root program.
         attained: Tokens served so far to the whole program.
+        digest: Digest of the whole request.
+        idempotent: Whether the upstream may safely run the call twice.
     """
 
     program: str
@@ -44,8 +53,9 @@
     """Forwards one request to a plain service.
 
     Attributes:
-        attempt: 0 for an idempotent request, which takes no commit.
+        attempt: 0 for an idempotent request, which needs no commit.
         headers: Pairs of name and value.
+        deadline: Seconds left at the time of sending; 0 for no deadline.
     """
 
     program: str
@@ -65,16 +75,17 @@
 
 
 class NeedHistory(NamedTuple):
-    """The sidecar holds history up to `have`; send the rest in a new Run.
+    """The sidecar has only the first `turns` turns of the history.
 
-    The attempt has not started and is not sealed.
+    The entry sends the rest with a new RunTurn. The attempt has not started
+    and is not sealed.
     """
 
     turns: int
 
 
 class Chunk(NamedTuple):
-    """Part of an answer. `offset` counts the characters before `text`."""
+    """Part of an answer; `offset` is the number of characters before it."""
 
     attempt: int
     offset: int
@@ -85,9 +96,9 @@
     """End of a chat answer; sent after FinishCall was committed.
 
     Attributes:
-        total: Characters in the whole answer.
-        message: JSON text of the whole assistant message.
-        reason: OpenAI's finish reason.
+        total: Number of characters in the answer.
+        message: JSON text of the complete assistant message.
+        reason: Finish reason as in the OpenAI API.
     """
 
     attempt: int
@@ -99,7 +110,7 @@
 
 
 class ToolAnswer(NamedTuple):
-    """Whole answer of a plain service."""
+    """Complete answer of a plain service."""
 
     attempt: int
     status: int
@@ -109,7 +120,7 @@
 
 
 class AttemptRefused(NamedTuple):
-    """The attempt is sealed at this sidecar: it did not and will not run."""
+    """The sidecar sealed the attempt: it did not run and never will."""
 
     attempt: int
     failure: errors.Failure
@@ -117,14 +128,18 @@
 
 
 class AttemptFailed(NamedTuple):
-    """The attempt ended without a whole answer; `failure` says the outcome."""
+    """The attempt ended without a complete answer.
+
+    Attributes:
+        failure: Error, with the outcome of the attempt.
+    """
 
     attempt: int
     failure: errors.Failure
 
 
 class AttachAttempt(NamedTuple):
-    """Follows a running attempt from the start of its answer."""
+    """Asks for the answer of a running attempt, from its start."""
 
     program: str
     customer: str
@@ -134,7 +149,7 @@
 
 
 class SealAttempt(NamedTuple):
-    """Asks that the attempt never runs here from now on."""
+    """Asks the sidecar never to run the attempt from now on."""
 
     program: str
     customer: str
@@ -147,8 +162,8 @@
     """State of an attempt after a SealAttempt.
 
     Attributes:
-        state: `never` (will not run), `running`, `ran`, or `unknown` (this is
-            another incarnation, which cannot know).
+        state: `never` (will not run), `running`, `ran`, or `unknown` (the
+            attempt is bound to another incarnation).
     """
 
     attempt: int
@@ -156,32 +171,36 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Stops a running attempt; its caller has gone."""
+    """Stops a running attempt whose caller has disconnected."""
 
     program: str
     attempt: int
 
 
 class WatchLoad(NamedTuple):
-    """Asks a sidecar to push load reports on this exchange."""
+    """Asks a sidecar to push load reports on this exchange.
+
+    Attributes:
+        instance: Instance that asks.
+    """
 
     instance: str
 
 
 class LoadReport(NamedTuple):
-    """A sidecar's load.
+    """Load report of a sidecar.
 
     Attributes:
-        counter: Grows with each report of one incarnation.
-        running: Calls at the upstream.
-        queued: Calls that wait at the sidecar.
-        limit: Calls that the upstream takes at once, as learned.
-        wait: Predicted wait of a new call, in seconds.
+        counter: Increases with each report of one incarnation.
+        running: Calls running at the upstream.
+        queued: Calls queued at the sidecar.
+        limit: Learned concurrency limit of the upstream.
+        wait: Predicted wait in seconds of a call of a started program.
         token_time: Learned seconds per generated token; 0 until measured.
-        prefill_rate: Learned prompt tokens a second; 0 until measured.
-        free_memory: Tokens of cache that are free.
+        prefill_rate: Learned prompt tokens per second; 0 until measured.
+        free_memory: Free cache, in tokens.
         state: `ready`, `loading`, `draining` or `down`.
-        first_call_wait: Predicted wait of a program's first call, in seconds.
+        first_call_wait: Predicted wait in seconds of a program's first call.
     """
 
     sidecar: identities.Incarnation
--- a/src/mintcleat/domain/codec.py
+++ b/src/mintcleat/domain/codec.py
@@ -1,7 +1,7 @@
-"""Messages as msgpack arrays: `[tag, fields...]`.
+"""Encoding of messages as msgpack arrays `[tag, fields...]`.
 
-A peer's bytes are checked against the message's types, so that a bad peer
-costs its connection and nothing else.
+Decoding checks the fields against the types of the message, so that an
+invalid message from a peer closes the connection and does no other harm.
 """
 
 from typing import Any
@@ -16,42 +16,46 @@
 
 
 def encode(message: Any) -> bytes:
-    """Returns the message as bytes."""
+    """Returns a message as bytes."""
     return msgpack.packb(to_wire(message), use_bin_type=True)
 
 
 def to_wire(message: Any) -> list[Any]:
-    """Returns `[tag, fields...]`; nested messages become plain arrays."""
+    """Returns a message as `[tag, fields...]`, nested messages as tuples."""
     return [_TAG_OF[type(message)], *message]
 
 
 def decode(data: bytes) -> Any:
-    """Returns the message that `encode` made these bytes from.
+    """Returns the message that `encode` turned into these bytes.
 
     Raises:
-        errors.BadRequest: The bytes are no message of a known kind.
+        errors.BadRequest: The bytes are not a valid message of a known kind.
     """
     try:
         items = msgpack.unpackb(data, raw=False, strict_map_key=False)
     except (ValueError, msgpack.exceptions.UnpackException) as error:
-        raise errors.BadRequest(f"A peer sent no msgpack: {error}.") from error
+        raise errors.BadRequest(
+            f"A peer sent invalid msgpack: {error}."
+        ) from error
     return from_wire(items)
 
 
 def from_wire(items: Any) -> Any:
-    """Returns the typed message of `[tag, fields...]`.
+    """Returns the message for `[tag, fields...]`.
 
     Raises:
-        errors.BadRequest: The tag is unknown or a field has another type.
+        errors.BadRequest: The tag is unknown or a field has the wrong type.
     """
     if not isinstance(items, list) or not items:
         raise errors.BadRequest("A peer sent a message without a tag.")
     kind = messages.TAGS.get(items[0])
     if kind is None:
-        raise errors.BadRequest(f"A peer sent the unknown tag {items[0]!r}.")
+        raise errors.BadRequest(
+            f"A peer sent a message with the unknown tag {items[0]!r}."
+        )
     try:
         return msgspec.convert(items[1:], kind)
     except msgspec.ValidationError as error:
         raise errors.BadRequest(
-            f"A peer sent a bad {kind.__name__}: {error}."
+            f"A peer sent an invalid {kind.__name__}: {error}."
         ) from error
--- a/src/mintcleat/domain/config_messages.py
+++ b/src/mintcleat/domain/config_messages.py
@@ -1,6 +1,6 @@
-"""The configuration and its stream from control to the nodes.
+"""Messages of the configuration stream and of manifest pushes.
 
-See `domain.messages` for what all messages have in common.
+See `domain.messages` for the encoding that all messages share.
 """
 
 from typing import NamedTuple
@@ -12,11 +12,12 @@
     """Opens the configuration stream of one node.
 
     Attributes:
+        address: Stream address of the node.
         revision: Revision that the node has applied; 0 for none.
-        address: The node's stream address.
-        directory: Version of the directory that the node holds.
-        digest: Digest of an update of which only a part has arrived.
-        received: Bytes of that update that the node has.
+        directory: Version of the node's directory; 0 for none.
+        digest: Digest of an update that has arrived only in part; empty for
+            none.
+        received: Bytes of that update that the node already has.
     """
 
     node: identities.Incarnation
@@ -30,12 +31,13 @@
 
 
 class UpdatePart(NamedTuple):
-    """A part of a large update, which is a compressed message.
+    """A part of a large update, which is sent as a compressed message.
 
     Attributes:
-        digest: Digest of all compressed bytes.
-        size: How many these are.
-        offset: Where this part begins.
+        digest: Digest of the whole compressed message.
+        size: Size of the whole compressed message in bytes.
+        offset: Offset of this part in bytes.
+        data: Bytes of this part.
     """
 
     digest: bytes
@@ -45,15 +47,17 @@
 
 
 class ConfigUpdate(NamedTuple):
-    """Sections that changed since the node's revision, or all of them.
+    """Sections that changed since the node's revision, or all sections.
 
     Attributes:
+        whole: Whether `sections` holds all sections.
         sections: JSON text by section name; empty text removes a section.
-        lease: Seconds that the node may act on `revision`, counted from when
-            it sent the last message that `echo` repeats.
-        base: Revision that the changes apply to, where `whole` is false. A
-            node below it could not read what came before, and may not take
-            the changes for the whole.
+        lease: Seconds for which the node may act on `revision`. They count
+            from `echo`.
+        echo: Clock value of the node's last message, repeated to the node.
+        base: Revision that the changes apply to if `whole` is false. A node
+            below this revision could not read an earlier update and must not
+            apply the changes.
     """
 
     revision: int
@@ -65,23 +69,28 @@
 
 
 class RevisionApplied(NamedTuple):
-    """A node's report: the revision it applied, and its own clock for echo."""
+    """Reports the revision that a node has applied.
+
+    Attributes:
+        clock: The node's clock in seconds, to be repeated as `echo`.
+    """
 
     revision: int
     clock: float
 
 
 class PushManifest(NamedTuple):
-    """Compare-and-set of the manifest, or a push of a numbered version.
+    """Replaces the manifest by compare-and-set or by a higher version.
 
     Attributes:
         expected: Revision that the operator started from.
-        push_id: Digest of content and the operator's request id.
-        manifest: JSON text.
-        version: The operators' own number; the highest wins, whatever
-            `expected` says. 0 for compare-and-set.
-        source: What the manifest was generated from; it is kept and read
-            back as sent.
+        push_id: Digest of the content and the operator's request id.
+        manifest: JSON text of the manifest.
+        origin: IP address of the operator's client.
+        version: Version number assigned by the operators. The highest
+            version wins, regardless of `expected`. 0 for compare-and-set.
+        source: Text that the manifest was generated from. It is stored and
+            returned unchanged.
     """
 
     expected: int
@@ -94,10 +103,10 @@
 
 
 class ManifestPushed(NamedTuple):
-    """The push is accepted as `revision`, now or when it was first sent.
+    """The push was accepted as `revision`, now or when it was first sent.
 
     Attributes:
-        version: Highest version that was pushed so far.
+        version: Highest version pushed so far.
     """
 
     revision: int
@@ -106,11 +115,11 @@
 
 
 class ReadManifest(NamedTuple):
-    """Asks for the manifest in force by a linearizable read."""
+    """Reads the manifest in force; the read is linearizable."""
 
 
 class ManifestView(NamedTuple):
-    """The manifest in force, and the version and source it was pushed as."""
+    """The manifest in force, with its version and source as pushed."""
 
     revision: int
     manifest: str
@@ -119,10 +128,11 @@
 
 
 class Order(NamedTuple):
-    """An order to an upstream, through its sidecar.
+    """An order that a sidecar carries out at its upstream.
 
     Attributes:
-        fencing_token: Fencing number, from the replicated counter.
+        fencing_token: Value of the replicated counter; the sidecar refuses
+            an order with a lower one than it has seen.
         action: `load`, `unload` or `role`.
         model: Model, adapter and version.
     """
@@ -138,12 +148,13 @@
 
 
 class Restrictions(NamedTuple):
-    """What operators and crashes forbid, whole each time.
+    """All drains, quarantined requests and suspects in force.
 
     Attributes:
         drains: `instance/NAME` and `failure_domain/NAME`.
-        quarantined: Request digests that run nowhere.
-        suspects: Request digests that run beside no other suspect.
+        quarantined: Digests of requests that must not run.
+        suspects: Digests of requests that must not run at the same time as
+            another suspect.
         control: Stream addresses of the control instances.
     """
 
@@ -155,12 +166,15 @@
 
 
 class ReadFencingToken(NamedTuple):
-    """Asks for the highest fencing number by a linearizable read."""
+    """Reads the highest fencing token of an instance's orders.
+
+    The read is linearizable.
+    """
 
     instance: str
 
 
 class FencingToken(NamedTuple):
-    """No order of the instance committed so far has a higher number."""
+    """Upper bound of the fencing tokens of an instance's committed orders."""
 
     fencing_token: int
--- a/src/mintcleat/domain/digests.py
+++ b/src/mintcleat/domain/digests.py
@@ -1,4 +1,4 @@
-"""Digests that address a program's history and tell requests apart."""
+"""Digests of program histories."""
 
 import struct
 
@@ -6,18 +6,24 @@
 
 _LENGTH = struct.Struct(">I")
 
+# Digest of a history without turns.
 EMPTY = b""
 
 
 def chain(previous: bytes, messages: list[str]) -> bytes:
-    """Returns the digest of a history after one more turn.
+    """Returns the digest of a history that is extended by one turn.
 
-    Each message is prefixed by its length, so that no two lists of messages
-    give the same bytes.
+    The digests form a hash chain: each covers its turn and all turns before
+    it. Each message is prefixed by its length, so that different lists of
+    messages never hash the same bytes.
 
     Args:
-        previous: Digest up to the turn before; empty before the first turn.
+        previous: Digest of the history before the turn; `EMPTY` for the first
+            turn.
         messages: JSON texts of the turn's messages.
+
+    Returns:
+        A digest of 16 bytes.
     """
     hasher = xxhash.xxh3_128(previous)
     for message in messages:
--- a/src/mintcleat/domain/identities.py
+++ b/src/mintcleat/domain/identities.py
@@ -1,24 +1,29 @@
-"""What messages of all conversations name: lives of instances, budgets, turns.
+"""Types that several kinds of messages share.
 
-See `domain.messages` for what all messages have in common.
+See `domain.messages` for the encoding that all messages share.
 """
 
 from typing import NamedTuple
 
 
 class Incarnation(NamedTuple):
-    """One life of one instance; a later start has a larger epoch."""
+    """One run of an instance, from a start to the next.
+
+    Attributes:
+        instance: Name of the instance.
+        epoch: Increases with each start of the instance.
+    """
 
     instance: str
     epoch: int
 
     def __str__(self) -> str:
-        """Returns how log lines name it."""
+        """Returns the form used in logs, `instance@epoch`."""
         return f"{self.instance}@{self.epoch}"
 
 
 class Budget(NamedTuple):
-    """Limits of a program, sub-agents included; 0 means no limit."""
+    """Limits of a program, including its sub-agents; 0 means no limit."""
 
     tokens: int = 0
     turns: int = 0
@@ -26,7 +31,7 @@
 
 
 class Usage(NamedTuple):
-    """Tokens of one call as the engine reports them."""
+    """Token counts of one call as reported by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -37,9 +42,9 @@
     """One finished turn of a program's history.
 
     Attributes:
-        turn: Its number, from 1.
-        messages: JSON texts, the caller's new messages and then the answer.
-        digest: Rolling digest over this turn and all before it.
+        turn: Number of the turn, starting at 1.
+        messages: JSON texts of the caller's new messages and of the answer.
+        digest: Digest of this turn and all turns before it; see `digests`.
     """
 
     turn: int
@@ -48,15 +53,22 @@
 
 
 class Done(NamedTuple):
-    """The request was committed, now or before."""
+    """The request was carried out, now or when it was first sent.
+
+    Attributes:
+        detail: Result as a word, for requests that have several; else empty.
+    """
 
     detail: str = ""
 
 
 class Batch(NamedTuple):
-    """Many program group requests in one; answered by one Batch in order.
+    """Several requests to a program group in one message.
 
-    Each item is an encoded message (`[tag, fields...]` in msgpack).
+    The answer is a Batch with one answer per request, in the same order.
+
+    Attributes:
+        items: Encoded messages.
     """
 
     items: list[bytes]
--- a/src/mintcleat/domain/keys.py
+++ b/src/mintcleat/domain/keys.py
@@ -1,57 +1,59 @@
-"""Customers' keys: what is kept of them, and how lines name them.
+"""Digests of customers' API keys.
 
-Nothing behind the edge holds a key as its customer sends it. A key is read
-once and turned into its digest; manifests, messages, disks and memory hold
-digests, so that a copy of any of them opens nothing.
+An entry replaces a key by its digest as soon as it has read it. Manifests,
+messages, disks and memory hold digests only, so that a copy of any of them
+gives no access.
 """
 
 import hashlib
 
 PREFIX = "digest:"
-# A longer one is no key that any manifest takes.
-LONGEST = 256
-_BYTES = 16
-_SHOWN = 8
+MAX_KEY_LENGTH = 256
+_DIGEST_BYTES = 16
+_SHORT_DIGITS = 8
 
 
 def digest(key: str) -> str:
-    """Returns the digest of a key as manifests hold it."""
+    """Returns the digest of a key in the form used in manifests."""
     hashed = hashlib.blake2b(
-        key.encode("utf-8", "surrogateescape"), digest_size=_BYTES
+        key.encode("utf-8", "surrogateescape"), digest_size=_DIGEST_BYTES
     )
     return PREFIX + hashed.hexdigest()
 
 
 def digest_from_fields(fields: list[str]) -> str:
-    """Returns the digest of the key that a request carries; empty for none.
+    """Returns the digest of a request's key; empty if it has no valid key.
 
-    A key in two header fields is none: proxies differ on which of them
-    counts, and one customer must not speak for another.
+    A request with several key fields has no valid key. Proxies differ on
+    which field they use, so a caller could act as another customer.
+
+    Args:
+        fields: Values of all header fields that carry a key.
     """
-    if len(fields) != 1 or not 0 < len(fields[0]) <= LONGEST:
+    if len(fields) != 1 or not 0 < len(fields[0]) <= MAX_KEY_LENGTH:
         return ""
     return digest(fields[0])
 
 
 def as_digest(key: str) -> str:
-    """Returns what a manifest holds of a key that an operator wrote.
+    """Returns the digest of a key; a digest is returned unchanged.
 
-    A manifest that was read back has digests in place of keys, and is pushed
-    again as it is.
+    A manifest that was read from control holds digests in place of keys, and
+    may be pushed again as it is.
     """
     return key if is_digest(key) else digest(key)
 
 
 def is_digest(key: str) -> bool:
-    """Tells whether a text is a digest of a key."""
-    shown = key.removeprefix(PREFIX)
+    """Returns whether a text is the digest of a key."""
+    digits = key.removeprefix(PREFIX)
     return (
         key.startswith(PREFIX)
-        and len(shown) == 2 * _BYTES
-        and all(letter in "0123456789abcdef" for letter in shown)
+        and len(digits) == 2 * _DIGEST_BYTES
+        and all(letter in "0123456789abcdef" for letter in digits)
     )
 
 
-def short_digest(held: str) -> str:
-    """Returns the name of a key in lines and errors, from its digest."""
-    return held.removeprefix(PREFIX)[:_SHOWN]
+def short_digest(full: str) -> str:
+    """Returns the abbreviated digest that logs and errors show."""
+    return full.removeprefix(PREFIX)[:_SHORT_DIGITS]
--- a/src/mintcleat/domain/member_messages.py
+++ b/src/mintcleat/domain/member_messages.py
@@ -1,6 +1,6 @@
-"""Members, and upstreams that register themselves.
+"""Messages on sidecars and on upstreams that register themselves.
 
-See `domain.messages` for what all messages have in common.
+See `domain.messages` for the encoding that all messages share.
 """
 
 from typing import NamedTuple
@@ -9,14 +9,18 @@
 
 
 class Announcement(NamedTuple):
-    """An upstream as its sidecar describes it; newest counter wins.
+    """An upstream as announced by its sidecar; the highest counter wins.
 
     Attributes:
+        counter: Increases with each change within one incarnation.
         kind: `model` or `plain`.
-        capacity: Calls that the upstream takes at once.
+        capacity: Number of concurrent calls that the upstream accepts.
         state: `ready`, `loading`, `draining` or `down`.
-        fencing: Whether the upstream refuses old fencing numbers.
-        model: Loaded model, adapter and version, as the orders name them.
+        fencing: Whether the upstream refuses outdated fencing tokens.
+        kv_export: Whether the upstream can export the cache of a program.
+        priority: Whether the upstream supports priorities.
+        resume: Whether the upstream can resume a broken stream.
+        model: Loaded model, adapter and version, as in orders.
     """
 
     sidecar: identities.Incarnation
@@ -36,16 +40,21 @@
 
 
 class Announce(NamedTuple):
-    """Renews a sidecar's lease; sent on one exchange about once a second."""
+    """Renews the lease of a sidecar.
+
+    A sidecar sends it about once a second, always on the same exchange.
+    """
 
     announcement: Announcement
 
 
 class LeaseRenewed(NamedTuple):
-    """The lease is renewed for `lease` seconds from the sending of Announce.
+    """The lease of a sidecar was renewed.
 
     Attributes:
-        duplicate: Set when another incarnation with this name is alive.
+        counter: Counter of the announcement that renewed it.
+        lease: Duration in seconds, from the time Announce was sent.
+        duplicate: Whether another live incarnation has the same name.
     """
 
     counter: int
@@ -54,7 +63,11 @@
 
 
 class MembersUpdate(NamedTuple):
-    """Announcements that changed, and the sidecars that are gone."""
+    """Changed announcements and removed sidecars.
+
+    Attributes:
+        whole: Whether `members` lists all sidecars, not only changes.
+    """
 
     whole: bool
     members: list[Announcement]
@@ -65,17 +78,17 @@
     """An upstream that registers itself, without a sidecar.
 
     Attributes:
-        upstream: Its id. A restart has another one, or the same id and a later
-            start.
+        upstream: Id of the upstream. After a restart it has a new id, or the
+            same id and a later `started`.
         address: `IP:PORT` of its HTTP interface.
         version: Version of its software.
-        slots: Requests that it runs at once.
+        slots: Number of requests that it runs concurrently.
         state: `ready` or `draining`.
-        sequence: Grows with each registration of this life; a lower one is
-            late and changes nothing.
-        cold: Seconds for which it is still slow after its start.
-        started: When this life of it started, in ms since 1970 by its own
-            clock; 0 when it does not say.
+        sequence: Increases with each registration of this incarnation. A
+            registration with a lower number arrived late and is ignored.
+        cold: Seconds for which it will still be slow after its start.
+        started: Start of this incarnation in ms since 1970 by its own clock;
+            0 if unknown.
     """
 
     upstream: str
@@ -91,10 +104,10 @@
 
     @property
     def incarnation(self) -> str:
-        """Names this life of the upstream; the next one has another name.
+        """Unique name of this incarnation of the upstream.
 
-        What was learned of one life says nothing about the next, which holds
-        no cache, no connections and no requests of the one before.
+        Measurements of one incarnation do not apply to the next, which starts
+        without the cache, connections and requests of the former.
         """
         if not self.started:
             return self.upstream
@@ -108,10 +121,10 @@
 
 
 class DeregisterUpstream(NamedTuple):
-    """A life of the upstream takes no new work and never will again.
+    """An incarnation of an upstream accepts no more work for good.
 
     Attributes:
-        started: Start of that life; 0 for the one that is registered.
+        started: Start of that incarnation; 0 for the registered one.
     """
 
     upstream: str
@@ -119,7 +132,13 @@
 
 
 class DirectoryUpdate(NamedTuple):
-    """Registrations that changed, and the upstreams that are gone."""
+    """Changed registrations and removed upstreams.
+
+    Attributes:
+        version: Version of the directory after the update.
+        whole: Whether `changed` lists all upstreams, not only changes.
+        gone: Ids of removed upstreams.
+    """
 
     version: int
     whole: bool
@@ -128,10 +147,12 @@
 
 
 class ReportCrash(NamedTuple):
-    """A sidecar's upstream crashed with these requests in flight.
+    """Reports that a sidecar's upstream crashed with requests in flight.
 
     Attributes:
-        number: Counts the crashes of one incarnation; makes a resend safe.
+        number: Number of the crash within the sidecar's incarnation, by which
+            a resent report is recognized.
+        digests: Digests of the requests in flight.
     """
 
     sidecar: identities.Incarnation
