--- a/src/mintcleat/domain/messages.py
+++ b/src/mintcleat/domain/messages.py
@@ -1,13 +1,14 @@
-"""Messages between entry, sidecar and control: the table of all.
+"""Table of all messages between entry, sidecar and control.
 
-Each conversation has a module of its own in this package.
+The messages are defined in the `*_messages` modules of this package.
 
-Every message is a NamedTuple. On the wire it is a msgpack array whose first
-item is the tag in `TAGS` and whose rest are the fields; a field added later
-goes last and has a default. `adapters/streams.py` encodes and decodes them.
+Every message is a NamedTuple. It is encoded as a msgpack array of its tag in
+`TAGS` and its fields. Tags follow the order of the table, so that a new
+message must be appended. A new field must come last and have a default.
+`domain.codec` encodes and decodes messages.
 
-Sizes are in bytes, times in seconds, tokens are engine tokens. Digests are
-16 bytes of xxh3-128. `history` items are JSON texts of chat messages.
+Unless stated otherwise, sizes are in bytes, times in seconds and tokens are
+engine tokens. Digests are 16 bytes of xxh3-128.
 """
 
 from mintcleat.domain import call_messages
--- a/src/mintcleat/domain/operator_messages.py
+++ b/src/mintcleat/domain/operator_messages.py
@@ -1,6 +1,6 @@
-"""What operators ask of control, and what they are shown.
+"""Requests of operators to control, and their answers.
 
-See `domain.messages` for what all messages have in common.
+See `domain.messages` for the encoding that all messages share.
 """
 
 from typing import NamedTuple
@@ -10,11 +10,14 @@
 
 
 class EvacuateControl(NamedTuple):
-    """Asks to move all replicas off a control instance; repeat to poll.
+    """Moves all replicas off a control instance.
+
+    Repeating the message polls the progress.
 
     Attributes:
-        label: Name of the instance, or what operators call it.
-        start: False to ask only how far it is.
+        label: Name of the instance, or its label in the settings.
+        start: Whether to start the evacuation; false only polls.
+        origin: IP address of the operator's client.
     """
 
     label: str
@@ -24,26 +27,32 @@
 
 
 class EvacuationStatus(NamedTuple):
-    """Whether nothing depends on the control instance any more."""
+    """Progress of an evacuation.
+
+    Attributes:
+        done: Whether nothing depends on the control instance any more.
+    """
 
     done: bool
 
 
 class DrainUpstream(NamedTuple):
-    """Tells a sidecar to take no new work (or to take it again)."""
+    """Tells a sidecar to drain, or to accept new work again."""
 
     sidecar: identities.Incarnation
     drain: bool = True
 
 
 class NodeStatus(NamedTuple):
-    """One node as the control instance that serves it knows it.
+    """Status of a node, as known to the control instance that serves it.
 
     Attributes:
-        applied_at: Wall clock at which it reported `revision`.
-        lease: Seconds that its configuration lease still runs.
-        connected: Whether its stream is open.
-        control: Control instance that reports it.
+        revision: Revision that the node has applied.
+        applied_at: Wall-clock time in seconds at which the node reported
+            `revision`.
+        lease: Remaining seconds of its configuration lease.
+        connected: Whether its configuration stream is open.
+        control: Control instance that serves the node.
     """
 
     node: identities.Incarnation
@@ -58,18 +67,18 @@
 
 
 class ShowNodes(NamedTuple):
-    """Asks a control instance for the nodes that it serves itself."""
+    """Asks a control instance for the nodes that it serves."""
 
 
 class ShowInstances(NamedTuple):
-    """Asks the config leader for every node."""
+    """Asks the config leader for all nodes."""
 
 
 class Instances(NamedTuple):
     """Answer to ShowNodes and ShowInstances.
 
     Attributes:
-        missing: Control instances that gave no answer.
+        missing: Control instances that did not answer.
     """
 
     revision: int
@@ -85,9 +94,9 @@
     """An announced upstream.
 
     Attributes:
-        drained: Whether an operator drains it or its failure domain.
-        duplicates: Other live incarnations with its name.
-        starts: Incarnations seen within the last minute.
+        drained: Whether an operator drained it or its failure domain.
+        duplicates: Other live incarnations with the same name.
+        starts: Number of incarnations seen within the last minute.
     """
 
     announcement: member_messages.Announcement
@@ -103,10 +112,13 @@
 
 
 class DrainScope(NamedTuple):
-    """Drains an instance or a failure domain, or ends the draining.
+    """Starts or ends a drain of an instance or a failure domain.
 
     Attributes:
         scope: `instance` or `failure_domain`.
+        name: Name of the instance or failure domain.
+        drain: Whether to start the drain; false ends it.
+        origin: IP address of the operator's client.
     """
 
     scope: str
@@ -117,14 +129,20 @@
 
 
 class ShowAudit(NamedTuple):
-    """Asks for audit entries with numbers above `after`, oldest first."""
+    """Asks for at most `limit` audit entries numbered above `after`."""
 
     after: int = 0
     limit: int = 1000
 
 
 class AuditEntry(NamedTuple):
-    """One audited act; `at` is in seconds since 1970."""
+    """An audited action of an operator or of the system.
+
+    Attributes:
+        at: Wall-clock time in seconds since 1970.
+        origin: IP address of the operator's client.
+        number: Sequence number of the entry.
+    """
 
     at: float
     operator: str
@@ -136,7 +154,7 @@
 
 
 class AuditTrail(NamedTuple):
-    """Answer to ShowAudit."""
+    """Answer to ShowAudit, oldest entry first."""
 
     entries: list[AuditEntry]
 
@@ -146,9 +164,12 @@
 
 
 class KeyView(NamedTuple):
-    """A customer's key: its digest, and when it was added (wall clock).
+    """A customer's key.
 
-    Keys that were in force before this was noted have no time: 0.
+    Attributes:
+        digest: Digest of the key; see `domain.keys`.
+        since: Wall-clock time in seconds at which the key was added; 0 if
+            unknown.
     """
 
     digest: str
@@ -156,7 +177,14 @@
 
 
 class CustomerView(NamedTuple):
-    """A customer as the manifest has it; a rate of 0 is no limit."""
+    """A customer of the manifest in force.
+
+    Attributes:
+        rate: Requests per second; 0 for no limit.
+        burst: Requests beyond the rate that may be sent at once.
+        priority: Rank of the customer's requests, 0 the most urgent; None
+            for the priority of the route.
+    """
 
     customer: str
     keys: list[KeyView]
@@ -172,11 +200,18 @@
 
 
 class ShowQuarantine(NamedTuple):
-    """Asks for the suspect and quarantined requests."""
+    """Asks for all suspect and quarantined requests."""
 
 
 class QuarantineEntry(NamedTuple):
-    """A request; `until` is the wall clock at which the entry expires."""
+    """A suspect or quarantined request.
+
+    Attributes:
+        digest: Digest of the request.
+        upstreams: Upstreams that crashed while running the request.
+        until: Wall-clock time in seconds at which the entry expires.
+        quarantined: Whether it is quarantined; false for a suspect.
+    """
 
     digest: bytes
     upstreams: list[str]
@@ -191,7 +226,7 @@
 
 
 class ReleaseQuarantine(NamedTuple):
-    """Takes a request off the quarantine list."""
+    """Removes a request from the quarantine list."""
 
     digest: bytes
     operator: str
@@ -199,11 +234,20 @@
 
 
 class ShowRollouts(NamedTuple):
-    """Asks for the rollouts by service."""
+    """Asks for the rollouts of all services."""
 
 
 class RolloutView(NamedTuple):
-    """A rollout; `state` is running, paused, returning, returned or done."""
+    """The last rollout of a service.
+
+    Attributes:
+        target: Version that is rolled out.
+        previous: Version in use before.
+        state: `running`, `paused`, `returning` (rolling back), `returned` or
+            `done`.
+        reason: Why the rollout was paused or rolled back.
+        at: Wall-clock time in seconds of the last change of state.
+    """
 
     service: str
     target: str
@@ -220,7 +264,12 @@
 
 
 class SetControl(NamedTuple):
-    """Notes a control instance; an empty address removes it."""
+    """Adds or removes a control instance.
+
+    Attributes:
+        address: Stream address of the instance; empty to remove it.
+        origin: IP address of the operator's client.
+    """
 
     instance: str
     address: str
@@ -230,10 +279,10 @@
 
 
 class ControlAction(NamedTuple):
-    """Asks one control instance to act on the groups that it leads.
+    """Runs an action on all groups that the control instance leads.
 
     Attributes:
-        action: `replace` (voter `old` by `new`) or `snapshot`.
+        action: `replace` (replace the voter `old` by `new`) or `snapshot`.
     """
 
     action: str
@@ -246,6 +295,6 @@
 
 
 class Groups(NamedTuple):
-    """Answer to ShowGroups; each row is a JSON object."""
+    """Answer to ShowGroups; each row is the JSON text of an object."""
 
     rows: list[str]
--- a/src/mintcleat/domain/program_messages.py
+++ b/src/mintcleat/domain/program_messages.py
@@ -1,6 +1,6 @@
-"""Messages to the leader of a program group, from entries and sidecars.
+"""Messages from entries and sidecars to the leader of a program group.
 
-See `domain.messages` for what all messages have in common.
+See `domain.messages` for the encoding that all messages share.
 """
 
 from typing import NamedTuple
@@ -10,10 +10,13 @@
 
 
 class RunningCounts(NamedTuple):
-    """What one entry has running, by life of the upstream.
+    """Numbers of calls that an entry has running.
 
-    It rides on requests to the leader, which tells the other entries; it is
-    not part of what the group records.
+    They are sent with requests to the leader, which passes them on to the
+    other entries. The group does not record them.
+
+    Attributes:
+        by_upstream: Running calls by incarnation of the upstream.
     """
 
     entry: str
@@ -21,15 +24,15 @@
 
 
 class RateLimit(NamedTuple):
-    """How many requests a customer may send, over all entries.
+    """Rate limit of a customer over all entries.
 
     Attributes:
-        rate: Requests a second.
-        burst: Requests beyond that in any window.
-        window: Length of a window in seconds.
-        overage: What programs under way may send beyond it in a window, as a
-            share of it,
-        slack: and as a number of requests besides.
+        rate: Requests per second.
+        burst: Further requests in any window.
+        window: Length of the sliding window in seconds.
+        overage: Further requests of running programs in a window, as a
+            fraction of the window's limit.
+        slack: Further requests of running programs in a window, as a number.
     """
 
     rate: float
@@ -39,34 +42,34 @@
     slack: float = 0.0
 
     def window_limit(self) -> float:
-        """Returns the requests that a window is meant to hold; one or more."""
+        """Returns the regular limit of requests in a window; at least 1."""
         return max(1.0, self.rate * self.window + self.burst)
 
     def tolerance(self) -> float:
-        """Returns the requests that a window may hold beyond that."""
+        """Returns how many requests of running programs may exceed it."""
         return self.window_limit() * self.overage + self.slack
 
 
 class OpenTurn(NamedTuple):
-    """Reserves tokens for a turn of a program that opens with its first turn.
+    """Reserves tokens for a turn; the first turn creates the program.
 
-    Repeating it changes nothing.
+    The message is idempotent.
 
     Attributes:
-        turn: Id of this attempt; later turns name it to go on from it.
-        previous: Turn that this one goes on from; empty for none. Several
-            may go on from one.
-        budget: Tokens that the program may be handed in all; 0 for no limit.
-        reserve: Most tokens that this turn can hand out.
+        turn: Id of the turn, which later turns refer to as `previous`.
+        previous: Turn that this one continues; empty for none. Several turns
+            may continue the same one.
+        budget: Maximum tokens of all answers to the program; 0 for no limit.
+        reserve: Maximum tokens of this turn's answer.
         retention: Seconds for which the program's turns are kept.
-        has_chain: Whether the sender has the content of `previous` and all
-            turns before it.
-        running: What the sender has running; None in the log.
-        customer: Whose program it is; empty for nobody's. Programs and turns
-            are known to their own customer alone.
-        limit: What its requests are counted against; None for no limit.
-        ahead: Further requests that the sender would like to have counted
-            now, for calls that will follow the turn.
+        has_chain: Whether the sender has the content of `previous` and of all
+            turns before it, so that the answer need not repeat it.
+        running: Running calls of the sender; None in the replicated log.
+        customer: Owner of the program; empty for none. Programs and turns are
+            visible to their owner only.
+        limit: Rate limit of the customer; None for no limit.
+        ahead: Number of further requests to count in advance, for calls that
+            will follow the turn.
     """
 
     program: str
@@ -83,11 +86,14 @@
 
 
 class KeptTurn(NamedTuple):
-    """A finished turn: opaque bytes in and out, as later turns repeat them.
+    """A finished turn that is stored so that later turns can continue it.
 
     Attributes:
-        upstream: Where it ran, and where its cache may still lie.
-        customer: Whose turn it is; empty for nobody's.
+        input: Opaque request bytes.
+        output: Opaque answer bytes.
+        upstream: Upstream that ran the turn and may still have it in its
+            cache.
+        customer: Owner of the turn; empty for none.
     """
 
     turn: str
@@ -99,16 +105,15 @@
 
 
 class TurnOpened(NamedTuple):
-    """The tokens are reserved.
+    """Answer to OpenTurn: the tokens are reserved.
 
     Attributes:
-        chain: The turns to go on from, the oldest first; empty where the
-            sender holds them.
-        upstream: Where the program ran last; empty for a new one.
-        others: What other entries have running, by life of the upstream.
-        counted_at: The group's clock at which the request was counted against
-            its customer's limit; below 0 for not at all.
-        ahead: Requests counted for calls to come.
+        chain: Turns to continue, oldest first; empty if the sender has them.
+        upstream: Upstream that ran the program last; empty for a new program.
+        others: Running calls of other entries by incarnation of the upstream.
+        counted_at: Group clock at which the request was counted against the
+            customer's limit; negative if it was not counted.
+        ahead: Number of requests that were counted in advance.
     """
 
     chain: list[KeptTurn]
@@ -119,10 +124,10 @@
 
 
 class CountCall(NamedTuple):
-    """Counts a request that opens no turn against its customer's limit.
+    """Counts a request without a turn against its customer's limit.
 
     Attributes:
-        program: Program that it belongs to; empty for none.
+        program: Program of the request; empty for none.
         ahead: As in OpenTurn.
     """
 
@@ -133,23 +138,28 @@
 
 
 class CallCounted(NamedTuple):
-    """The request may be sent; `ahead` more were counted beside it."""
+    """Answer to CountCall: the request may be sent.
+
+    Attributes:
+        ahead: Number of requests that were counted in advance.
+    """
 
     ahead: int = 0
 
 
 class CloseTurn(NamedTuple):
-    """Settles a turn that was opened; repeating it changes nothing.
+    """Settles an opened turn. The message is idempotent.
 
     Attributes:
-        tokens: Tokens that were handed to the caller.
-        upstream: Where it ran; empty when it ran nowhere.
-        keep: Whether the turn ended whole and may be continued.
-        retention: Seconds for which it, and the turns before it, are kept.
-        running: What the sender has running; None in the log.
-        customer: Whose program it is, as in OpenTurn.
-        counted_at: As the opening told it, for a turn that ran nowhere: its
-            request counts no more. Below 0 for one that is to count.
+        tokens: Tokens sent to the caller.
+        upstream: Upstream that ran the turn; empty if it did not run.
+        keep: Whether the turn is complete and may be continued.
+        retention: Seconds for which the turn and those before it are kept.
+        running: Running calls of the sender; None in the replicated log.
+        customer: As in OpenTurn.
+        counted_at: For a turn that did not run, its value in TurnOpened, so
+            that the request no longer counts against the limit. Negative if
+            the request is to count.
     """
 
     program: str
@@ -167,13 +177,18 @@
 
 
 class CreateProgram(NamedTuple):
-    """Creates a program; the same attributes again give the same program.
+    """Creates a program. The message is idempotent.
 
-    A child's id is `<parent id>.<name>`, so it lies in its root's group.
+    The id of a child is `<parent id>.<name>`, which places it in the group of
+    its root program.
 
     Attributes:
-        repeat_limit: Calls with one digest that the program may make within
-            its recent calls before it counts as a loop; 0 for no limit.
+        agent: Name of the agent program in the manifest.
+        klass: Priority class, `interactive` or `batch`.
+        parent: Id of the parent program; empty for a root program.
+        repeat_limit: Number of calls with the same digest that the program
+            may have among its recent calls before it is considered to loop;
+            0 for no limit.
     """
 
     program: str
@@ -186,17 +201,20 @@
 
 
 class ProgramView(NamedTuple):
-    """What a program looks like now.
+    """Current state of a program.
 
     Attributes:
-        next_turn: The turn that the next chat call must carry.
-        used: Tokens settled, sub-agents included. Only tokens that were new
+        next_turn: Turn number that the next chat call must have.
+        used: Settled tokens, including sub-agents. Only tokens that were new
             to the program count, not the history that each turn repeats.
-        reserved: Tokens held for calls under way or of unknown outcome.
+        reserved: Tokens reserved for calls that are running or whose outcome
+            is unknown.
         state: `open`, `closed` or `expired`.
-        resident: Sidecar that last ran a turn; epoch 0 for none.
+        digest: Digest of the history; see `domain.digests`.
+        resident: Sidecar that ran the last turn; epoch 0 for none.
         resident_address: Stream address of `resident`.
-        context: Tokens of the conversation, as the engine last counted it.
+        created: Wall-clock time in seconds.
+        context: Tokens of the conversation as last counted by the engine.
     """
 
     program: str
@@ -218,13 +236,13 @@
 
 
 class ShowProgram(NamedTuple):
-    """Asks for a ProgramView by a linearizable read."""
+    """Asks for a ProgramView; the read is linearizable."""
 
     program: str
 
 
 class ListPrograms(NamedTuple):
-    """Asks for the programs of one group, in id order after `after`."""
+    """Asks for the programs of a group whose ids follow `after`, in order."""
 
     group: str
     after: str = ""
@@ -238,7 +256,11 @@
 
 
 class FetchHistory(NamedTuple):
-    """Asks for finished turns `first` to `last`, both included; 0 for all."""
+    """Asks for the finished turns from `first` to `last`, inclusive.
+
+    Attributes:
+        last: Last turn; 0 for all turns from `first` on.
+    """
 
     program: str
     first: int = 1
@@ -253,28 +275,30 @@
 
 
 class CloseProgram(NamedTuple):
-    """Closes a program and its sub-agents; repeated, it answers the same."""
+    """Closes a program and its sub-agents. The message is idempotent."""
 
     program: str
 
 
 class BeginCall(NamedTuple):
-    """Asks for an attempt, bound to one sidecar incarnation.
+    """Asks for an attempt that is bound to one incarnation of a sidecar.
 
     Attributes:
-        program: Program id, or empty for a keyed call without a program.
+        program: Program id; empty for a call with a key but no program.
         customer: Customer of a call without a program.
         turn: Number of the chat turn; 0 for a tool call.
-        key: Idempotency key; the entry makes one up when the caller has none.
-        digest: Digest of the whole request, to tell a resend from a misuse.
+        key: Idempotency key; generated by the entry if the caller sent none.
+        digest: Digest of the whole request, which distinguishes a resend from
+            another request with the same key.
         messages: New chat messages; empty for a tool call.
-        reserve: Tokens to hold until the call is settled.
-        idempotent: Whether a second run at the upstream does no harm.
-        sidecar: The sidecar that the entry has chosen.
+        reserve: Tokens to reserve until the call is settled.
+        idempotent: Whether the upstream may safely run the call twice.
+        sidecar: Sidecar that the entry selected.
+        address: Stream address of `sidecar`.
         sealed: Number of an attempt that its sidecar has sealed; 0 for none.
-            Only then may a non-idempotent call get a new attempt.
-        nonce: Number of this one sending, the same in its resends, so that a
-            resend after a lost answer gets its grant again; 0 for none.
+            A non-idempotent call gets a new attempt only in this case.
+        nonce: Unique number of this message, repeated in its resends, so that
+            a resend after a lost answer gets the same grant; 0 for none.
     """
 
     program: str
@@ -293,10 +317,11 @@
 
 
 class FindCall(NamedTuple):
-    """Asks by a linearizable read what became of a key; grants nothing.
+    """Asks for the state of a call by its key, without granting an attempt.
 
-    Answered by CallRecorded, AttemptRunning, the call's recorded failure, or
-    Done with `absent` when the key was never granted an attempt.
+    The read is linearizable. The answer is CallRecorded, AttemptRunning, the
+    recorded failure of the call, or Done with `absent` if the key was never
+    granted an attempt.
     """
 
     program: str
@@ -307,13 +332,13 @@
 
 
 class AttemptGranted(NamedTuple):
-    """An attempt may run at `sidecar`; committed.
+    """Answer to BeginCall: the attempt is committed and may run.
 
     Attributes:
-        base_turn: Turns of history that come before the new messages.
-        base_digest: Rolling digest after `base_turn`.
+        base_turn: Number of turns that precede the new messages.
+        base_digest: Digest of the history up to `base_turn`.
         attained: Tokens served so far to the whole (root) program.
-        tokens_left: Tokens that the call may still spend; 0 for no limit.
+        tokens_left: Tokens that the call may still use; 0 for no limit.
     """
 
     attempt: int
@@ -327,7 +352,7 @@
 
 
 class CallRecorded(NamedTuple):
-    """The call was finished before; this is its answer."""
+    """The call has already finished with this answer."""
 
     attempt: int
     answer: bytes
@@ -335,7 +360,10 @@
 
 
 class AttemptRunning(NamedTuple):
-    """Another attempt of this call is bound; attach to it or seal it there."""
+    """Another attempt of this call may be running at `sidecar`.
+
+    The entry can attach to it or have it sealed there.
+    """
 
     attempt: int
     sidecar: identities.Incarnation
@@ -343,12 +371,12 @@
 
 
 class SettleCall(NamedTuple):
-    """Ends an attempt without an answer.
+    """Ends an attempt that has no answer.
 
     Attributes:
-        outcome: `not_run` frees key, turn and reservation (the sidecar has
-            sealed the attempt); `unknown` keeps them until known or expired;
-            `ran` records `failure` as the call's answer.
+        outcome: `not_run` releases key, turn and reservation; the sidecar has
+            sealed the attempt. `unknown` keeps them until the outcome is
+            known or the call expires. `ran` records `failure` as the answer.
     """
 
     program: str
@@ -360,11 +388,11 @@
 
 
 class FinishCall(NamedTuple):
-    """Records the whole answer of an attempt; repeated, it changes nothing.
+    """Records the complete answer of an attempt. The message is idempotent.
 
     Attributes:
-        answer: For a turn: JSON text of the assistant message. For a tool
-            call: msgpack of [status, headers, body].
+        answer: For a turn, the JSON text of the assistant message; for a tool
+            call, [status, headers, body] in msgpack.
     """
 
     program: str
@@ -377,13 +405,20 @@
 
 
 class RenewResidency(NamedTuple):
-    """Asks which of these programs are still open; sent in batches."""
+    """Asks which of these programs are closed; sent in batches.
+
+    Attributes:
+        programs: Programs whose cache the sidecar keeps resident.
+    """
 
     sidecar: identities.Incarnation
     programs: list[str]
 
 
 class ClosedPrograms(NamedTuple):
-    """Programs whose engine memory must be released."""
+    """Programs that are no longer open; the sidecar must release their cache.
+
+    It answers RenewResidency.
+    """
 
     programs: list[str]
--- a/src/mintcleat/domain/registrations.py
+++ b/src/mintcleat/domain/registrations.py
@@ -1,9 +1,9 @@
-"""Reads what an upstream says of itself, from whoever wrote it.
+"""Validation of the registrations of upstreams.
 
-Registrations come over the network without any proof of their sender. One
-that can't be read in full names no upstream: taken half, it would send
-requests to an address where nobody is, or put a healthy upstream out of use
-that has the same id or address.
+Registrations arrive over the network unauthenticated. One that is not valid
+as a whole is rejected. Applied in part, it could direct requests to an
+address without a server, or evict a healthy upstream with the same id or
+address.
 """
 
 from collections.abc import Mapping
@@ -19,31 +19,31 @@
 
 READY = "ready"
 DRAINING = "draining"
-# Longer names are nobody's; each is kept by every node.
-_LONGEST_NAME = 200
-# What the log and every peer can still carry as a whole number.
+# Every node stores the names, so their length is bounded.
+_MAX_NAME_LENGTH = 200
+# Largest integer that the log and all peers can encode.
 MAX_INTEGER = 2**63 - 1
-_MOST_SLOTS = 1_000_000
-_LONGEST_COLD = 86_400.0
+_MAX_SLOTS = 1_000_000
+_MAX_COLD_SECONDS = 86_400.0
 _PORTS = range(1, 65_536)
 
-_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=_LONGEST_NAME)]
-_Text = Annotated[str, msgspec.Meta(max_length=_LONGEST_NAME)]
+_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_NAME_LENGTH)]
+_Text = Annotated[str, msgspec.Meta(max_length=_MAX_NAME_LENGTH)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
 
 
 class _Fields(msgspec.Struct, forbid_unknown_fields=True):
-    """A registration as its sender gives it; no type is converted."""
+    """Fields of a registration; types are checked without conversion."""
 
     upstream: _Name
     service: _Name
     address: _Name
     failure_domain: _Text
     version: _Text
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal["ready", "draining"]
     sequence: _Count
-    cold: Annotated[float, msgspec.Meta(ge=0, le=_LONGEST_COLD)] = 0.0
+    cold: Annotated[float, msgspec.Meta(ge=0, le=_MAX_COLD_SECONDS)] = 0.0
     started: _Count = 0
 
 
@@ -54,19 +54,21 @@
 
     Args:
         upstream: Id of the upstream.
-        fields: The other fields of a `Registration`, by name; values as JSON
-            gives them.
+        fields: The other fields of a `Registration` by name, as decoded JSON.
 
     Raises:
-        errors.BadRequest: A field is missing, unknown, of another type or out
-            of range; the detail names it.
+        errors.BadRequest: A field is missing, unknown, of the wrong type or
+            out of range; the detail names it.
     """
     try:
         read = msgspec.convert({**fields, "upstream": upstream}, _Fields)
     except (msgspec.ValidationError, UnicodeError) as error:
-        raise errors.BadRequest(f"No registration: {error}.") from None
+        raise errors.BadRequest(f"Invalid registration: {error}.") from None
     if not _is_address(read.address):
-        raise errors.BadRequest("No registration: `$.address` is no IP:PORT.")
+        raise errors.BadRequest(
+            "Invalid registration: `$.address` must be IP:PORT, not "
+            f"{read.address!r}."
+        )
     return member_messages.Registration(*msgspec.structs.astuple(read))
 
 
@@ -76,5 +78,5 @@
         ipaddress.IPv4Address(host)
     except ValueError:
         return False
-    plain = port.isascii() and port.isdigit()
-    return plain and len(port) <= 5 and int(port) in _PORTS
+    is_number = port.isascii() and port.isdigit()
+    return is_number and len(port) <= 5 and int(port) in _PORTS
--- a/src/mintcleat/domain/replication_messages.py
+++ b/src/mintcleat/domain/replication_messages.py
@@ -1,16 +1,17 @@
 """Messages between the replicas of control instances.
 
-See `domain.messages` for what all messages have in common.
+See `domain.messages` for the encoding that all messages share.
 """
 
 from typing import NamedTuple
 
 
 class ReplicationFrame(NamedTuple):
-    """Part of a frame between replicas; `consensus.messages` decodes it.
+    """A frame between replicas, or a part of it.
 
     Attributes:
-        more: Whether the next message of the exchange goes on with it.
+        payload: Bytes that `consensus.messages` decodes.
+        more: Whether the next message of the exchange continues the frame.
     """
 
     payload: bytes
--- a/src/mintcleat/domain/requests.py
+++ b/src/mintcleat/domain/requests.py
@@ -1,4 +1,4 @@
-"""What callers ask of an entry, parsed, and what they get."""
+"""Parsed requests of callers to an entry, and their answers."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,15 @@
 
 
 class NewProgram(NamedTuple):
-    """A caller's request for a program; empty texts mean not given."""
+    """A caller's request to create a program.
+
+    Fields that the caller did not give are empty.
+
+    Attributes:
+        agent: Name of the agent program in the manifest.
+        klass: Priority class, `interactive` or `batch`.
+        parent: Id of the parent program.
+    """
 
     program: str
     customer: str
@@ -17,20 +25,21 @@
 
 
 class ChatCall(NamedTuple):
-    """One chat completion.
+    """A request for a chat completion.
 
     Attributes:
+        request: Id of the request.
         program: Program id; empty for a call without a program.
-        model: Service name from the body; empty lets the program's agent
-            decide.
-        turn: The program's turn number; 0 without a program.
-        key: Caller's idempotency key; empty when it sent none.
+        model: Service name from the body; empty for the service of the
+            program's agent.
+        turn: Turn number within the program; 0 without a program.
+        key: Idempotency key of the caller; empty for none.
         messages: New messages, each as JSON text.
         parameters: The body without `messages`, as JSON text.
-        deadline: Seconds allowed; 0 for the manifest's default.
-        max_tokens: Completion tokens asked for; 0 for no limit given.
-        streamed: The caller reads the answer while it is made, so a part
-            once delivered can't be taken back.
+        deadline: Time limit in seconds; 0 for the default of the manifest.
+        max_tokens: Maximum completion tokens; 0 for no limit.
+        streamed: Whether the answer is streamed. A part of an answer that was
+            sent to the caller can't be withdrawn.
     """
 
     request: str
@@ -47,7 +56,13 @@
 
 
 class ServiceCall(NamedTuple):
-    """One request to a plain service; `headers` are pairs."""
+    """A request to a plain service.
+
+    Attributes:
+        key: Idempotency key of the caller; empty for none.
+        headers: Pairs of name and value.
+        deadline: Time limit in seconds; 0 for the default of the manifest.
+    """
 
     request: str
     program: str
@@ -62,18 +77,20 @@
 
 
 class AnswerText(NamedTuple):
-    """Part of a chat answer, in order and without gaps."""
+    """Next part of a chat answer, in order and without gaps."""
 
     text: str
 
 
 class AnswerEnd(NamedTuple):
-    """End of a chat answer; it is recorded where there is a program.
+    """End of a chat answer. The answer of a program's turn is recorded by now.
 
     Attributes:
-        message: JSON text of the whole assistant message.
-        replayed: The answer was recorded by an earlier send.
-        sidecar: Where the program's history is cached now, if known.
+        message: JSON text of the complete assistant message.
+        reason: Finish reason as in the OpenAI API.
+        replayed: Whether the answer was recorded for an earlier request with
+            the same key.
+        sidecar: Sidecar that has the program's history in its cache, if known.
     """
 
     message: str
@@ -85,7 +102,11 @@
 
 
 class ServiceAnswer(NamedTuple):
-    """Answer of a plain service."""
+    """Answer of a plain service.
+
+    Attributes:
+        replayed: As in AnswerEnd.
+    """
 
     status: int
     headers: list[list[str]]
--- a/src/mintcleat/domain/routed_calls.py
+++ b/src/mintcleat/domain/routed_calls.py
@@ -1,24 +1,36 @@
-"""Requests that are passed on along a route, as the roles see them."""
+"""Requests that an entry forwards to an upstream along a route.
+
+They do not depend on the protocol by which callers and upstreams send them.
+"""
 
 from typing import NamedTuple
 
 
 class PromptPart(NamedTuple):
-    """One part of a prompt, in order; requests share parts by id."""
+    """A part of a prompt.
+
+    Requests whose prompts begin with the same parts can share a prefix cache.
+
+    Attributes:
+        id: Id of the content; equal ids mean equal content.
+        tokens: Length of the part.
+    """
 
     id: str
     tokens: int
 
 
 class ProgramContext(NamedTuple):
-    """What a request says of the agent program that it belongs to.
+    """The agent program of a request, as stated by its caller.
 
     Attributes:
-        program: Id of the program; empty for a request outside of any.
-        session: Line of turns within it; sub-agents have their own.
-        previous: Turn that this one goes on from; empty for none.
-        budget: Tokens that the program may be handed in all; 0 for no limit.
-        finish_within: Target time of the program in seconds; 0 for none.
+        program: Id of the program; empty for a request without a program.
+        session: Id of the session within the program; each sub-agent has its
+            own.
+        previous: Turn that the request continues; empty for none.
+        budget: Maximum tokens of all answers to the program; 0 for no limit.
+        finish_within: Target time to the program's end in seconds; 0 for
+            none.
     """
 
     program: str = ""
@@ -29,12 +41,13 @@
 
 
 class Generation(NamedTuple):
-    """What a request says of the tokens that it costs.
+    """The prompt and the token limits of a request, as stated by its caller.
 
     Attributes:
-        prompt_tokens: Tokens to read.
-        max_tokens: Most tokens to generate.
-        parts: The prompt in parts, shared ones first.
+        prompt_tokens: Length of the prompt.
+        max_tokens: Maximum number of generated tokens.
+        parts: Parts of the prompt in order, so that shared prefixes come
+            first.
     """
 
     model: str = ""
@@ -44,17 +57,19 @@
 
 
 class RoutedCall(NamedTuple):
-    """A request as its caller sent it.
+    """A request as sent by its caller.
 
     Attributes:
-        request: Id of this attempt of the caller; another try has another.
-        headers: Header fields to pass on, in order.
-        deadline: Seconds that the caller will wait; 0 when it did not say.
-        affinity: Object that the request concerns; empty for none.
-        last_event: Id of the event after which a broken stream goes on.
+        request: Id of the request; the caller uses a new one for each retry.
+        target: Path and query.
+        headers: Header fields to forward, in order.
+        deadline: Seconds that the caller will wait; 0 if unspecified.
+        affinity: Id of the object that the request concerns; empty for none.
+        last_event: Id of the event after which to resume a broken stream;
+            empty for none.
         key: Digest of the customer's key; empty for none.
-        customer: Whose request it is; empty until the entry has told, and
-            for nobody that the manifest knows.
+        customer: Customer of the request; empty until the entry has
+            identified it, and for callers without a customer.
     """
 
     request: str
@@ -73,15 +88,15 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """Path of the target, without the query."""
         return self.target.partition("?")[0]
 
 
 class ResponseHead(NamedTuple):
-    """Start of an upstream's answer, to be passed on unchanged.
+    """Status line and headers of an upstream's answer, forwarded unchanged.
 
     Attributes:
-        length: Bytes of the body; None when it is not known beforehand.
+        length: Length of the body in bytes; None if unknown.
         events: Whether the body is a stream of server-sent events.
     """
 
@@ -93,13 +108,14 @@
 
 
 class UpstreamRequest(NamedTuple):
-    """How a call goes to one upstream.
+    """Parts of a request that depend on the attempt at an upstream.
 
     Attributes:
-        body: What the upstream is to receive.
-        deadline: Seconds after which its work is of no use any more.
-        last_event: Id of the event after which it is to go on.
-        urgency: 0 to 9; a lower one is admitted first.
+        body: Request body for the upstream.
+        deadline: Seconds after which the answer is no longer needed.
+        last_event: Id of the event after which to resume the stream; empty
+            for none.
+        urgency: Priority from 0 to 9; lower values are admitted first.
     """
 
     body: bytes
--- a/src/mintcleat/domain/server_sent_events.py
+++ b/src/mintcleat/domain/server_sent_events.py
@@ -1,18 +1,18 @@
-"""Server-sent events, cut out of a byte stream whole."""
+"""Parser of server-sent events."""
 
 from typing import NamedTuple
 
-# A stream whose events are larger than this is none.
-MAX_EVENT = 1024 * 1024
+# A stream with a larger event is taken for invalid.
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class Event(NamedTuple):
-    """One event.
+    """A server-sent event.
 
     Attributes:
-        raw: Its bytes, the blank line at its end included.
-        id: Value of its id field; empty for none.
-        data: Its data lines, joined by line feeds.
+        raw: Bytes of the event, including the blank line at its end.
+        id: Value of the id field; empty for none.
+        data: Data lines, joined by line feeds.
     """
 
     raw: bytes
@@ -21,35 +21,37 @@
 
 
 class EventBuffer:
-    """Collects bytes and returns whole events.
+    """Collects bytes and returns complete events.
 
-    A stream may break within an event. Passed on in pieces, half an event
-    could not be taken back when the stream goes on elsewhere.
+    A stream may break within an event. If a part of an event had been
+    forwarded, the stream could not be resumed at another upstream.
     """
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Returns the events that are whole now.
+        """Returns the events that are complete after these bytes.
 
         Raises:
-            ValueError: An event is over its size limit.
+            ValueError: An event exceeds `MAX_EVENT_BYTES`.
         """
-        *whole, self.rest = (self.rest + data).split(b"\n\n")
-        if len(self.rest) > MAX_EVENT:
-            raise ValueError(f"An event of over {MAX_EVENT} bytes.")
-        return [_parse(raw + b"\n\n") for raw in whole]
+        *complete, self.rest = (self.rest + data).split(b"\n\n")
+        if len(self.rest) > MAX_EVENT_BYTES:
+            raise ValueError(
+                f"A server-sent event exceeds {MAX_EVENT_BYTES} bytes."
+            )
+        return [_parse(raw + b"\n\n") for raw in complete]
 
 
 def _parse(raw: bytes) -> Event:
-    found = ""
+    event_id = ""
     data = []
     for line in raw.split(b"\n"):
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ").removesuffix(b"\r")
         if name == b"id":
-            found = value.decode("latin-1")
+            event_id = value.decode("latin-1")
         elif name == b"data":
             data.append(value)
-    return Event(raw, found, b"\n".join(data))
+    return Event(raw, event_id, b"\n".join(data))
