--- a/src/mintcleat/domain/traces.py
+++ b/src/mintcleat/domain/traces.py
@@ -1,8 +1,9 @@
-"""The path of one request, put together from the lines of several processes.
+"""Trace of a request, reconstructed from the logs of several processes.
 
-Lines may be missing: over the budget, rotated away, of a process that nobody
-kept. Each process numbers its events, so that what is missing is known, and a
-conclusion that a missing line could turn says so.
+Lines may be missing because of the log budget or log rotation, or because the
+log of a process was not kept. Each process numbers its events, which reveals
+missing lines. A conclusion that a missing line could change is marked as
+uncertain.
 """
 
 from collections.abc import Iterable
@@ -11,13 +12,13 @@
 from typing import Any
 from typing import NamedTuple
 
-# State that changed this long before a request came may have decided it.
-BEFORE_SECONDS = 3.0
-# Clocks of processes differ; an effect that seems to come before its cause by
-# more than this is told.
-CLOCK_SECONDS = 0.05
-_ENDS = {"call_ended", "call_refused", "caller_gone"}
-_STATES = {
+# Changes of state this long before a request may have affected it.
+LOOKBACK_SECONDS = 3.0
+# Clocks may be adjusted during a request. An event that precedes its cause by
+# more than this is reported.
+MAX_CLOCK_STEP_SECONDS = 0.05
+_END_EVENTS = {"call_ended", "call_refused", "caller_gone"}
+_STATE_EVENTS = {
     "process_started",
     "process_stopping",
     "process_stopped",
@@ -29,8 +30,8 @@
     "leader_changed",
     "lines_dropped",
 }
-# In this order a request's events happen within one process.
-_ORDER = (
+# Order of a request's events within one process.
+_EVENT_ORDER = (
     "call_taken",
     "turn_opened",
     "call_placed",
@@ -40,11 +41,13 @@
 
 
 class Line(NamedTuple):
-    """One event as it was written.
+    """A logged event.
 
     Attributes:
-        at: Seconds since 1970, by the clock of its process.
-        number: Its number in its process; 0 when it has none.
+        at: Seconds since 1970, by the clock of the process.
+        event: Name of the event, such as `call_placed`.
+        number: Number of the event within its process; 0 for none.
+        fields: The other fields of the event.
     """
 
     at: float
@@ -55,15 +58,15 @@
 
 
 class Trace(NamedTuple):
-    """What is known of a request.
+    """The trace of a request.
 
     Attributes:
-        steps: Its own lines, in order.
-        around: Changes of state in the same processes, shortly before and
-            during it.
-        gaps: What is missing or does not fit, in words.
-        verdict: Which decision ended it, in words.
-        certain: Whether no missing line could turn the verdict.
+        steps: Lines of the request, in order of time.
+        around: Changes of state of the same processes, shortly before and
+            during the request.
+        gaps: Descriptions of missing or inconsistent lines.
+        verdict: Description of how the request ended.
+        certain: Whether no missing line could change the verdict.
     """
 
     request: str
@@ -75,11 +78,11 @@
 
 
 def parse(texts: Iterable[str]) -> list[Line]:
-    """Returns the events among lines of text; what is none is passed over.
+    """Returns the events among lines of text; other lines are skipped.
 
-    A line may have a prefix, as collectors of logs put one before it.
+    A line may have a prefix from a log collector.
     """
-    found = []
+    lines = []
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -95,91 +98,94 @@
             )
         except (ValueError, KeyError, TypeError, AttributeError):
             continue
-        found.append(line)
-    return found
+        lines.append(line)
+    return lines
 
 
 def trace(request: str, lines: list[Line]) -> Trace:
-    """Returns the path of a request through the lines of any processes."""
+    """Returns the trace of a request from the lines of any processes."""
     own = [line for line in lines if line.fields.get("request") == request]
-    own.sort(key=_place)
+    own.sort(key=_sort_key)
     if not own:
         return Trace(
-            request, [], [], [], "No line tells of this request.", False
+            request, [], [], [], "No line mentions this request.", False
         )
-    begin, end = own[0].at - BEFORE_SECONDS, own[-1].at
+    begin, end = own[0].at - LOOKBACK_SECONDS, own[-1].at
     instances = {line.instance for line in own}
     upstreams = {line.fields.get("upstream") for line in own} - {None, ""}
     around = [
         line
         for line in lines
-        if line.event in _STATES
+        if line.event in _STATE_EVENTS
         and begin <= line.at <= end
         and line.instance in instances
         and line.fields.get("upstream", "") in {"", *upstreams}
     ]
     around.sort(key=lambda line: line.at)
-    gaps = [*_missing(lines, instances, own[0].at, end), *_misfits(own)]
-    ends = [line for line in own if line.event in _ENDS]
+    gaps = [
+        *_missing_lines(lines, instances, own[0].at, end),
+        *_inconsistencies(own),
+    ]
+    ends = [line for line in own if line.event in _END_EVENTS]
     certain = bool(ends) and not any("lines are missing" in g for g in gaps)
     return Trace(request, own, around, gaps, _verdict(own, ends), certain)
 
 
-def _place(line: Line) -> tuple[float, int]:
+def _sort_key(line: Line) -> tuple[float, int]:
     return line.at, line.number
 
 
-def _missing(
+def _missing_lines(
     lines: list[Line], instances: set[str], begin: float, end: float
 ) -> list[str]:
-    """Returns a word for each hole in a process's numbers near the request."""
-    found = []
+    """Describes gaps in the event numbers of processes during the request."""
+    gaps = []
     for instance in sorted(instances):
         numbered = [
             line for line in lines if line.instance == instance and line.number
         ]
         numbered.sort(key=lambda line: line.number)
         for before, after in itertools.pairwise(numbered):
-            hole = after.number - before.number - 1
-            near = after.at >= begin and before.at <= end
-            if hole > 0 and near:
-                found.append(
-                    f"{hole} lines are missing at {instance} between "
+            missing = after.number - before.number - 1
+            overlaps = after.at >= begin and before.at <= end
+            if missing > 0 and overlaps:
+                gaps.append(
+                    f"{missing} lines are missing at {instance} between "
                     f"number {before.number} and {after.number}."
                 )
-    return found
+    return gaps
 
 
-def _misfits(own: list[Line]) -> list[str]:
-    """Returns what can't be: an end without a begin, an order upside down."""
-    found = []
+def _inconsistencies(own: list[Line]) -> list[str]:
+    """Describes a missing start or end, and events in the wrong order."""
+    gaps = []
     events = [line.event for line in own]
     if "call_taken" not in events and "call_refused" not in events:
-        found.append("The line of its coming is missing.")
-    if not _ENDS.intersection(events):
-        found.append("No line tells how it ended.")
+        gaps.append("The line of the request's arrival is missing.")
+    if not _END_EVENTS.intersection(events):
+        gaps.append("No line shows how the request ended.")
     first = {}
     for line in own:
         first.setdefault((line.instance, line.event), line.at)
     for instance in {line.instance for line in own}:
-        known = [first.get((instance, event)) for event in _ORDER]
+        known = [first.get((instance, event)) for event in _EVENT_ORDER]
         times = [at for at in known if at is not None]
         for before, after in itertools.pairwise(times):
-            if before - after > CLOCK_SECONDS:
-                found.append(
+            if before - after > MAX_CLOCK_STEP_SECONDS:
+                gaps.append(
                     f"The clock of {instance} went back by "
-                    f"{before - after:.2f} s meanwhile."
+                    f"{before - after:.2f} s during the request."
                 )
                 break
-    return found
+    return gaps
 
 
 def _verdict(own: list[Line], ends: list[Line]) -> str:
     if not ends:
         last = own[-1]
         return (
-            f"The last that is known is {last.event} at {last.instance}; "
-            "the process ended there, or its lines are missing."
+            f"The last known event is {last.event} at {last.instance}. The "
+            "process ended then, or its later lines are missing."
         )
     end = ends[-1]
     fields = end.fields
@@ -196,8 +202,8 @@
             )
         case "caller_gone":
             return (
-                f"The caller left after {fields.get('after_s')} s, before "
-                "its answer had ended."
+                f"The caller disconnected after {fields.get('after_s')} s, "
+                "before the end of the answer."
             )
         case _:
             return (
--- a/testing/test_codec.py
+++ b/testing/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages survive the wire; a bad peer's bytes are a typed error."""
+"""Messages survive encoding; invalid bytes from a peer are a typed error."""
 
 import msgpack
 import testtools
@@ -12,7 +12,7 @@
 
 
 class CodecTest(testtools.TestCase):
-    def test_nested_message_survives_the_wire(self) -> None:
+    def test_nested_message_survives_encoding(self) -> None:
         turn = identities.Turn(1, ['{"role":"user"}'], b"d" * 16)
         history = program_messages.History("p-1", [turn])
         decoded = codec.decode(codec.encode(history))
--- a/testing/test_digests.py
+++ b/testing/test_digests.py
@@ -1,4 +1,4 @@
-"""Rolling digests of a program's history."""
+"""Digests of a program's history."""
 
 import testtools
 from testtools import matchers
@@ -6,13 +6,13 @@
 from mintcleat.domain import digests
 
 
-class RollingTest(testtools.TestCase):
-    def test_boundaries_between_messages_count(self) -> None:
+class ChainTest(testtools.TestCase):
+    def test_message_boundaries_change_the_digest(self) -> None:
         first = digests.chain(b"", ["ab", "c"])
         second = digests.chain(b"", ["a", "bc"])
         self.assertThat(first, matchers.Not(matchers.Equals(second)))
 
-    def test_previous_digest_counts(self) -> None:
+    def test_previous_turns_change_the_digest(self) -> None:
         previous = digests.chain(b"", ["a"])
         first = digests.chain(previous, ["b"])
         second = digests.chain(b"", ["b"])
--- a/testing/test_docs.py
+++ b/testing/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages and examples agree with the code that they describe."""
+"""Reference pages and examples match the code."""
 
 import pathlib
 import re
@@ -64,7 +64,7 @@
 
 
 def shown_default(field: msgspec.structs.FieldInfo) -> str | None:
-    """Returns how a page writes a default; None for a nested section."""
+    """Returns a default as written on a page; None for a nested section."""
     if field.required:
         return "required"
     if field.default_factory is not msgspec.NODEFAULT:
@@ -87,7 +87,7 @@
 
 
 def written_metrics() -> dict[str, tuple[str, set[str]]]:
-    """Returns type and labels of each metric that the code writes."""
+    """Returns the type and labels of each metric in the code."""
     found: dict[str, tuple[str, set[str]]] = {}
     for path in sorted((ROOT / "src").rglob("*.py")):
         for kind, name, rest in METRIC_CALL.findall(path.read_text()):
@@ -133,7 +133,7 @@
     def test_the_settings_page_names_every_field(self) -> None:
         self.assert_fields(REFERENCE / "settings.md", SETTINGS_SECTIONS)
 
-    def test_no_settings_struct_is_left_out_of_the_page(self) -> None:
+    def test_the_settings_page_covers_every_settings_struct(self) -> None:
         reached = {settings.Settings}
         for kind in SETTINGS_SECTIONS.values():
             hints = get_type_hints(kind).values()
@@ -154,7 +154,7 @@
         page = REFERENCE / "experiments.md"
         self.assert_fields(page, EXPERIMENT_SECTIONS)
 
-    def test_every_shipped_experiment_is_a_plan(self) -> None:
+    def test_every_shipped_experiment_is_a_valid_plan(self) -> None:
         files = sorted((ROOT / "examples" / "experiments").glob("*.json"))
         self.assertThat(files, matchers.HasLength(2))
         for path in files:
@@ -169,7 +169,7 @@
                 },
             )
 
-    def test_the_example_of_the_load_page_is_a_plan(self) -> None:
+    def test_the_example_of_the_load_page_is_a_valid_plan(self) -> None:
         page = (REFERENCE / "load.md").read_text()
         example = textwrap.dedent(page.split("## An example\n")[1])
         folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -177,7 +177,9 @@
         path.write_text(example)
         self.assertEqual("triage", plan.load(path).kinds[0].name)
 
-    def test_the_metrics_page_lists_exactly_what_is_written(self) -> None:
+    def test_the_metrics_page_lists_exactly_the_metrics_in_the_code(
+        self,
+    ) -> None:
         page = (REFERENCE / "metrics.md").read_text()
         rows = {
             name: (kind, set(re.findall(r"`(\w+)`", labels)))
@@ -190,14 +192,14 @@
             self.assertEqual(kind, rows[name][0], name)
             self.assertThat(rows[name][1], matchers.ContainsAll(labels))
 
-    def test_every_shipped_settings_file_has_no_fault(self) -> None:
+    def test_every_shipped_settings_file_is_valid(self) -> None:
         files = sorted((ROOT / "examples" / "settings").glob("*.json"))
         self.assertThat(files, matchers.HasLength(8))
         loaded = [settings.load(path) for path in files]
         names = [one.instance for one in loaded]
         self.assertEqual([path.stem for path in files], names)
 
-    def test_every_shipped_manifest_has_no_fault(self) -> None:
+    def test_every_shipped_manifest_is_valid(self) -> None:
         files = sorted((ROOT / "examples" / "manifests").glob("*.json"))
         self.assertThat(files, matchers.HasLength(3))
         for path in files:
@@ -233,7 +235,7 @@
         self.assertEqual([], broken)
         self.assertThat(seen, matchers.GreaterThan(10))
 
-    def test_readme_has_its_two_commands_and_make_knows_them(self) -> None:
+    def test_commands_of_the_readme_are_make_targets(self) -> None:
         readme = (ROOT / "README.md").read_text()
         makefile = (ROOT / "Makefile").read_text()
         for target in ("local", "test"):
--- a/testing/test_event_log.py
+++ b/testing/test_event_log.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, and never in the way."""
+"""The event log is bounded and never blocks the process."""
 
 import io
 import json
@@ -10,7 +10,8 @@
 from mintcleat.adapters import event_log
 from mintcleat.domain import events
 
-# No room comes back by itself, so that a busy machine changes nothing.
+# The budget is not refilled during a test, so the speed of the machine does
+# not matter.
 SMALL = event_log.Budget(lines=1e-6, burst=20.0, waiting=50)
 
 
@@ -27,7 +28,7 @@
 
 
 class Stalled(io.StringIO):
-    """Takes nothing until it is let go."""
+    """An output that blocks until `go` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -41,7 +42,7 @@
 
 class EventLogTest(testtools.TestCase):
     def written(self, sink: io.StringIO, log: event_log.EventLog) -> list[dict]:
-        """Returns the lines, once the writer has written all."""
+        """Returns the lines after the writer has written all of them."""
         log.close(10.0)
         before = -1
         while before != len(sink.getvalue()):
@@ -68,7 +69,7 @@
         self.assertTrue(5 <= len(lines) <= 22, len(lines))
         self.assertEqual(1000 - len(lines), log.dropped)
 
-    def test_changes_of_state_come_through_a_flood(self) -> None:
+    def test_changes_of_state_are_logged_despite_a_flood(self) -> None:
         sink = io.StringIO()
         log = event_log.EventLog("e1", SMALL, sink)
         for number in range(1000):
@@ -78,7 +79,7 @@
         names = [line["event"] for line in self.written(sink, log)]
         self.assertIn("dependency_lost", names)
 
-    def test_what_was_dropped_is_said_once_there_is_room(self) -> None:
+    def test_dropped_lines_are_reported_once_the_budget_allows(self) -> None:
         sink = io.StringIO()
         log = event_log.EventLog("e1", SMALL, sink)
         for number in range(100):
@@ -86,9 +87,9 @@
         log.room = SMALL.burst
         log.emit(refused(100))
         lines = self.written(sink, log)
-        (said,) = [one for one in lines if one["event"] == "lines_dropped"]
+        (report,) = [one for one in lines if one["event"] == "lines_dropped"]
         shown = [one for one in lines if one["event"] == "call_refused"]
-        self.assertEqual(101 - len(shown), said["dropped"])
+        self.assertEqual(101 - len(shown), report["dropped"])
 
     def test_processes_keep_the_details_of_the_same_requests(self) -> None:
         sinks = [io.StringIO(), io.StringIO()]
@@ -104,7 +105,7 @@
         self.assertEqual(kept[0], kept[1])
         self.assertNotEqual(set(), kept[0])
 
-    def test_reader_that_stalls_holds_nobody_up(self) -> None:
+    def test_stalled_reader_does_not_block_the_process(self) -> None:
         sink = Stalled()
         log = event_log.EventLog("e1", SMALL._replace(burst=1e6), sink)
         began = time.monotonic()
@@ -115,10 +116,10 @@
         sink.go = True
         lines = self.written(sink, log)
         shown = [one for one in lines if one["event"] == "call_refused"]
-        said = sum(one.get("dropped", 0) for one in lines)
-        self.assertEqual(5000, len(shown) + said + log.dropped)
+        reported = sum(one.get("dropped", 0) for one in lines)
+        self.assertEqual(5000, len(shown) + reported + log.dropped)
 
-    def test_closed_output_ends_nothing(self) -> None:
+    def test_closed_output_raises_no_error(self) -> None:
         reading, writing = os.pipe()
         os.close(reading)
         sink = open(writing, "w")  # noqa: SIM115
--- a/testing/test_layout.py
+++ b/testing/test_layout.py
@@ -1,4 +1,4 @@
-"""The layering and import rules of the source tree."""
+"""Layering and import rules of the source tree."""
 
 import ast
 from collections.abc import Iterator
@@ -8,7 +8,8 @@
 
 SOURCE = pathlib.Path(__file__).parent.parent / "src" / "mintcleat"
 
-# What each package may import of this project. `main` wires everything.
+# Packages of this project that each package may import. `main` composes the
+# programs and may import all of them.
 ALLOWED = {
     "domain": {"domain"},
     "ports": {"domain", "ports"},
@@ -30,7 +31,7 @@
     "load": {"domain", "ports", "load"},
     "platform": {"domain", "ports", "adapters", "platform"},
 }
-# Names of the platform's protocol. Only its package may know them.
+# Names of the platform's protocol, which only its package may use.
 PLATFORM = SOURCE / "platform"
 PLATFORM_NAMES = re.compile(
     r"x-(?:deadline-milliseconds|affinity-key|program-id"
@@ -47,8 +48,8 @@
     r"|quotawindow|quotaoverage|quotaslack",
     re.IGNORECASE,
 )
-# What of the project may import that package: the composition root for
-# machines of the platform.
+# Modules that may import that package: the composition root for machines of
+# the platform.
 PLATFORM_USERS = {"hosted.py"}
 NAME_MODULES = {"typing", "collections.abc", "__future__"}
 
@@ -88,8 +89,8 @@
     assert wrong == []
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
-    # Of modules in a circle none can be read or changed alone. Imports for
+def test_no_import_cycles() -> None:
+    # Modules in a cycle can't be read or changed separately. Imports for
     # annotations count too.
     graph = {
         _name_of(path): {
@@ -111,7 +112,7 @@
     return ".".join(parts).removesuffix(".__init__")
 
 
-def test_own_modules_not_names_are_imported() -> None:
+def test_modules_of_the_project_are_imported_not_their_names() -> None:
     wrong = [
         f"{path.name}: {module}.{name}"
         for path in module_files()
@@ -136,7 +137,7 @@
     assert wrong == []
 
 
-def test_only_its_package_knows_the_platforms_names() -> None:
+def test_only_the_platform_package_uses_the_platforms_names() -> None:
     wrong = [
         f"{path.name}: {found.group()}"
         for path in module_files()
--- a/testing/test_manifest.py
+++ b/testing/test_manifest.py
@@ -1,4 +1,4 @@
-"""Every fault is reported; unsafe paths do not pass for idempotent ones."""
+"""Parsing, comparing and rendering manifests; idempotent paths."""
 
 import pathlib
 
@@ -11,7 +11,7 @@
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples" / "manifests"
 
 
-def faults_of(text: str) -> list[str]:
+def errors_in(text: str) -> list[str]:
     try:
         manifest.parse(text)
     except errors.InvalidManifest as error:
@@ -26,8 +26,8 @@
             again = manifest.parse(manifest.render(parsed))
             self.assertThat(again, matchers.Equals(parsed))
 
-    def test_every_schema_fault_is_listed_with_its_path(self) -> None:
-        found = faults_of(
+    def test_every_schema_error_is_listed_with_its_path(self) -> None:
+        found = errors_in(
             '{"programs": {"a": {"turns": "x", "class": "slow"}},'
             ' "services": {"b": {"kind": "plain", "floor": -1, "extra": 1,'
             ' "idempotent": [3]}}, "polices": {}}'
@@ -46,8 +46,8 @@
             paths,
         )
 
-    def test_every_reference_fault_is_listed(self) -> None:
-        found = faults_of(
+    def test_every_reference_error_is_listed(self) -> None:
+        found = errors_in(
             '{"programs": {"a": {"service": "none", "tools":'
             ' {"t": {"service": "m"}}}},'
             ' "services": {"m": {"kind": "model", "model": "x",'
@@ -65,12 +65,12 @@
             paths,
         )
 
-    def test_text_that_is_no_json_is_one_typed_fault(self) -> None:
-        self.assertEqual(1, len(faults_of('{"programs": ')))
+    def test_invalid_json_is_reported_as_one_error(self) -> None:
+        self.assertEqual(1, len(errors_in('{"programs": ')))
 
     def test_a_whole_number_is_not_true_or_false(self) -> None:
         text = '{"services": {"b": {"kind": "plain", "fencing": 1}}}'
-        self.assertIn("$.services.b.fencing", faults_of(text)[0])
+        self.assertIn("$.services.b.fencing", errors_in(text)[0])
 
 
 class IdempotentTest(testtools.TestCase):
@@ -97,10 +97,10 @@
         self.assertFalse(self.is_idempotent("POST", "/searching"))
 
     def test_dots_and_escapes_do_not_hide_a_non_idempotent_path(self) -> None:
-        """The caller sends a dispatch whose path looks like another one.
+        """A path that normalizes to a non-idempotent one is not idempotent.
 
-        Taken for idempotent, it would be retried after a lost answer and two
-        crews would go out.
+        Otherwise the request would be retried after a lost answer and would
+        run twice.
         """
         self.assertFalse(self.is_idempotent("GET", "/status/../dispatch"))
         self.assertFalse(self.is_idempotent("GET", "/%64ispatch"))
@@ -121,8 +121,8 @@
         )
 
 
-class SeveralFaultsTest(testtools.TestCase):
-    def test_unknown_field_does_not_hide_a_dangling_name(self) -> None:
+class SeveralErrorsTest(testtools.TestCase):
+    def test_unknown_field_does_not_hide_a_dangling_reference(self) -> None:
         text = """{"colour": 1, "programs": {"a": {"service": "none"}}}"""
         error = self.assertRaises(errors.InvalidManifest, manifest.parse, text)
         self.assertThat(error.detail, matchers.Contains("$.colour"))
--- a/testing/test_registrations.py
+++ b/testing/test_registrations.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, and what others write in their place."""
+"""Validation of the registrations of upstreams, which are unauthenticated."""
 
 import json
 from typing import Any
@@ -12,7 +12,7 @@
 from mintcleat.domain import registrations
 from mintcleat.platform import control_api
 
-WHOLE = {
+VALID = {
     "service": "desk",
     "address": "10.0.0.9:8080",
     "zone": "z1",
@@ -26,16 +26,16 @@
 
 
 def read(**changed: Any) -> member_messages.Registration:
-    body = {**WHOLE, **changed}
+    body = {**VALID, **changed}
     return control_api.to_registration("e1", json.dumps(body).encode())
 
 
 class HeartbeatTest(testtools.TestCase):
-    """Another writer's heartbeat must put no upstream out of use.
+    """An invalid heartbeat must not evict a healthy upstream.
 
-    Taken half, one with the state `broken` would pass for ready, and one with
-    a service or address that is none would evict the upstream whose id or
-    address it bears.
+    Applied in part, one with the state `broken` would count as ready, and one
+    with an invalid service or address would replace the upstream with the
+    same id or address.
     """
 
     def test_every_field_is_read(self) -> None:
@@ -45,8 +45,8 @@
         )  # fmt: skip
         self.assertEqual(expected, read(stage="both", models=[]))
 
-    def test_one_that_tells_no_start_is_read(self) -> None:
-        body = {name: v for name, v in WHOLE.items() if name != "born"}
+    def test_start_is_optional(self) -> None:
+        body = {name: v for name, v in VALID.items() if name != "born"}
         found = control_api.to_registration("e1", json.dumps(body).encode())
         self.assertEqual(("e1", 0), (found.incarnation, found.started))
 
@@ -79,8 +79,8 @@
                 self.assertIn(named.get(name, name), error.detail)
 
     def test_missing_field_is_named(self) -> None:
-        for name in WHOLE.keys() - {"born", "coldRemainingMs", "zone"}:
-            body = {key: v for key, v in WHOLE.items() if key != name}
+        for name in VALID.keys() - {"born", "coldRemainingMs", "zone"}:
+            body = {key: v for key, v in VALID.items() if key != name}
             error = self.assertRaises(
                 errors.BadRequest,
                 control_api.to_registration,
@@ -89,7 +89,7 @@
             )
             self.assertIn(name, error.detail)
 
-    def test_no_object_is_no_registration(self) -> None:
+    def test_body_that_is_no_registration_is_refused(self) -> None:
         bodies = [
             b"", b"[]", b"null", b"7", b'"x"', b"{", b"\xff\xfe", b"{}",
             b"[" * 100_000, b" " * 4 * 1024 * 1024, b'{"service":"\\ud800"}',
@@ -99,8 +99,8 @@
                 errors.BadRequest, control_api.to_registration, "e1", body
             )
 
-    def test_id_has_bounds(self) -> None:
-        body = json.dumps(WHOLE).encode()
+    def test_length_of_the_id_is_limited(self) -> None:
+        body = json.dumps(VALID).encode()
         for name in ("", "x" * 300):
             self.assertRaises(
                 errors.BadRequest, control_api.to_registration, name, body
@@ -114,14 +114,14 @@
 
     @given(
         strategies.dictionaries(
-            strategies.sampled_from(sorted(WHOLE)),
+            strategies.sampled_from(sorted(VALID)),
             strategies.recursive(
                 strategies.none()
                 | strategies.booleans()
                 | strategies.integers()
                 | strategies.floats(allow_nan=False, allow_infinity=False)
                 | strategies.text(max_size=8)
-                | strategies.sampled_from(list(WHOLE.values())),
+                | strategies.sampled_from(list(VALID.values())),
                 lambda inner: strategies.lists(inner, max_size=2),
                 max_leaves=3,
             ),
@@ -131,7 +131,7 @@
     def test_any_fields_are_a_registration_or_an_error(
         self, changed: dict[str, Any]
     ) -> None:
-        self._read_or_refuse(json.dumps({**WHOLE, **changed}).encode())
+        self._read_or_refuse(json.dumps({**VALID, **changed}).encode())
 
     def _read_or_refuse(self, body: bytes) -> None:
         try:
@@ -151,6 +151,6 @@
         self.assertEqual(0, control_api.to_leaving(b"{}"))
         self.assertEqual(5, control_api.to_leaving(b'{"born": 5}'))
 
-    def test_what_cannot_be_read_ends_nobody(self) -> None:
+    def test_unreadable_body_is_refused(self) -> None:
         for body in (b"{", b"[]", b'{"born": "5"}', b'{"born": true}'):
             self.assertRaises(errors.BadRequest, control_api.to_leaving, body)
