--- a/src/mintcleat/domain/__init__.py
+++ b/src/mintcleat/domain/__init__.py
@@ -1,1 +1,1 @@
-"""Data types, typed errors and wire messages shared by every role."""
+"""Data types, typed errors and messages that all roles share."""
--- a/src/mintcleat/domain/manifest.py
+++ b/src/mintcleat/domain/manifest.py
@@ -1,6 +1,6 @@
-"""The manifest: what operators push to say what should be in force.
+"""The manifest, which operators push to configure the deployment.
 
-Unknown and ill-typed fields are faults. `parse` reports every fault at once.
+Unknown and ill-typed fields are errors. `parse` reports all errors at once.
 """
 
 import posixpath
@@ -15,24 +15,39 @@
 
 from mintcleat.domain import errors
 from mintcleat.domain import keys
-from mintcleat.domain import manifest_faults
+from mintcleat.domain import manifest_errors
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Amount = Annotated[float, msgspec.Meta(ge=0)]
-Name = Annotated[str, msgspec.Meta(pattern=manifest_faults.NAME_PATTERN)]
+Name = Annotated[str, msgspec.Meta(pattern=manifest_errors.NAME_PATTERN)]
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 
 
 class Tool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tool of an agent program: calls of one plain service."""
+    """A tool of an agent program, whose calls go to a plain service.
+
+    Attributes:
+        non_idempotent: `METHOD /path-prefix` patterns of requests that must
+            not be repeated.
+    """
 
     service: str
     non_idempotent: list[str] = []
 
 
 class Program(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An agent program; budgets of 0 mean no limit."""
+    """An agent program.
+
+    Attributes:
+        service: Model service of its chat calls.
+        klass: Priority class, the field `class` in JSON.
+        tokens: Token budget of a program; 0 for no limit.
+        turns: Maximum number of turns; 0 for no limit.
+        seconds: Maximum duration; 0 for no limit.
+        repeat_limit: Number of identical calls among the recent ones at which
+            a program is considered to loop; 0 for no limit.
+    """
 
     service: str
     klass: Literal["interactive", "batch"] = msgspec.field(
@@ -49,14 +64,19 @@
     """A model or plain service.
 
     Attributes:
-        idempotent: `METHOD /path-prefix` patterns that may be repeated,
-            beside the methods that are idempotent by definition.
-        non_idempotent: Patterns that may not; they win over `idempotent`.
-        floor: Upstreams that a rollout keeps ready.
-        connections: Connections that one upstream takes from all callers; 0
-            when it is not known.
-        tokens_per_event: Tokens that one event of a stream counts for.
-        memory_tokens: Tokens that an upstream's cache holds; 0 for unknown.
+        version: Version of the model; a change starts a rollout.
+        replicas: Number of upstreams.
+        floor: Number of upstreams that a rollout keeps ready.
+        fencing: Whether the upstreams refuse outdated fencing tokens.
+        idempotent: `METHOD /path-prefix` patterns of requests that may be
+            repeated, in addition to idempotent methods.
+        non_idempotent: Patterns of requests that must not be repeated. They
+            take precedence over `idempotent`.
+        connections: Connections that one upstream accepts from all callers; 0
+            if unknown.
+        tokens_per_event: Tokens that an event of a stream counts for.
+        memory_tokens: Capacity of an upstream's cache in tokens; 0 if
+            unknown.
     """
 
     kind: Literal["model", "plain"]
@@ -74,35 +94,39 @@
 
 
 class Share(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service that takes part of a route's requests, by weight."""
+    """A service that receives a share of a route's requests.
+
+    Attributes:
+        weight: Share relative to the other weights of the route.
+    """
 
     service: str
     weight: Count = 1
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests that are passed on as they are; times in seconds.
+    """A route by which requests are forwarded unchanged; times in seconds.
 
-    The route with the longest prefix of a request's host serves it.
+    A request takes the route of its host with the longest matching prefix.
 
     Attributes:
+        prefix: Prefix of the path, which begins and ends with a slash.
+        shares: Services that receive the requests.
         host: Value of the Host header; empty for any.
-        prefix: Start of the path; it begins and ends with a slash.
-        shares: Services that serve it.
-        repeat: Whether a request may run again: `any` after any failure,
-            `resume` after a broken stream, from its last event on, `never`
-            unless it surely did not run.
+        repeat: When a request may run again: `any` after any failure,
+            `resume` after a broken stream from its last event on, `never`
+            only if it certainly did not run.
         stream: Whether answers are server-sent events.
-        timeout: Longest time that a request is kept waiting; more than 0.
-        target_latency: Time to the answer, or its first event, that is good.
-        target_gap: Longest good pause between events.
-        priority: 0 is the most urgent.
-        attempts: Upstreams that one request may be sent to.
-        affinity: Whether requests on one object run faster where an earlier
-            one ran.
-        retention: For how long a turn that has ended can be continued; 0
-            when callers send whole conversations themselves.
-        public: Whether callers without a customer's key may use it.
+        timeout: Maximum time that a request waits; greater than 0.
+        target_latency: Target time to the answer or to its first event.
+        target_gap: Target for the longest pause between events.
+        priority: Rank of the requests, 0 the most urgent.
+        attempts: Maximum number of attempts of a request.
+        affinity: Whether requests for the same object run faster at the
+            upstream that ran an earlier one.
+        retention: Time for which a finished turn can be continued; 0 if
+            callers always send the whole conversation.
+        public: Whether callers without a customer's key may use the route.
     """
 
     prefix: str
@@ -121,7 +145,14 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a caller of a route may send, in bytes and seconds."""
+    """Limits for requests of callers.
+
+    Attributes:
+        header_bytes: Maximum size of the headers.
+        body_bytes: Maximum size of the body.
+        header_seconds: Maximum time until the headers are complete.
+        idle_seconds: Time after which an idle connection is closed.
+    """
 
     header_bytes: Count = 16384
     body_bytes: Count = 4 * 1024 * 1024
@@ -130,15 +161,17 @@
 
 
 class Customer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A customer's keys, share and limits; 0 means no limit.
+    """Keys, share and limits of a customer; 0 means no limit.
 
     Attributes:
-        keys: Each opens the system under the customer's name. `parse` puts
-            their digests in place of keys.
+        share: Weight of the customer when customers compete for an upstream.
+        max_running: Maximum number of concurrent calls at one upstream.
+        keys: Keys that authenticate the customer. `parse` replaces them by
+            their digests.
         priority: Rank of its requests on all routes, 0 the most urgent; null
-            for each route's own.
-        rate: Requests a second over all entries.
-        burst: Requests that may come at once beyond that.
+            for the priority of each route.
+        rate: Requests per second over all entries.
+        burst: Further requests that may be sent at once.
     """
 
     share: Amount = 1.0
@@ -150,7 +183,12 @@
 
 
 class Weights(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operator weighs; only the ratio counts."""
+    """Weights of the operator's goals; only their ratio matters.
+
+    Attributes:
+        program_latency: Weight of short program latency.
+        wasted_cache: Weight of keeping cached prompts in use.
+    """
 
     program_latency: Amount = 1.0
     wasted_cache: Amount = 1.0
@@ -160,12 +198,27 @@
     """Policies of the deployment; times in seconds.
 
     Attributes:
-        require_keys: Whether callers must show a customer's key.
-        limit_window: In any time of this length a customer may send its
-            `rate` times the length, and its `burst`.
-        limit_overage: What programs under way may send beyond that, as a
-            share of it.
-        limit_slack: What they may send besides, in requests.
+        default_customer: Customer of callers that name none; empty for none.
+        require_keys: Whether callers must present a customer's key.
+        limit_window: Length of the sliding window in which a customer may
+            send `rate` times the length plus `burst` requests.
+        limit_overage: Further requests of running programs in a window, as a
+            fraction of its limit.
+        limit_slack: Further requests of running programs in a window, as a
+            number.
+        deadline: Deadline of calls that give none.
+        max_wait: Longest predicted wait at which an interactive call is
+            admitted; batch calls may wait longer.
+        program_idle: Time without a call after which a program expires.
+        record_retention: Time for which the records of an ended program are
+            kept.
+        quarantine_seconds: Time after which a quarantine expires.
+        stale_lease: Whether an entry whose configuration lease has expired
+            refuses or serves idempotent calls of plain services. It always
+            refuses other calls.
+        rollout_pause: Pause between the steps of a rollout.
+        loads_per_minute: Maximum rate of model loads.
+        load_burst: Maximum number of model loads at once.
     """
 
     customers: dict[Name, Customer] = {}
@@ -187,7 +240,7 @@
 
 
 class Manifest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole manifest."""
+    """A complete manifest."""
 
     programs: dict[Name, Program] = {}
     services: dict[Name, Service] = {}
@@ -197,7 +250,7 @@
 
 
 class Change(NamedTuple):
-    """One field that differs; None stands for a field that is absent."""
+    """A field that differs; None stands for an absent field."""
 
     path: str
     before: Any
@@ -205,43 +258,50 @@
 
 
 def parse(text: str | bytes) -> Manifest:
-    """Returns the manifest that a JSON text describes.
+    """Returns the manifest of a JSON text.
 
     Raises:
-        errors.InvalidManifest: Its detail lists every fault, one a line, each
-            with the path of its field.
+        errors.InvalidManifest: The text is invalid. The detail has a line for
+            each error, with the path of the field.
     """
     try:
         parsed = msgspec.json.decode(text, type=Manifest)
     except msgspec.ValidationError:
-        # It stopped at the first fault. The walk over all fields costs ten
-        # times as much, which only a faulty manifest pays for.
+        # msgspec stopped at the first error. Walking all fields takes ten
+        # times as long, so it is done for invalid manifests only.
         raw = msgspec.json.decode(text)
-        faults = manifest_faults.schema_faults(raw, Manifest)
-        faults.extend(_reference_faults(raw))
+        violations = manifest_errors.schema_violations(raw, Manifest)
+        violations.extend(_reference_violations(raw))
     except (msgspec.DecodeError, UnicodeError) as error:
-        raise errors.InvalidManifest(f"$: no valid JSON: {error}.") from None
+        raise errors.InvalidManifest(f"$: invalid JSON: {error}.") from None
     else:
         parsed = _with_digests(parsed)
-        faults = manifest_faults.reference_faults(parsed)
-        if not faults:
+        violations = manifest_errors.reference_violations(parsed)
+        if not violations:
             return parsed
-    lines = [f"{fault.path}: {fault.problem}." for fault in faults]
+    lines = [
+        f"{violation.path}: {violation.problem}." for violation in violations
+    ]
     raise errors.InvalidManifest("\n".join(lines))
 
 
-def _reference_faults(raw: Any) -> list[manifest_faults.Fault]:
-    """Returns dangling names, as far as the types let them be told."""
-    known = manifest_faults.without_unknown(raw, inspect.type_info(Manifest))
+def _reference_violations(raw: Any) -> list[manifest_errors.Violation]:
+    """Returns dangling references of a manifest with schema violations.
+
+    The list is empty if the manifest has ill-typed or missing fields.
+    """
+    known = manifest_errors.without_unknown_fields(
+        raw, inspect.type_info(Manifest)
+    )
     try:
         parsed = msgspec.convert(known, Manifest)
     except msgspec.ValidationError:
         return []
-    return manifest_faults.reference_faults(_with_digests(parsed))
+    return manifest_errors.reference_violations(_with_digests(parsed))
 
 
 def _with_digests(parsed: Manifest) -> Manifest:
-    """Returns a manifest that holds digests in place of customers' keys."""
+    """Returns the manifest with digests in place of customers' keys."""
     if not any(item.keys for item in parsed.policies.customers.values()):
         return parsed
     customers = {
@@ -255,32 +315,32 @@
 
 
 def compact(manifest: Manifest) -> str:
-    """Returns the manifest as JSON on one line, for machines to read."""
+    """Returns the manifest as JSON on one line."""
     return msgspec.json.encode(manifest).decode()
 
 
 def render(manifest: Manifest) -> str:
-    """Returns the manifest as JSON with sorted keys, for people to read."""
+    """Returns the manifest as indented JSON with sorted keys."""
     data = msgspec.json.encode(manifest, order="sorted")
     return msgspec.json.format(data, indent=2).decode()
 
 
 def is_idempotent(service: Service, method: str, path: str) -> bool:
-    """Tells whether a request to a plain service may run more than once.
+    """Returns whether a request to a plain service may run more than once.
 
-    The path is decoded and its dots are resolved first. Otherwise
-    `/status/../dispatch` would pass for a status read while the service runs
-    a dispatch, and a lost answer would send two crews out.
+    The path is decoded and normalized first. Otherwise a request to
+    `/status/../dispatch` would match `/status` although the service runs
+    `/dispatch`, and a retry after a lost answer would run it twice.
     """
     method = method.upper()
-    plain = _resolved(path)
+    normalized = _normalize(path)
     for pattern in service.non_idempotent:
-        verb, prefix = _pattern(pattern)
-        if verb in ("*", method) and plain.startswith(prefix):
+        verb, prefix = _split_pattern(pattern)
+        if verb in ("*", method) and normalized.startswith(prefix):
             return False
     for pattern in service.idempotent:
-        verb, prefix = _pattern(pattern)
-        if verb in ("*", method) and _within(plain, prefix):
+        verb, prefix = _split_pattern(pattern)
+        if verb in ("*", method) and _has_prefix(normalized, prefix):
             return True
     return method in IDEMPOTENT_METHODS
 
@@ -304,17 +364,17 @@
         _compare(f"{path}.{name}", before.get(name), after.get(name), changes)
 
 
-def _resolved(path: str) -> str:
+def _normalize(path: str) -> str:
     decoded = url.unquote(path.partition("?")[0])
     return "/" + posixpath.normpath("/" + decoded).lstrip("/")
 
 
-def _pattern(pattern: str) -> tuple[str, str]:
+def _split_pattern(pattern: str) -> tuple[str, str]:
     verb, _, prefix = pattern.partition(" ")
     return verb.upper(), prefix
 
 
-def _within(path: str, prefix: str) -> bool:
-    """Matches whole path segments, so `/find` does not admit `/findings`."""
+def _has_prefix(path: str, prefix: str) -> bool:
+    """Matches whole path segments: `/find` is no prefix of `/findings`."""
     trimmed = prefix.rstrip("/")
     return path == trimmed or path.startswith(trimmed + "/")
--- a/testing/test_manifest.py
+++ b/testing/test_manifest.py
@@ -1,4 +1,4 @@
-"""Parsing, comparing and rendering manifests; idempotent paths."""
+"""Parsing and comparing manifests; matching of idempotent paths."""
 
 import pathlib
 
