--- a/src/mintcleat/domain/manifest_errors.py
+++ b/src/mintcleat/domain/manifest_errors.py
@@ -101,10 +101,10 @@
                 )
         case inspect.UnionType(types=kinds):
             if value is not None:
-                inner = [
+                variants = [
                     k for k in kinds if not isinstance(k, inspect.NoneType)
                 ]
-                _walk(value, inner[0], path, out)
+                _walk(value, variants[0], path, out)
         case inspect.FloatType():
             _check_number(value, path, out)
         case _:
@@ -205,8 +205,8 @@
         out.append(
             Violation(
                 path,
-                f"must name a {kind} service, but {name!r} is a "
-                f"{service.kind} service",
+                f"names {name!r}, a {service.kind} service, but must name a "
+                f"{kind} service",
             )
         )
 
@@ -216,8 +216,8 @@
         out.append(
             Violation(
                 f"{path}.floor",
-                f"must be at most the number of replicas, {service.replicas}, "
-                f"but is {service.floor}",
+                f"is {service.floor}, but must be at most the number of "
+                f"replicas, {service.replicas}",
             )
         )
     if service.kind == "model" and not service.model:
