--- a/src/mintcleat/adapters/event_log.py
+++ b/src/mintcleat/adapters/event_log.py
@@ -47,7 +47,7 @@
 
 
 class EventLog:
-    """Writes events; see `ports.events.Events`."""
+    """Writes events; see `ports.events.EventReporter`."""
 
     def __init__(
         self,
--- a/src/mintcleat/adapters/event_metrics.py
+++ b/src/mintcleat/adapters/event_metrics.py
@@ -11,10 +11,10 @@
 
 
 class MeasuredEvents:
-    """Counts each event and passes it on; see `ports.events.Events`."""
+    """Counts each event and passes it on; see `ports.events.EventReporter`."""
 
     def __init__(
-        self, metrics: metric_ports.Metrics, log: event_ports.Events
+        self, metrics: metric_ports.Metrics, log: event_ports.EventReporter
     ) -> None:
         self.metrics = metrics
         self.log = log
--- a/src/mintcleat/emulator/entry.py
+++ b/src/mintcleat/emulator/entry.py
@@ -109,7 +109,12 @@
         self.numbers = itertools.count()
         self.name = name
         self.loads = upstream_loads.UpstreamLoads(
-            fleet, Clock(env), events.Silent(), lambda life: None, name, policy
+            fleet,
+            Clock(env),
+            events.NullEventReporter(),
+            lambda life: None,
+            name,
+            policy,
         )
         self.loads.read()
 
--- a/src/mintcleat/main/control_part.py
+++ b/src/mintcleat/main/control_part.py
@@ -32,7 +32,7 @@
     def __init__(
         self,
         common: common_module.Common,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
         self.common = common
         settings = common.settings
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -63,7 +63,7 @@
         self,
         machine: machine_module.Machine,
         common: common_module.Common,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
         self.common = common
@@ -187,7 +187,7 @@
         self,
         machine: machine_module.Machine,
         common: common_module.Common,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
     ) -> None:
         # Imported here: an entry has no use for the logs and their disk.
         from mintcleat.main import control_part
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -58,7 +58,7 @@
         self,
         config: Config,
         seconds: float,
-        told: event_ports.Events,
+        told: event_ports.EventReporter,
         policies: dict[str, Any],
     ) -> None:
         self.config = config
--- a/src/mintcleat/ports/events.py
+++ b/src/mintcleat/ports/events.py
@@ -4,18 +4,18 @@
 from typing import Protocol
 
 
-class Events(Protocol):
+class EventReporter(Protocol):
     """Takes events; never blocks and never fails."""
 
     def emit(self, event: Any) -> None:
         """Takes one event of `domain.events`."""
 
 
-class Silent:
+class NullEventReporter:
     """Takes events and keeps none."""
 
     def emit(self, event: Any) -> None:
         """Drops the event."""
 
 
-SILENT = Silent()
+NULL_EVENT_REPORTER = NullEventReporter()
--- a/src/mintcleat/roles/control/configuration/registrar.py
+++ b/src/mintcleat/roles/control/configuration/registrar.py
@@ -28,7 +28,7 @@
 
     machine: machine.ConfigMachine
     timers: timer_ports.Timers
-    events: event_ports.Events
+    events: event_ports.EventReporter
     office: int
 
     def propose(self, command: Any) -> Any:
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -60,7 +60,7 @@
     feed: config_feed.Feed
     streams: stream_ports.Streams
     timers: timer_ports.Timers
-    events: event_ports.Events
+    events: event_ports.EventReporter
     log: log_ports.ReplicatedLog
     office: int
 
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -62,7 +62,7 @@
         timers: timer_ports.Timers,
         replica: machine.ConfigMachine | None = None,
         times: lease.Times = lease.DEFAULT,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
         self.times = times
         self.events = events
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -100,7 +100,7 @@
         options: Options,
         worker: wal_ports.Worker,
         own: types.Member | None = None,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
         worked: Callable[[], None] = lambda: None,
     ) -> None:
         self.worked = worked
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -56,7 +56,7 @@
         options: replication_driver.Options | None = None,
         worker: wal_ports.Worker | None = None,
         own: types.Member | None = None,
-        events: event_ports.Events = event_ports.SILENT,
+        events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
         self.events = events
         self.node = node
--- a/src/mintcleat/roles/control/replication/telling.py
+++ b/src/mintcleat/roles/control/replication/telling.py
@@ -15,7 +15,9 @@
 class Teller:
     """Turns what happens to a replica into events; decides nothing."""
 
-    def __init__(self, events: event_ports.Events, founder: bool) -> None:
+    def __init__(
+        self, events: event_ports.EventReporter, founder: bool
+    ) -> None:
         self.events = events
         self.founder = founder
 
--- a/src/mintcleat/roles/entry/allowances.py
+++ b/src/mintcleat/roles/entry/allowances.py
@@ -43,7 +43,7 @@
         self,
         control: control_ports.Control,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         configuration: Configuration,
     ) -> None:
         self.control = control
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -48,7 +48,7 @@
         streams: streams_port.Streams,
         timers: timers_port.Timers,
         metrics: metrics_port.Metrics,
-        events: events_port.Events = events_port.SILENT,
+        events: events_port.EventReporter = events_port.NULL_EVENT_REPORTER,
     ) -> None:
         self.control = control
         self.directory = directory
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -38,7 +38,7 @@
         upstreams: forwarding.Upstreams,
         turns: turn_keeper.TurnKeeper,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         entry: str,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
--- a/src/mintcleat/roles/entry/identity.py
+++ b/src/mintcleat/roles/entry/identity.py
@@ -55,7 +55,7 @@
         self,
         configuration: Configuration,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
     ) -> None:
         self.configuration = configuration
         self.timers = timers
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -92,7 +92,7 @@
     loads: upstream_loads.UpstreamLoads
     turns: turn_keeper.TurnKeeper
     timers: timer_ports.Timers
-    events: event_ports.Events
+    events: event_ports.EventReporter
 
 
 class RoutedRun:
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_keeper.py
@@ -93,7 +93,7 @@
         control: control_ports.Control,
         allowed: allowances.Allowances,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
     ) -> None:
         self.control = control
         self.allowances = allowed
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -64,7 +64,7 @@
         self,
         configuration: Configuration,
         timers: timer_ports.Timers,
-        events: event_ports.Events,
+        events: event_ports.EventReporter,
         gone: Callable[[str], None],
         entry: str,
         policy: policy_module.Policy = policy_module.DEFAULT,
--- a/testing/fakes/platform_system.py
+++ b/testing/fakes/platform_system.py
@@ -92,7 +92,7 @@
     }
 
 
-class Kept(events.Silent):
+class Kept(events.NullEventReporter):
     """Keeps the events, for tests of what is told."""
 
     def __init__(self) -> None:
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -175,7 +175,7 @@
         super().setUp()
         self.configuration = Configuration()
         self.upstreams = Upstreams()
-        clock, told = timers.EventletTimers(), events.Silent()
+        clock, told = timers.EventletTimers(), events.NullEventReporter()
         allowed = allowances.Allowances(None, clock, told, self.configuration)
         self.gateway = gateway.Gateway(
             self.configuration,
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -46,7 +46,7 @@
     def __init__(self, state: machine.ConfigMachine) -> None:
         self.machine = state
         self.timers = SteppedTimers()
-        self.events = events.Silent()
+        self.events = events.NullEventReporter()
         self.office = 0
         self.index = 0
 
--- a/testing/test_identity.py
+++ b/testing/test_identity.py
@@ -121,7 +121,7 @@
         self.clock = waiting_clock.Clock()
         self.configuration = FakeConfiguration(held, self.clock)
         self.identities = identity.Identities(
-            self.configuration, self.clock, events.Silent()
+            self.configuration, self.clock, events.NullEventReporter()
         )
 
     def test_key_tells_the_customer_and_its_rank(self) -> None:
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -423,7 +423,10 @@
             manifest.Policies(customers=held)
         )
         self.allowances = allowances.Allowances(
-            self.control, self.clock, events.Silent(), self.configuration
+            self.control,
+            self.clock,
+            events.NullEventReporter(),
+            self.configuration,
         )
 
     def test_customer_without_a_limit_costs_control_nothing(self) -> None:
