--- a/src/mintcleat/platform/callers.py
+++ b/src/mintcleat/platform/callers.py
@@ -68,7 +68,9 @@
 class Gateway(Protocol):
     """The entry's way of a request."""
 
-    def handle(self, call: routed.RoutedCall, reply: forwarding.Reply) -> None:
+    def handle(
+        self, call: routed.RoutedCall, reply: forwarding.CallerResponse
+    ) -> None:
         """Answers a request, or raises the refusal."""
 
 
@@ -97,16 +99,16 @@
 
 
 class Answering:
-    """See `ports.forwarding.Reply`."""
+    """See `ports.forwarding.CallerResponse`."""
 
     def __init__(self, reply: http1_server.Reply) -> None:
         self.reply = reply
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def send_whole(self, head: routed.Head, body: bytes) -> None:
         """Sends an upstream's whole answer."""
         self.reply.send(head.status, list(head.headers), body, head.reason)
 
-    def begin(self, head: routed.Head) -> None:
+    def send_head(self, head: routed.Head) -> None:
         """Sends the head of an upstream's answer."""
         self.reply.start(head.status, list(head.headers), head.reason)
 
--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -21,7 +21,7 @@
 
 
 class HttpUpstreams:
-    """See `ports.forwarding.Upstreams`."""
+    """See `ports.forwarding.UpstreamClient`."""
 
     def __init__(self) -> None:
         self.pool = http1_client.Pool()
@@ -53,7 +53,7 @@
 
 
 class HttpAnswer:
-    """See `ports.forwarding.Answer`.
+    """See `ports.forwarding.UpstreamResponse`.
 
     Attributes:
         head: Start of the answer.
@@ -92,9 +92,9 @@
 
     def body(self) -> bytes:
         """Returns the whole body."""
-        return b"".join(self.pieces())
+        return b"".join(self.chunks())
 
-    def pieces(self) -> Iterator[bytes]:
+    def chunks(self) -> Iterator[bytes]:
         """Yields the body as it comes; ends only at its whole end."""
         connection = self.connection
         while True:
--- a/src/mintcleat/ports/forwarding.py
+++ b/src/mintcleat/ports/forwarding.py
@@ -7,7 +7,7 @@
 from mintcleat.domain import routed
 
 
-class Answer(Protocol):
+class UpstreamResponse(Protocol):
     """An upstream's answer whose head has come.
 
     Attributes:
@@ -23,7 +23,7 @@
             errors.StreamClosed: It broke off.
         """
 
-    def pieces(self) -> Iterator[bytes]:
+    def chunks(self) -> Iterator[bytes]:
         """Yields the body as it comes; ends only at its whole end.
 
         Raises:
@@ -34,7 +34,7 @@
         """Gives up what has not come; the upstream stops working on it."""
 
 
-class Upstreams(Protocol):
+class UpstreamClient(Protocol):
     """Sends requests to upstreams in the upstreams' own protocol."""
 
     def send(
@@ -42,7 +42,7 @@
         upstream: member_messages.Registration,
         call: routed.RoutedCall,
         sending: routed.Sending,
-    ) -> Answer:
+    ) -> UpstreamResponse:
         """Sends a request and returns the answer once its head has come.
 
         Raises:
@@ -55,13 +55,13 @@
         """Drops what is kept for a life of an upstream that is over."""
 
 
-class Reply(Protocol):
+class CallerResponse(Protocol):
     """The answer to one caller, in the callers' own protocol."""
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def send_whole(self, head: routed.Head, body: bytes) -> None:
         """Sends an upstream's whole answer."""
 
-    def begin(self, head: routed.Head) -> None:
+    def send_head(self, head: routed.Head) -> None:
         """Sends the head of an upstream's answer."""
 
     def write(self, data: bytes) -> None:
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         configuration: routed_run.Configuration,
-        upstreams: forwarding.Upstreams,
+        upstreams: forwarding.UpstreamClient,
         turns: turn_keeper.TurnKeeper,
         timers: timer_ports.Timers,
         events: event_ports.EventReporter,
@@ -71,7 +71,9 @@
         """Returns what callers may send."""
         return self.configuration.manifest().limits
 
-    def handle(self, call: routed.RoutedCall, reply: forwarding.Reply) -> None:
+    def handle(
+        self, call: routed.RoutedCall, reply: forwarding.CallerResponse
+    ) -> None:
         """Answers a request.
 
         Raises:
--- a/src/mintcleat/roles/entry/routed_answer.py
+++ b/src/mintcleat/roles/entry/routed_answer.py
@@ -70,8 +70,8 @@
 
     def deliver(
         self,
-        answer: forwarding.Answer,
-        reply: forwarding.Reply,
+        answer: forwarding.UpstreamResponse,
+        reply: forwarding.CallerResponse,
         sent_at: float,
         may_repeat: bool,
     ) -> None:
@@ -94,8 +94,8 @@
 
     def _deliver_whole(
         self,
-        answer: forwarding.Answer,
-        reply: forwarding.Reply,
+        answer: forwarding.UpstreamResponse,
+        reply: forwarding.CallerResponse,
         sent_at: float,
         may_repeat: bool,
     ) -> None:
@@ -112,17 +112,19 @@
         if said is evidence.Evidence.WELL:
             self.loads.observe(self.life, self.first - sent_at)
         self.begun = True
-        reply.whole(head, body)
+        reply.send_whole(head, body)
 
     def _deliver_events(
-        self, answer: forwarding.Answer, reply: forwarding.Reply
+        self,
+        answer: forwarding.UpstreamResponse,
+        reply: forwarding.CallerResponse,
     ) -> None:
         if not self.begun:
             self.status = answer.head.status
             self.begun = True
-            reply.begin(answer.head)
+            reply.send_head(answer.head)
         buffer = server_events.EventBuffer()
-        for data in answer.pieces():
+        for data in answer.chunks():
             self.loads.arrived(self.life)
             for event in buffer.feed(data):
                 self._pass_on(event, reply)
@@ -142,7 +144,7 @@
         self.loads.ended(self.life, self.request)
 
     def _pass_on(
-        self, event: server_events.Event, reply: forwarding.Reply
+        self, event: server_events.Event, reply: forwarding.CallerResponse
     ) -> None:
         now = self.timers.now()
         if self.piece_at:
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -88,7 +88,7 @@
     """
 
     configuration: Configuration
-    upstreams: forwarding.Upstreams
+    upstreams: forwarding.UpstreamClient
     loads: upstream_loads.UpstreamLoads
     turns: turn_keeper.TurnKeeper
     timers: timer_ports.Timers
@@ -149,7 +149,7 @@
         """The clock."""
         return self.means.timers.now()
 
-    def serve(self, reply: forwarding.Reply) -> None:
+    def serve(self, reply: forwarding.CallerResponse) -> None:
         """Answers the request within its time."""
         self._tell_taken()
         outcome = "cut"
@@ -213,7 +213,7 @@
 
     # --- Attempts -------------------------------------------------------------
 
-    def _attempt_all(self, reply: forwarding.Reply) -> None:
+    def _attempt_all(self, reply: forwarding.CallerResponse) -> None:
         while True:
             upstream = self._place()
             self.offers += 1
@@ -294,7 +294,9 @@
         return upstream
 
     def _attempt(
-        self, upstream: member_messages.Registration, reply: forwarding.Reply
+        self,
+        upstream: member_messages.Registration,
+        reply: forwarding.CallerResponse,
     ) -> None:
         turn = self.answer.turn
         body = turn.body() if turn else self.call.body
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -166,7 +166,7 @@
     def __init__(self) -> None:
         self.status = 0
 
-    def whole(self, head: routed.Head, body: bytes) -> None:
+    def send_whole(self, head: routed.Head, body: bytes) -> None:
         self.status = head.status
 
 
