--- a/src/mintcleat/main/control_part.py
+++ b/src/mintcleat/main/control_part.py
@@ -119,7 +119,7 @@
 
     def drain(self) -> None:
         """Hands every leadership over, so that no caller waits for a vote."""
-        self.log.hand_over(_HAND_OVER_SECONDS)
+        self.log.transfer_leadership(_HAND_OVER_SECONDS)
 
     def under_way(self) -> int:
         """Returns 0: requests of other roles are repeated elsewhere."""
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -247,7 +247,7 @@
 
     def stop(self, until: float) -> int:
         """Hands every leadership over and ends."""
-        self.part.log.hand_over(_HAND_OVER_SECONDS)
+        self.part.log.transfer_leadership(_HAND_OVER_SECONDS)
         self.listener.close_idle()
         self.part.stop()
         return 0
--- a/src/mintcleat/ports/log.py
+++ b/src/mintcleat/ports/log.py
@@ -96,16 +96,16 @@
     def addresses(self) -> list[str]:
         """Returns the stream addresses of the instances heard lately."""
 
-    def residents(self) -> dict[str, str]:
+    def live_instances(self) -> dict[str, str]:
         """Returns the names of the instances heard lately, with their labels.
 
         This instance is among them.
         """
 
-    def retire(self, instances: frozenset[str]) -> None:
+    def evacuate(self, instances: frozenset[str]) -> None:
         """Keeps groups off these instances and moves those there away."""
 
-    def hand_over(self, timeout: float) -> None:
+    def transfer_leadership(self, timeout: float) -> None:
         """Transfers every leadership before a planned stop."""
 
     def stop(self) -> None:
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -302,7 +302,7 @@
             self.relay.stream.report()
 
     def _on_applied(self) -> None:
-        self.log.retire(self.machine.emptied())
+        self.log.evacuate(self.machine.emptied())
         if not self.leads():
             return
         served = (
--- a/src/mintcleat/roles/control/replication/emptying.py
+++ b/src/mintcleat/roles/control/replication/emptying.py
@@ -35,7 +35,7 @@
         Raises:
             errors.UnknownInstance: None was heard lately.
         """
-        for name, known_as in self.log.residents().items():
+        for name, known_as in self.log.live_instances().items():
             if label in (name, known_as):
                 return name
         raise errors.UnknownInstance(f"No control instance {label}.")
@@ -46,7 +46,7 @@
         Raises:
             errors.TooFewInstances: They could not bear another loss.
         """
-        left = set(self.log.residents()) - emptied - {instance}
+        left = set(self.log.live_instances()) - emptied - {instance}
         if len(left) < MIN_INSTANCES:
             raise errors.TooFewInstances(
                 f"Without {instance} only {len(left)} instances are left, "
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -241,12 +241,12 @@
             return []
         roster = self.driver.core.roster
         found = {self.address}
-        for name in self.residents():
+        for name in self.live_instances():
             if name != self.node.instance:
                 found.add(roster.address(name))
         return sorted(found)
 
-    def residents(self) -> dict[str, str]:
+    def live_instances(self) -> dict[str, str]:
         """Returns the names of the instances heard lately, with labels."""
         if self.driver is None:
             return {}
@@ -258,12 +258,12 @@
             found[member.instance] = member.label
         return found
 
-    def retire(self, instances: frozenset[str]) -> None:
+    def evacuate(self, instances: frozenset[str]) -> None:
         """Keeps groups off these instances and moves those there away."""
         if self.driver is not None:
             self.driver.core.roster.retired = instances
 
-    def hand_over(self, timeout: float) -> None:
+    def transfer_leadership(self, timeout: float) -> None:
         """Transfers every leadership before a planned stop."""
         if self.driver is None or self.driver.failed:
             return
--- a/testing/fakes/control_cluster.py
+++ b/testing/fakes/control_cluster.py
@@ -189,7 +189,7 @@
             return
 
         def stop() -> None:
-            log.hand_over(1.5)
+            log.transfer_leadership(1.5)
             config.stop()
             log.stop()
             if not life.dead:
--- a/testing/fakes/log.py
+++ b/testing/fakes/log.py
@@ -117,14 +117,14 @@
         """Returns the addresses of all replicas."""
         return [replica.address for replica in self.cluster.replicas]
 
-    def residents(self) -> dict[str, str]:
+    def live_instances(self) -> dict[str, str]:
         """Returns the replicas; their names are their addresses."""
         return dict.fromkeys(self.addresses(), "")
 
-    def retire(self, instances: frozenset[str]) -> None:
+    def evacuate(self, instances: frozenset[str]) -> None:
         """Moves nothing: there is one copy of the log."""
 
-    def hand_over(self, timeout: float) -> None:
+    def transfer_leadership(self, timeout: float) -> None:
         """Gives leadership up."""
         if self.cluster.leader == self.address:
             self.cluster.leader = ""
--- a/testing/test_replication.py
+++ b/testing/test_replication.py
@@ -335,7 +335,7 @@
     def test_handed_over_leadership_needs_no_timeout(self) -> None:
         leader = self.leader()
         self.write(b"before")
-        leader.log.hand_over(5.0)
+        leader.log.transfer_leadership(5.0)
         other = self.leader()
         self.assertIsNot(leader, other)
         other.log.propose("g", b"after", 2.0)
