--- a/src/mintcleat/adapters/disk_thread.py
+++ b/src/mintcleat/adapters/disk_thread.py
@@ -21,7 +21,7 @@
 
 
 class DiskThread:
-    """Runs calls in order on one thread; see `ports.wal.Worker`.
+    """Runs calls in order on one thread; see `ports.wal.DiskWorker`.
 
     Attributes:
         jobs: Calls that wait for the thread.
@@ -78,7 +78,7 @@
                 return
             self._work(job)
 
-    def waits(self) -> bool:
+    def blocks_caller(self) -> bool:
         """Returns False: only the calling green thread waits."""
         return False
 
--- a/src/mintcleat/ports/wal.py
+++ b/src/mintcleat/ports/wal.py
@@ -89,7 +89,7 @@
         """Syncs and closes the files."""
 
 
-class Worker(Protocol):
+class DiskWorker(Protocol):
     """Runs calls of the disk one after the other."""
 
     def run(self, function: Callable[..., Any], *args: Any) -> Any:
@@ -102,7 +102,7 @@
     def pause(self) -> None:
         """Lets other work go on in the middle of a long call."""
 
-    def waits(self) -> bool:
+    def blocks_caller(self) -> bool:
         """Tells whether the caller's whole thread waits in `run`."""
 
     def close(self) -> None:
@@ -115,7 +115,7 @@
     def __init__(self, pause: Callable[[], None] = lambda: None) -> None:
         self.pause = pause
 
-    def waits(self) -> bool:
+    def blocks_caller(self) -> bool:
         """Returns True."""
         return True
 
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -98,7 +98,7 @@
         links: replication_links.Links,
         timers: timer_ports.Timers,
         options: Options,
-        worker: wal_ports.Worker,
+        worker: wal_ports.DiskWorker,
         own: types.Member | None = None,
         events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
         worked: Callable[[], None] = lambda: None,
@@ -248,7 +248,7 @@
         self.unsynced.append(Unsynced(box, ends))
         if not self.persisting:
             self.persisting = True
-            if self.worker.waits():
+            if self.worker.blocks_caller():
                 self._persist()
             else:
                 self.timers.spawn(self._persist)
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -54,7 +54,7 @@
         streams: stream_ports.Streams,
         timers: timer_ports.Timers,
         options: replication_driver.Options | None = None,
-        worker: wal_ports.Worker | None = None,
+        worker: wal_ports.DiskWorker | None = None,
         own: types.Member | None = None,
         events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
--- a/src/mintcleat/roles/control/replication/snapshots.py
+++ b/src/mintcleat/roles/control/replication/snapshots.py
@@ -74,7 +74,7 @@
         *,
         guarded: Callable[[], AbstractContextManager[None]],
         saved: Callable[[], None],
-        worker: wal_ports.Worker,
+        worker: wal_ports.DiskWorker,
     ) -> None:
         self.worker = worker
         self.wal = wal
--- a/testing/fakes/virtual_disk.py
+++ b/testing/fakes/virtual_disk.py
@@ -183,7 +183,7 @@
         while self.jobs:
             self._work(self.jobs.popleft())
 
-    def waits(self) -> bool:
+    def blocks_caller(self) -> bool:
         return False
 
     def close(self) -> None:
