--- a/src/mintcleat/adapters/engine_http.py
+++ b/src/mintcleat/adapters/engine_http.py
@@ -73,7 +73,7 @@
 
     def run(
         self, call: upstream.EngineCall
-    ) -> Iterator[upstream.Piece | upstream.End]:
+    ) -> Iterator[upstream.TextChunk | upstream.End]:
         """Runs a call as a stream of server-sent events."""
         headers = {
             "Content-Type": "application/json",
@@ -93,7 +93,7 @@
 
     def resume(
         self, request: str, offset: int
-    ) -> Iterator[upstream.Piece | upstream.End]:
+    ) -> Iterator[upstream.TextChunk | upstream.End]:
         """Follows a running call again, from a character offset."""
         response = http_errors.request(
             self.pool,
@@ -114,7 +114,7 @@
             f"events?after={after}&wait={wait}", upstream.CacheEvents, wait
         )
 
-    def listing(self) -> upstream.CacheListing:
+    def cache_listing(self) -> upstream.CacheListing:
         """Returns everything that the cache holds."""
         return self._get("cache", upstream.CacheListing)
 
@@ -122,11 +122,11 @@
         """Frees what the programs hold."""
         self._post("release", {"programs": programs})
 
-    def shorten(self, program: str, keep: int) -> None:
+    def truncate(self, program: str, keep: int) -> None:
         """Frees what a program holds beyond its first `keep` tokens."""
         self._post("shorten", {"program": program, "keep": keep})
 
-    def hold(self, program: str) -> None:
+    def pin(self, program: str) -> None:
         """Keeps a program's cache from eviction until it is released."""
         self._post("hold", {"program": program})
 
@@ -138,9 +138,9 @@
         """Takes in a cache that another engine exported."""
         self._call("POST", "import", exported)
 
-    def order(self, fence: int, action: str, model: str) -> None:
+    def order(self, fencing_token: int, action: str, model: str) -> None:
         """Carries out an order."""
-        body = {"fence": fence, "action": action, "model": model}
+        body = {"fence": fencing_token, "action": action, "model": model}
         self._post("orders", body, _ORDER_SECONDS)
 
     def _get(self, path: str, kind: type, extra: float = 0.0) -> Any:
@@ -168,7 +168,7 @@
 
     def _events(
         self, response: urllib3.BaseHTTPResponse, offset: int
-    ) -> Iterator[upstream.Piece | upstream.End]:
+    ) -> Iterator[upstream.TextChunk | upstream.End]:
         if response.status != _OK:
             data = response.read()
             check_status(response.status, data)
@@ -177,7 +177,7 @@
 
 def read_events(
     response: urllib3.BaseHTTPResponse, offset: int
-) -> Iterator[upstream.Piece | upstream.End]:
+) -> Iterator[upstream.TextChunk | upstream.End]:
     """Yields the pieces of a stream and its end.
 
     The engine's `[DONE]` is the only proof that an answer is whole; a stream
@@ -204,7 +204,7 @@
                 text = choice.get("delta", {}).get("content")
                 if text:
                     received += len(text)
-                    yield upstream.Piece(text)
+                    yield upstream.TextChunk(text)
     except exceptions.HTTPError as error:
         raise http_errors.translate(error) from error
     except msgspec.DecodeError as error:
--- a/src/mintcleat/ports/upstream.py
+++ b/src/mintcleat/ports/upstream.py
@@ -53,7 +53,7 @@
     priority: int = 0
 
 
-class Piece(NamedTuple):
+class TextChunk(NamedTuple):
     """Text that the engine generated next."""
 
     text: str
@@ -113,10 +113,10 @@
     def load(self) -> EngineLoad:
         """Returns the engine's own load report."""
 
-    def run(self, call: EngineCall) -> Iterator[Piece | End]:
+    def run(self, call: EngineCall) -> Iterator[TextChunk | End]:
         """Runs a call; the answer is whole only once `End` came."""
 
-    def resume(self, request: str, offset: int) -> Iterator[Piece | End]:
+    def resume(self, request: str, offset: int) -> Iterator[TextChunk | End]:
         """Follows a running call again, from a character offset."""
 
     def cancel(self, request: str) -> None:
@@ -125,16 +125,16 @@
     def events(self, after: int, wait: float) -> CacheEvents:
         """Returns cache events above `after`; waits up to `wait` seconds."""
 
-    def listing(self) -> CacheListing:
+    def cache_listing(self) -> CacheListing:
         """Returns everything that the cache holds."""
 
     def release(self, programs: list[str]) -> None:
         """Frees what the programs hold."""
 
-    def shorten(self, program: str, keep: int) -> None:
+    def truncate(self, program: str, keep: int) -> None:
         """Frees what a program holds beyond its first `keep` tokens."""
 
-    def hold(self, program: str) -> None:
+    def pin(self, program: str) -> None:
         """Keeps a program's cache from eviction until it is released."""
 
     def export_cache(self, program: str) -> bytes:
@@ -143,7 +143,7 @@
     def import_cache(self, exported: bytes) -> None:
         """Takes in a cache that another engine exported."""
 
-    def order(self, fence: int, action: str, model: str) -> None:
+    def order(self, fencing_token: int, action: str, model: str) -> None:
         """Carries out an order.
 
         Raises:
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -213,7 +213,7 @@
         """Frees everything, for a planned stop."""
         self.stopped = True
         try:
-            self.ledger.mend(self.engine.listing())
+            self.ledger.mend(self.engine.cache_listing())
         except errors.MintcleatError as error:
             logger.info("No listing at the stop: {}", error.detail)
         self.release(list(self.ledger.tokens))
@@ -232,7 +232,7 @@
 
     def _shorten(self, program: str, keep: int) -> None:
         try:
-            self.engine.shorten(program, keep)
+            self.engine.truncate(program, keep)
         except errors.MintcleatError as error:
             logger.info("{} is not shortened: {}", program, error.detail)
             return
@@ -255,7 +255,7 @@
 
     def _follow(self) -> None:
         if self.ledger.unsure:
-            self.ledger.mend(self.engine.listing())
+            self.ledger.mend(self.engine.cache_listing())
         events = self.engine.events(self.ledger.seq, _EVENT_WAIT)
         self.ledger.take(events)
         # Late events may still come; a listing at each of them would cost
--- a/src/mintcleat/roles/sidecar/run.py
+++ b/src/mintcleat/roles/sidecar/run.py
@@ -179,7 +179,7 @@
     def _take_all(
         self,
         attempt: sidecar_attempts.Attempt,
-        stream: Iterator[upstream_port.Piece | upstream_port.End],
+        stream: Iterator[upstream_port.TextChunk | upstream_port.End],
     ) -> upstream_port.End:
         """Adds every piece to the attempt and returns the engine's end.
 
@@ -188,7 +188,7 @@
         """
         for item in stream:
             match item:
-                case upstream_port.Piece(text):
+                case upstream_port.TextChunk(text):
                     if not attempt.first:
                         attempt.first = self.timers.now()
                         self.admission.first_token(attempt)
--- a/src/mintcleat/standins/cache.py
+++ b/src/mintcleat/standins/cache.py
@@ -95,7 +95,7 @@
             self._tell("released", program)
         return before - self.used
 
-    def shorten(self, program: str, keep: int) -> None:
+    def truncate(self, program: str, keep: int) -> None:
         """Drops the end of a program's history beyond `keep` tokens."""
         # In order of use, a later message lies before those it follows.
         for address, block in list(self.blocks.items()):
--- a/src/mintcleat/standins/engine.py
+++ b/src/mintcleat/standins/engine.py
@@ -255,7 +255,7 @@
                 freed = sum(map(self.cache.release, fields["programs"]))
                 return http.reply_json(start_response, {"freed": freed})
             case "shorten":
-                self.cache.shorten(fields["program"], fields["keep"])
+                self.cache.truncate(fields["program"], fields["keep"])
                 return http.reply_json(start_response, {})
             case "hold":
                 self.cache.held.add(fields["program"])
--- a/testing/test_sidecar_memory.py
+++ b/testing/test_sidecar_memory.py
@@ -179,6 +179,6 @@
         said = [service_rig.user(f"{n}" * 100) for n in range(4)]
         blocks.store("p", said)
         one = cache.count_tokens(said[0])
-        blocks.shorten("p", 2 * one)
+        blocks.truncate("p", 2 * one)
         self.assertEqual(2 * one, blocks.cached(said))
         self.assertEqual(2 * one, blocks.used)
