--- a/src/mintcleat/ports/control.py
+++ b/src/mintcleat/ports/control.py
@@ -27,7 +27,7 @@
             errors.MintcleatError: The group's refusal, or no leader answered.
         """
 
-    def gone(
+    def ended_programs(
         self,
         sidecar: identities.Incarnation,
         programs: list[str],
--- a/src/mintcleat/roles/control_client.py
+++ b/src/mintcleat/roles/control_client.py
@@ -224,7 +224,7 @@
         """Returns a page of one group's programs."""
         return self._ask_group(message.group, message, timeout)
 
-    def gone(
+    def ended_programs(
         self,
         sidecar: identities.Incarnation,
         programs: list[str],
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -184,7 +184,7 @@
         programs = list(self.ledger.tokens)
         for start in range(0, len(programs), _RENEW_BATCH):
             batch = programs[start : start + _RENEW_BATCH]
-            gone = self.control.gone(self.node, batch, _ASK_SECONDS)
+            gone = self.control.ended_programs(self.node, batch, _ASK_SECONDS)
             for program in gone:
                 self.keeper.gone(program)
                 self.exports.pop(program)
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -43,7 +43,7 @@
         self.heard.append(message)
         return identities.Done()
 
-    def gone(
+    def ended_programs(
         self,
         sidecar: identities.Incarnation,
         programs: list[str],
--- a/testing/test_control_client.py
+++ b/testing/test_control_client.py
@@ -268,4 +268,6 @@
 
         client = self.client(script)
         expected = {n for n in names if placement.group_of(n, 4) != silent}
-        self.assertEqual(expected, set(client.gone(SIDECAR, names, 0.1)))
+        self.assertEqual(
+            expected, set(client.ended_programs(SIDECAR, names, 0.1))
+        )
