--- a/bench/config_rig.py
+++ b/bench/config_rig.py
@@ -173,7 +173,7 @@
 def look(recorder: Recorder, started: list[follower.Follower]) -> None:
     """Counts the nodes that have a manifest and no lease at this moment."""
     recorder.leaseless += sum(
-        node.revision() > 0 and not node.in_lease() for node in started
+        node.revision() > 0 and not node.has_lease() for node in started
     )
 
 
--- a/src/mintcleat/adapters/timers.py
+++ b/src/mintcleat/adapters/timers.py
@@ -39,7 +39,7 @@
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Returns seconds since 1970."""
         return time.time()
 
@@ -122,7 +122,7 @@
         """Returns virtual monotonic seconds."""
         return self.clock
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Returns virtual seconds since 1970."""
         return self.clock
 
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -100,7 +100,7 @@
 
     def _watch_control(self) -> None:
         """Tells when the lease on the configuration is lost or back."""
-        held = self.follower.in_lease()
+        held = self.follower.has_lease()
         if held == self.held_lease:
             return
         self.held_lease = held
--- a/src/mintcleat/ports/directory.py
+++ b/src/mintcleat/ports/directory.py
@@ -16,7 +16,7 @@
     def revision(self) -> int:
         """Returns the revision applied here; 0 before the first."""
 
-    def in_lease(self) -> bool:
+    def has_lease(self) -> bool:
         """Tells whether new work may be taken on this revision."""
 
     def members(self, service: str) -> list[member_messages.Announcement]:
--- a/src/mintcleat/ports/timers.py
+++ b/src/mintcleat/ports/timers.py
@@ -17,7 +17,7 @@
     def now(self) -> float:
         """Returns monotonic seconds; never goes back."""
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Returns seconds since 1970, for records that people read."""
 
     def after(
--- a/src/mintcleat/roles/control/configuration/feed.py
+++ b/src/mintcleat/roles/control/configuration/feed.py
@@ -177,7 +177,7 @@
     def nodes(self) -> list[operator_messages.NodeStatus]:
         """Returns what is known of each node."""
         now = self.timers.now()
-        wall = self.timers.wall()
+        wall = self.timers.wall_time()
         found = []
         for status in self.statuses.values():
             follow = status.follow
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -278,7 +278,7 @@
         control instance still renews the old revision to its nodes.
         """
         self.dated_at = self.timers.now()
-        self.dated = max(self.timers.wall(), self.machine.office.at)
+        self.dated = max(self.timers.wall_time(), self.machine.office.at)
         try:
             command = commands.TakeOffice(self.node.instance, self.dated)
             office = self.propose(command)
--- a/src/mintcleat/roles/control/programs/service.py
+++ b/src/mintcleat/roles/control/programs/service.py
@@ -225,7 +225,7 @@
 
     def _commit(self, group: str, requests: list[Any]) -> list[Any]:
         command = commands.Command(
-            self.clocks[group].read(), self.timers.wall(), requests
+            self.clocks[group].read(), self.timers.wall_time(), requests
         )
         try:
             return self.log.propose(
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -75,7 +75,7 @@
 
     def ready(self) -> bool:
         """Tells the balancer whether this entry takes new work."""
-        return not self.leaving and self.directory.in_lease()
+        return not self.leaving and self.directory.has_lease()
 
     def models(self) -> list[str]:
         """Returns the names of the model services."""
@@ -291,7 +291,7 @@
         """
         if self.draining:
             return errors.Draining("This entry is stopping.")
-        if self.directory.in_lease():
+        if self.directory.has_lease():
             return None
         policy = self.directory.manifest().policies.stale_lease
         if idempotent_service and policy == "serve":
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -65,7 +65,7 @@
         # Without a lease, turns can't be recorded here while others can; the
         # balancer uses every entry anyway when too few are ready. It moves no
         # open connection: a caller that keeps one would be refused on it again.
-        return not self.draining and self.configuration.in_lease()
+        return not self.draining and self.configuration.has_lease()
 
     def limits(self) -> manifest.Limits:
         """Returns what callers may send."""
@@ -127,7 +127,7 @@
             self.table_of = current
         match = self.table.find(call.host, call.path)
         if match is None:
-            if not configuration.in_lease():
+            if not configuration.has_lease():
                 # A route that was added since can't be told from none.
                 raise errors.LeaseExpired(
                     "No route is known, and the configuration may be old.",
@@ -143,7 +143,7 @@
         second. Between them keys can't be told and turns can't be recorded.
         """
         self.informed = self.informed or (
-            self.configuration.revision() > 0 and self.configuration.in_lease()
+            self.configuration.revision() > 0 and self.configuration.has_lease()
         )
         return self.informed
 
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -113,7 +113,7 @@
         """Returns the revision applied here; 0 before the first."""
         return self.current_revision
 
-    def in_lease(self) -> bool:
+    def has_lease(self) -> bool:
         """Tells whether new work may be taken on this revision."""
         return self.lease_left() > 0
 
--- a/src/mintcleat/roles/sidecar/presence.py
+++ b/src/mintcleat/roles/sidecar/presence.py
@@ -167,7 +167,7 @@
             return errors.NoUpstream(f"The upstream here is {state}.")
         if self.directory.quarantined(asked.digest):
             return errors.Quarantined("Upstreams crashed on this request.")
-        if not self.directory.in_lease() and not self._serves_stale(asked):
+        if not self.directory.has_lease() and not self._serves_stale(asked):
             return errors.LeaseExpired("The configuration here is too old.")
         return None
 
--- a/testing/fakes/config_cluster.py
+++ b/testing/fakes/config_cluster.py
@@ -40,8 +40,8 @@
     def __init__(self) -> None:
         self.skew = 0.0
 
-    def wall(self) -> float:
-        return super().wall() + self.skew
+    def wall_time(self) -> float:
+        return super().wall_time() + self.skew
 
 
 class Cluster:
--- a/testing/fakes/control_cluster.py
+++ b/testing/fakes/control_cluster.py
@@ -111,7 +111,7 @@
         streams = virtual_net.VirtualStreams(
             cluster.network, self.address, life
         )
-        node = identities.Incarnation(self.name, int(timers.wall() * 1e9))
+        node = identities.Incarnation(self.name, int(timers.wall_time() * 1e9))
         own = types.Member(self.name, self.address, self.domain, "r", self.name)
         self.log = replication.GroupLog(
             node,
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -77,7 +77,7 @@
     def revision(self) -> int:
         return 1
 
-    def in_lease(self) -> bool:
+    def has_lease(self) -> bool:
         return self.lease
 
     def members(self, service: str) -> list[member_messages.Announcement]:
--- a/testing/fakes/virtual_time.py
+++ b/testing/fakes/virtual_time.py
@@ -133,7 +133,7 @@
     def now(self) -> float:
         return hubs.get_hub().time
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return self.now() + self.skew
 
     def sleep(self, seconds: float) -> None:
--- a/testing/fakes/waiting_clock.py
+++ b/testing/fakes/waiting_clock.py
@@ -18,7 +18,7 @@
         """Returns the time."""
         return self.at
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Returns the time."""
         return self.at
 
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -103,7 +103,7 @@
     def revision(self) -> int:
         return self.known
 
-    def in_lease(self) -> bool:
+    def has_lease(self) -> bool:
         return True
 
     def lease_left(self) -> float:
--- a/testing/test_config_history.py
+++ b/testing/test_config_history.py
@@ -167,7 +167,7 @@
             if not revision or newer is None:
                 continue
             self.check_keys(name, node, newer)
-            if not node.in_lease():
+            if not node.has_lease():
                 continue
             if now > newer + lease.MAX_LEASE + config_links.STEP:
                 late = now - newer
@@ -205,7 +205,7 @@
             held = {node.revision() for node in history.live.values()}
             self.assertEqual({newest}, held, f"seed {seed}")
             for node in history.live.values():
-                self.assertTrue(node.in_lease(), f"seed {seed}")
+                self.assertTrue(node.has_lease(), f"seed {seed}")
             accepted += newest
         # The walk must not have been idle.
         self.assertTrue(accepted > SEEDS * 3, accepted)
--- a/testing/test_config_service.py
+++ b/testing/test_config_service.py
@@ -16,7 +16,7 @@
         answer = cluster.control[1].ask(config_cluster.push(0, "1", "anna"))
         self.assertEqual(1, answer.revision)
         cluster.until(lambda: all(node.revision() == 1 for node in nodes))
-        cluster.until(lambda: all(node.in_lease() for node in nodes))
+        cluster.until(lambda: all(node.has_lease() for node in nodes))
         service = nodes[0].manifest().services["chat"]
         self.assertEqual("1", service.version)
         shown = cluster.control[2].ask(operator_messages.ShowInstances())
@@ -85,7 +85,7 @@
         ]
         names = [*lost[:4], "other-1", "other-2", "other-3", "other-4"]
         nodes = [cluster.node(name) for name in names]
-        cluster.until(lambda: all(node.in_lease() for node in nodes))
+        cluster.until(lambda: all(node.has_lease() for node in nodes))
         # Nodes that started before their instance had anything to give come
         # back to it.
         cluster.until(
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -36,7 +36,7 @@
         super().__init__()
         self.step = 0.0
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         return self.clock + self.step
 
 
@@ -55,7 +55,7 @@
         return self.machine.apply(self.index, commands.encode(command))
 
     def date(self) -> float:
-        return self.timers.wall()
+        return self.timers.wall_time()
 
 
 class LeaderTest(testtools.TestCase):
--- a/testing/test_follower.py
+++ b/testing/test_follower.py
@@ -26,9 +26,9 @@
         served = {node.stream.address for node in nodes}
         self.assertEqual(3, len(served))
         self.assertEqual({1}, {node.revision() for node in nodes})
-        self.assertTrue(all(node.in_lease() for node in nodes))
+        self.assertTrue(all(node.has_lease() for node in nodes))
         self.timers.advance(20.0)
-        self.assertTrue(all(node.in_lease() for node in nodes))
+        self.assertTrue(all(node.has_lease() for node in nodes))
 
     def test_push_on_the_other_side_waits_for_the_cut_off_leader(self) -> None:
         """The leader and one node are cut off; a new leader takes a push.
@@ -48,7 +48,7 @@
         self.timers.every(
             0.05,
             lambda: seen.append(
-                {node.revision() for node in (old, new) if node.in_lease()}
+                {node.revision() for node in (old, new) if node.has_lease()}
             ),
         )
         self.assertEqual(2, self.cluster.push(2, 1, "2"))
@@ -57,14 +57,14 @@
         )
         self.timers.advance(5.0)
         self.assertTrue(all(len(revisions) <= 1 for revisions in seen), seen)
-        self.assertFalse(old.in_lease())
+        self.assertFalse(old.has_lease())
         self.assertEqual("1", self.version(old))
         self.assertEqual("2", self.version(new))
         self.cluster.network.cut_off = set()
         self.cluster.log.heal()
         self.timers.advance(5.0)
         self.assertEqual("2", self.version(old))
-        self.assertTrue(old.in_lease())
+        self.assertTrue(old.has_lease())
 
     def test_node_behind_a_cut_off_relay_moves_before_its_lease_ends(
         self,
@@ -82,7 +82,7 @@
         self.cluster.network.cut_off = {"control-2"}
         for _ in range(200):
             self.timers.advance(0.05)
-            self.assertTrue(all(node.in_lease() for node in nodes))
+            self.assertTrue(all(node.has_lease() for node in nodes))
         self.assertNotIn("control-2", {n.stream.address for n in nodes})
 
     def test_cut_off_relay_and_node_are_out_of_lease_in_four_seconds(
@@ -101,7 +101,7 @@
         self.timers.advance(lease.MAX_LEASE - 1.0)
         self.assertTrue(node.lease.expires > 0)
         self.timers.advance(1.0)
-        self.assertFalse(node.in_lease())
+        self.assertFalse(node.has_lease())
 
     def test_nodes_that_cannot_be_asked_are_not_taken_for_up_to_date(
         self,
@@ -155,7 +155,7 @@
                         "control-1" if old == "control-0" else "control-0"
                     )
                 self.timers.advance(0.05)
-                held = [node.in_lease() for node in nodes]
+                held = [node.has_lease() for node in nodes]
                 self.assertTrue(all(held), (phase, step, held))
             self.cluster.network.cut_off = set()
             self.cluster.log.heal()
@@ -178,11 +178,11 @@
             self.timers.advance(0.05)
             seen.add(node.revision())
         self.assertEqual({0}, seen)
-        self.assertFalse(node.in_lease())
+        self.assertFalse(node.has_lease())
         self.cluster.network.cut_off = {"control-2"}
         self.timers.advance(5.0)
         self.assertEqual(2, node.revision())
-        self.assertTrue(node.in_lease())
+        self.assertTrue(node.has_lease())
 
     def test_node_500_revisions_behind_gets_one_update(self) -> None:
         """A node is cut off while 500 pushes pass it by."""
--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -174,7 +174,7 @@
         self.assertTrue(self.system.entry.gateway.ready())
         self.system.control_common.streams.stop()
         with eventlet.Timeout(platform_system.ANSWER_SECONDS):
-            while follower.in_lease():
+            while follower.has_lease():
                 eventlet.sleep(0.05)
         self.assertFalse(self.system.entry.gateway.ready())
         self.system.told.events.clear()
@@ -190,7 +190,7 @@
         # the loss and the next look kept its caller, who was refused again.
         follower = self.system.entry.follower
         for held in (True, False) * 20:
-            follower.in_lease = lambda held=held: held
+            follower.has_lease = lambda held=held: held
             headers = self.get(api_key=FARMERS).headers
             self.assertEqual(held, "connection" not in headers)
 
@@ -207,7 +207,7 @@
         def granted() -> float:
             return follower.timers.now() - now - 0.2
 
-        follower.in_lease = lambda: granted() > 0
+        follower.has_lease = lambda: granted() > 0
         follower.key_seconds = granted
         self.assertEqual(200, self.get(api_key=FARMERS).status)
 
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -120,7 +120,7 @@
 
     def date(self) -> float:
         """The wall clock of a play is not stepped."""
-        return self.timers.wall()
+        return self.timers.wall_time()
 
     def propose(self, command: Any) -> Any:
         """Commits at once."""
@@ -135,7 +135,7 @@
     def take_office(self) -> None:
         """Leads from now on."""
         self.log.cluster.elect(self.log.address)
-        command = commands.TakeOffice(self.log.address, self.timers.wall())
+        command = commands.TakeOffice(self.log.address, self.timers.wall_time())
         self.office = self.propose(command).number
 
 
@@ -178,7 +178,7 @@
                 "anna",
                 "test",
                 version,
-                self.timers.wall(),
+                self.timers.wall_time(),
             )
         )
 
--- a/testing/test_transfer.py
+++ b/testing/test_transfer.py
@@ -137,7 +137,7 @@
         return Exchange(self, self.feeds[address], first)
 
     def ended(self) -> None:
-        if self.node.revision() and self.node.in_lease():
+        if self.node.revision() and self.node.has_lease():
             self.node.stream.stop()
 
     def start(self) -> float:
