--- a/src/mintcleat/adapters/caller_http.py
+++ b/src/mintcleat/adapters/caller_http.py
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        calls: calls_port.Calls,
+        calls: calls_port.EntryApi,
         metrics: metrics_module.PrometheusMetrics,
     ) -> None:
         self.calls = calls
@@ -111,13 +111,13 @@
             case "GET", "metrics":
                 return self._scrape(start)
             case _, "v1", *rest:
-                calls = self.calls.as_caller(bearer_key(environ), request_id)
+                calls = self.calls.authenticate(bearer_key(environ), request_id)
                 return self._serve(calls, rest, environ, start, request_id)
         raise no_such_path(environ)
 
     def _serve(
         self,
-        calls: calls_port.Calls,
+        calls: calls_port.EntryApi,
         rest: list[str],
         environ: http_request.Environ,
         start: StartResponse,
@@ -154,7 +154,7 @@
         return [body]
 
     def _models(
-        self, calls: calls_port.Calls, start: StartResponse
+        self, calls: calls_port.EntryApi, start: StartResponse
     ) -> Iterable[bytes]:
         models = [
             {"id": name, "object": "model", "owned_by": "mintcleat"}
@@ -164,7 +164,7 @@
 
     def _create(
         self,
-        calls: calls_port.Calls,
+        calls: calls_port.EntryApi,
         environ: http_request.Environ,
         start: StartResponse,
     ) -> Iterable[bytes]:
@@ -174,7 +174,7 @@
 
     def _chat(
         self,
-        calls: calls_port.Calls,
+        calls: calls_port.EntryApi,
         environ: http_request.Environ,
         start: StartResponse,
         request_id: str,
@@ -194,7 +194,7 @@
 
     def _service(
         self,
-        calls: calls_port.Calls,
+        calls: calls_port.EntryApi,
         environ: http_request.Environ,
         start: StartResponse,
         request_id: str,
--- a/src/mintcleat/ports/calls.py
+++ b/src/mintcleat/ports/calls.py
@@ -7,10 +7,10 @@
 from mintcleat.domain import requests
 
 
-class Calls(Protocol):
+class EntryApi(Protocol):
     """The entry; every method raises typed errors."""
 
-    def as_caller(self, key: str, request: str) -> "Calls":
+    def authenticate(self, key: str, request: str) -> "EntryApi":
         """Returns the entry as the holder of a key may use it.
 
         Args:
--- a/src/mintcleat/roles/entry/customer_calls.py
+++ b/src/mintcleat/roles/entry/customer_calls.py
@@ -14,7 +14,7 @@
 _CUSTOMER = "mintcleat-customer"
 
 
-class Calls(calls_port.Calls, Protocol):
+class Calls(calls_port.EntryApi, Protocol):
     """The entry for any customer."""
 
     def view_program(self, program: str) -> program_messages.ProgramView:
@@ -22,7 +22,7 @@
 
 
 class CustomerCalls:
-    """Implements `ports.calls.Calls` for a customer that showed its key.
+    """Implements `ports.calls.EntryApi` for a customer that showed its key.
 
     What a request says itself of its customer counts nothing, and another
     customer's program is one that never was.
@@ -35,7 +35,7 @@
         self.allowances = allowed
         self.customer = customer
 
-    def as_caller(self, key: str, request: str) -> "CustomerCalls":
+    def authenticate(self, key: str, request: str) -> "CustomerCalls":
         """Returns itself: who calls is decided once."""
         return self
 
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -111,7 +111,7 @@
         )
         return self._remember(self._ask(create.program, create))
 
-    def as_caller(self, key: str, request: str) -> calls_port.Calls:
+    def authenticate(self, key: str, request: str) -> calls_port.EntryApi:
         """Returns the entry as the holder of a key may use it.
 
         Args:
