--- a/bench/programs.py
+++ b/bench/programs.py
@@ -123,14 +123,14 @@
 def measure(programs: int, turns: int, folder: pathlib.Path) -> Row:
     """Measures one size with histories in files."""
     timed = machine.ProgramMachine(
-        file_histories.FileHistories(folder / f"timed-{programs}")
+        file_histories.FileHistoryStore(folder / f"timed-{programs}")
     )
     pair = fill(timed, programs, turns)
     started = time.process_time()
     state = timed.snapshot()
     snapshot = time.process_time() - started
     copy = machine.ProgramMachine(
-        file_histories.FileHistories(folder / f"copy-{programs}")
+        file_histories.FileHistoryStore(folder / f"copy-{programs}")
     )
     started = time.process_time()
     copy.restore(state)
@@ -149,7 +149,7 @@
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    group = machine.ProgramMachine(file_histories.FileHistories(folder))
+    group = machine.ProgramMachine(file_histories.FileHistoryStore(folder))
     fill(group, programs, turns)
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - before
@@ -182,7 +182,7 @@
             timer_service,
             groups,
             manifest.Policies,
-            histories=lambda group: file_histories.FileHistories(
+            histories=lambda group: file_histories.FileHistoryStore(
                 folder / group
             ),
         )
--- a/src/mintcleat/adapters/histories.py
+++ b/src/mintcleat/adapters/histories.py
@@ -70,8 +70,8 @@
         self.path.unlink(missing_ok=True)
 
 
-class FileHistories:
-    """Records of one group in a folder; see `ports.histories.Histories`.
+class FileHistoryStore:
+    """Records of one group in a folder; see `ports.histories.HistoryStore`.
 
     Attributes:
         segments: Files by number; the largest number is written to.
--- a/src/mintcleat/main/control_part.py
+++ b/src/mintcleat/main/control_part.py
@@ -146,8 +146,8 @@
         """Returns the policies in force as this instance knows them."""
         return self.config.machine.document.manifest().policies
 
-    def _histories(self, group: str) -> histories.FileHistories:
-        return histories.FileHistories(self.folder / "histories" / group)
+    def _histories(self, group: str) -> histories.FileHistoryStore:
+        return histories.FileHistoryStore(self.folder / "histories" / group)
 
     def _control_addresses(self) -> list[str]:
         """Returns every control instance's address, this one included.
--- a/src/mintcleat/ports/histories.py
+++ b/src/mintcleat/ports/histories.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 
-class Histories(Protocol):
+class HistoryStore(Protocol):
     """Append-only sequences of records by name, for one group.
 
     It holds no state of its own: the replicated log and its snapshots are
--- a/src/mintcleat/programs/histories.py
+++ b/src/mintcleat/programs/histories.py
@@ -16,8 +16,8 @@
     return msgspec.convert(msgpack.unpackb(record), records.TurnRecord)
 
 
-class MemoryHistories:
-    """Records in memory, for tests; see `ports.histories.Histories`."""
+class MemoryHistoryStore:
+    """Records in memory, for tests; see `ports.histories.HistoryStore`."""
 
     def __init__(self) -> None:
         self.records: dict[str, list[bytes]] = {}
--- a/src/mintcleat/programs/state.py
+++ b/src/mintcleat/programs/state.py
@@ -30,9 +30,9 @@
         """Creates an empty group.
 
         Args:
-            store: A `ports.histories.Histories`; in memory when None.
+            store: A `ports.histories.HistoryStore`; in memory when None.
         """
-        self.histories = store or histories.MemoryHistories()
+        self.histories = store or histories.MemoryHistoryStore()
         self.clear()
 
     def clear(self) -> None:
--- a/src/mintcleat/roles/control/programs/service.py
+++ b/src/mintcleat/roles/control/programs/service.py
@@ -91,7 +91,7 @@
             timer_service: Clocks and the retention tick.
             groups: Names of all program groups.
             policies: Returns the policies in force.
-            histories: Makes the `ports.histories.Histories` of a group;
+            histories: Makes the `ports.histories.HistoryStore` of a group;
                 in memory when it returns None.
         """
         self.log = replicated_log
--- a/testing/test_programs_histories.py
+++ b/testing/test_programs_histories.py
@@ -33,8 +33,8 @@
 def test_files_hold_what_memory_holds(
     tmp_path: pathlib.Path, steps: list[tuple[str, str, bytes]]
 ) -> None:
-    files = histories.FileHistories(tmp_path, segment_bytes=200)
-    plain = memory.MemoryHistories()
+    files = histories.FileHistoryStore(tmp_path, segment_bytes=200)
+    plain = memory.MemoryHistoryStore()
     for action, name, record in steps:
         for store in (files, plain):
             if action == "append":
@@ -47,7 +47,7 @@
 
 
 def test_space_of_forgotten_records_comes_back(tmp_path: pathlib.Path) -> None:
-    store = histories.FileHistories(tmp_path, segment_bytes=1000)
+    store = histories.FileHistoryStore(tmp_path, segment_bytes=1000)
     for number in range(200):
         store.append(f"p{number}", b"x" * 100)
     for number in range(1, 200):
@@ -63,7 +63,7 @@
     The read must not hand out another text as the program's history; the
     error names the repair.
     """
-    store = histories.FileHistories(tmp_path)
+    store = histories.FileHistoryStore(tmp_path)
     store.append("p", b"a long enough record")
     (path,) = tmp_path.iterdir()
     with path.open("r+b") as file:
@@ -74,5 +74,5 @@
 
 
 def test_new_life_starts_empty(tmp_path: pathlib.Path) -> None:
-    histories.FileHistories(tmp_path).append("p", b"old")
-    assert histories.FileHistories(tmp_path).read("p", 1, 1) == []
+    histories.FileHistoryStore(tmp_path).append("p", b"old")
+    assert histories.FileHistoryStore(tmp_path).read("p", 1, 1) == []
