--- a/bench/limits.py
+++ b/bench/limits.py
@@ -54,7 +54,7 @@
         self.random = random.Random(entries + customers)
         self.entries = [Entry() for _ in range(entries)]
         self.customers = [f"c{n}" for n in range(customers)]
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
         self.arrivals: dict[str, list[float]] = collections.defaultdict(list)
         self.requests = self.refused = self.owed = self.asked = 0
         self.lost = 0.0
@@ -123,11 +123,11 @@
         if held and entry.ahead.take(customer, now):
             return True
         self.asked += not is_turn
-        if self.held.take(customer, program, LIMIT, now) is not None:
+        if self.held.admit(customer, program, LIMIT, now) is not None:
             return False
         if self.way == "ahead" and is_turn:
             wanted = entry.ahead.wanted(customer, now)
-            given = self.held.hand_out(customer, wanted, LIMIT, now)
+            given = self.held.count_ahead(customer, wanted, LIMIT, now)
             entry.ahead.put(customer, given, now + limits.AHEAD_SECONDS)
         return True
 
@@ -179,12 +179,12 @@
 
 def cost(customers: int = 4200, counts: int = 200_000) -> None:
     """Prints what one count costs, and its size."""
-    held = limits.Limits()
+    held = limits.CustomerLimits()
     names = [f"customer-{n}" for n in range(customers)]
     started = time.process_time()
     for number in range(counts):
         name = names[number % customers]
-        held.take(name, f"p{number % 9}", LIMIT, number / 35_000)
+        held.admit(name, f"p{number % 9}", LIMIT, number / 35_000)
     taken = time.process_time() - started
     count = program_messages.CountCall(names[0], "p" * 14, LIMIT, 2)
     command = commands.Command(1.0, 1.0, [count])
--- a/src/mintcleat/programs/branches.py
+++ b/src/mintcleat/programs/branches.py
@@ -37,7 +37,7 @@
 SWEEP_SECONDS = 10.0
 
 
-class Owned(NamedTuple):
+class ScopedId(NamedTuple):
     """A program or a turn, under the customer that chose its id."""
 
     customer: str
@@ -91,12 +91,12 @@
     """
 
     def __init__(self) -> None:
-        self.limits = limits.Limits()
-        self.accounts: collections.OrderedDict[Owned, Account] = (
+        self.limits = limits.CustomerLimits()
+        self.accounts: collections.OrderedDict[ScopedId, Account] = (
             collections.OrderedDict()
         )
-        self.turns: dict[Owned, program_messages.KeptTurn] = {}
-        self.expires: collections.OrderedDict[Owned, float] = (
+        self.turns: dict[ScopedId, program_messages.KeptTurn] = {}
+        self.expires: collections.OrderedDict[ScopedId, float] = (
             collections.OrderedDict()
         )
         self.swept = 0.0
@@ -119,7 +119,7 @@
                     f"The turn may need {request.reserve} tokens and "
                     f"{max(left, 0)} are left."
                 )
-            over = self.limits.take(
+            over = self.limits.admit(
                 request.customer, request.program, request.limit, clock
             )
             if over is not None:
@@ -127,7 +127,7 @@
             account.held[request.turn] = request.reserve
             if request.limit is not None:
                 counted = clock
-            ahead = self.limits.hand_out(
+            ahead = self.limits.count_ahead(
                 request.customer, request.ahead, request.limit, clock
             )
         upstream = chain[-1].upstream if chain else account.upstream
@@ -138,12 +138,12 @@
 
     def count(self, request: program_messages.CountCall, clock: float) -> Any:
         """Counts a request that opens no turn, or refuses it."""
-        over = self.limits.take(
+        over = self.limits.admit(
             request.customer, request.program, request.limit, clock
         )
         if over is not None:
             return over
-        ahead = self.limits.hand_out(
+        ahead = self.limits.count_ahead(
             request.customer, request.ahead, request.limit, clock
         )
         return program_messages.CallCounted(ahead)
@@ -152,14 +152,14 @@
         """Settles a turn, and keeps it where it ended whole."""
         account = self._account(request, clock)
         if request.counted >= 0 and request.turn in account.held:
-            self.limits.give_back(request.customer, request.counted)
+            self.limits.refund(request.customer, request.counted)
         account.settle(request.turn, request.tokens)
         account.upstream = request.upstream or account.upstream
         if not request.keep:
             return identities.Done()
         if chain_of(self.turns, request.customer, request.previous) is None:
             return errors.UnknownTurn(f"No turn {request.previous}.")
-        key = Owned(request.customer, request.turn)
+        key = ScopedId(request.customer, request.turn)
         self.turns[key] = program_messages.KeptTurn(
             request.turn,
             request.previous,
@@ -233,14 +233,14 @@
             *owner,
         ) in state[1]:
             # Releases without customers end before the owner.
-            key = Owned(owner[0] if owner else "", name)
+            key = ScopedId(owner[0] if owner else "", name)
             account = self.accounts[key] = Account()
             account.budget, account.spent, account.held = budget, spent, held
             account.settled.update(dict.fromkeys(settled))
             account.upstream, account.expires = upstream, expires
         for until, *fields in state[2]:
             kept = program_messages.KeptTurn(*fields)
-            turn = Owned(kept.customer, kept.turn)
+            turn = ScopedId(kept.customer, kept.turn)
             self.turns[turn] = kept
             self.expires[turn] = until
         if len(state) > _LIMITS:
@@ -252,7 +252,7 @@
         until = clock + request.retention + RETENTION_SLACK
         turn = request.turn
         while turn:
-            key = Owned(request.customer, turn)
+            key = ScopedId(request.customer, turn)
             if self.expires.get(key, 0.0) < until:
                 self.expires[key] = until
                 self.expires.move_to_end(key)
@@ -264,7 +264,7 @@
         clock: float,
     ) -> Account:
         """Returns the account of a turn's program; keeps it from now on."""
-        key = Owned(request.customer, request.program)
+        key = ScopedId(request.customer, request.program)
         account = self.accounts.get(key)
         if account is None:
             account = self.accounts[key] = Account()
@@ -275,7 +275,9 @@
 
 
 def chain_of(
-    turns: Mapping[Owned, program_messages.KeptTurn], customer: str, turn: str
+    turns: Mapping[ScopedId, program_messages.KeptTurn],
+    customer: str,
+    turn: str,
 ) -> list[program_messages.KeptTurn] | None:
     """Returns a customer's turn and all before it; None if one lacks.
 
@@ -286,7 +288,7 @@
     """
     found = []
     while turn:
-        kept = turns.get(Owned(customer, turn))
+        kept = turns.get(ScopedId(customer, turn))
         if kept is None:
             return None
         found.append(kept)
--- a/src/mintcleat/programs/limits.py
+++ b/src/mintcleat/programs/limits.py
@@ -112,7 +112,7 @@
         self.ahead: collections.deque[tuple[float, int]] = collections.deque()
         self.touched = 0.0
 
-    def take(
+    def admit(
         self,
         program: str,
         limit: program_messages.Limit,
@@ -139,7 +139,7 @@
         self._note(program, clock)
         return None
 
-    def hand_out(
+    def count_ahead(
         self, wanted: int, limit: program_messages.Limit, clock: float
     ) -> int:
         """Counts requests ahead of need; returns how many."""
@@ -158,7 +158,7 @@
             self.ahead.append((clock, given))
         return given
 
-    def give_back(self, counted: float) -> None:
+    def refund(self, counted: float) -> None:
         """Takes back a request that was counted at a clock and never ran."""
         for slot in reversed(self.slots):
             if slot.start <= counted:
@@ -253,7 +253,7 @@
         self.ahead = collections.deque((at, count) for at, count in ahead)
 
 
-class Limits:
+class CustomerLimits:
     """Usage of all customers of a group.
 
     Attributes:
@@ -265,7 +265,7 @@
             collections.OrderedDict()
         )
 
-    def take(
+    def admit(
         self,
         customer: str,
         program: str,
@@ -276,7 +276,7 @@
         if limit is None or not customer:
             return None
         usage = self._usage(customer, clock)
-        need = usage.take(program, limit, clock)
+        need = usage.admit(program, limit, clock)
         if need is None:
             return None
         kind = errors.LimitNear if need.begins else errors.LimitReached
@@ -288,7 +288,7 @@
             retry_after=round(need.wait, 3),
         )
 
-    def hand_out(
+    def count_ahead(
         self,
         customer: str,
         wanted: int,
@@ -299,13 +299,13 @@
         usage = self.usages.get(customer)
         if limit is None or usage is None or not wanted:
             return 0
-        return usage.hand_out(wanted, limit, clock)
+        return usage.count_ahead(wanted, limit, clock)
 
-    def give_back(self, customer: str, counted: float) -> None:
+    def refund(self, customer: str, counted: float) -> None:
         """Takes back a request that was counted and never ran."""
         usage = self.usages.get(customer)
         if usage is not None:
-            usage.give_back(counted)
+            usage.refund(counted)
 
     def state(self) -> list[Any]:
         """Returns everything as plain data."""
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_keeper.py
@@ -32,12 +32,12 @@
         self.limit = limit
         self.size = 0
         self.turns: collections.OrderedDict[
-            branches.Owned, program_messages.KeptTurn
+            branches.ScopedId, program_messages.KeptTurn
         ] = collections.OrderedDict()
 
     def put(self, kept: program_messages.KeptTurn) -> None:
         """Takes a turn that surely ended whole."""
-        key = branches.Owned(kept.customer, kept.turn)
+        key = branches.ScopedId(kept.customer, kept.turn)
         if key in self.turns:
             self.turns.move_to_end(key)
             return
--- a/testing/test_branches.py
+++ b/testing/test_branches.py
@@ -9,7 +9,7 @@
 from mintcleat.programs import branches
 
 # The program of nobody in particular.
-OWN = branches.Owned("", "p")
+OWN = branches.ScopedId("", "p")
 
 
 def opening(turn: str, previous: str = "", **fields: object) -> object:
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -31,10 +31,10 @@
 class CountTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
 
     def take(self, clock: float, program: str = "p", limit: Any = SMALL) -> Any:
-        return self.held.take("farmers", program, limit, clock)
+        return self.held.admit("farmers", program, limit, clock)
 
     def spend(self, clock: float, limit: Any = SMALL) -> int:
         count = 0
@@ -60,7 +60,7 @@
 
     def test_other_customers_are_not_touched(self) -> None:
         self.spend(0.0)
-        self.assertIsNone(self.held.take("studios", "p", SMALL, 0.0))
+        self.assertIsNone(self.held.admit("studios", "p", SMALL, 0.0))
 
     def test_refusal_tells_when_to_come_back(self) -> None:
         for clock in range(60):
@@ -77,7 +77,7 @@
 
     def test_request_that_ran_nowhere_is_given_back(self) -> None:
         self.spend(0.0)
-        self.held.give_back("farmers", 0.0)
+        self.held.refund("farmers", 0.0)
         self.assertEqual(1, self.spend(0.1))
 
     def test_limit_below_one_request_still_lets_one_through(self) -> None:
@@ -85,26 +85,26 @@
 
     def test_requests_ahead_are_few_and_never_near_the_limit(self) -> None:
         self.take(0.0)
-        self.assertEqual(6, self.held.hand_out("farmers", 50, TOLERANT, 0.0))
-        self.assertEqual(0, self.held.hand_out("farmers", 50, TOLERANT, 0.5))
+        self.assertEqual(6, self.held.count_ahead("farmers", 50, TOLERANT, 0.0))
+        self.assertEqual(0, self.held.count_ahead("farmers", 50, TOLERANT, 0.5))
         while self.held.usages["farmers"].used < 50:
             self.take(2.0)
-        self.assertEqual(0, self.held.hand_out("farmers", 50, TOLERANT, 2.0))
-        self.assertEqual(0, self.held.hand_out("farmers", 50, SMALL, 2.0))
+        self.assertEqual(0, self.held.count_ahead("farmers", 50, TOLERANT, 2.0))
+        self.assertEqual(0, self.held.count_ahead("farmers", 50, SMALL, 2.0))
 
     def test_state_of_idle_customers_leaves(self) -> None:
         for number in range(4200):
-            self.held.take(f"c{number}", "p", SMALL, 0.0)
+            self.held.admit(f"c{number}", "p", SMALL, 0.0)
         for number in range(4200):
-            self.held.take("farmers", "p", SMALL, 200.0 + number / 1000)
+            self.held.admit("farmers", "p", SMALL, 200.0 + number / 1000)
         self.assertEqual(["farmers"], list(self.held.usages))
 
     def test_state_goes_on_after_a_snapshot(self) -> None:
         self.spend(1.0)
-        copy = limits.Limits()
+        copy = limits.CustomerLimits()
         copy.load(self.held.state())
         self.assertEqual(self.held.state(), copy.state())
-        self.assertIsNotNone(copy.take("farmers", "p", SMALL, 2.0))
+        self.assertIsNotNone(copy.admit("farmers", "p", SMALL, 2.0))
 
 
 class GroupTest(testtools.TestCase):
@@ -170,7 +170,7 @@
     def __init__(self, seed: int, *, replicated: bool = True) -> None:
         self.random = random.Random(seed)
         self.replicated = replicated
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
         self.limit = program_messages.Limit(
             self.random.choice((1.0, 5.0, 20.0, 100.0)),
             float(self.random.choice((0, 1, 10, 100))),
@@ -211,7 +211,7 @@
         self.leaderless_until = self.now + away
         self.lag += away
         state = self.held.state()
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
         if self.replicated:
             self.held.load(state)
 
@@ -225,10 +225,10 @@
             return
         clock = self.now - self.lag
         program = f"p{self.random.randint(1, 3)}"
-        if self.held.take("farmers", program, self.limit, clock) is None:
+        if self.held.admit("farmers", program, self.limit, clock) is None:
             self.arrivals.append(self.now)
             wanted = self.random.randint(0, 3)
-            given = self.held.hand_out("farmers", wanted, self.limit, clock)
+            given = self.held.count_ahead("farmers", wanted, self.limit, clock)
             until = self.now + limits.AHEAD_SECONDS
             sender.ahead.put("farmers", given, until)
 
@@ -316,7 +316,7 @@
         self.rate = share * limit.most() / WINDOW
         self.limit = limit
         self.plain = plain
-        self.held = limits.Limits()
+        self.held = limits.CustomerLimits()
         self.random = random.Random(seed)
 
     def play(self, seconds: float) -> tuple[int, int]:
@@ -334,7 +334,7 @@
             # Without the distinction every request is one of a program that
             # is under way.
             name = "one" if self.plain else f"p{program}"
-            error = self.held.take("farmers", name, self.limit, now)
+            error = self.held.admit("farmers", name, self.limit, now)
             if error is None:
                 ran += 1
                 done += 1
