--- a/src/mintcleat/ports/__init__.py
+++ b/src/mintcleat/ports/__init__.py
@@ -1,1 +1,1 @@
-"""What the roles need of the outside, as Protocol classes."""
+"""Interfaces between the roles and their adapters, as Protocol classes."""
--- a/src/mintcleat/ports/calls.py
+++ b/src/mintcleat/ports/calls.py
@@ -1,4 +1,4 @@
-"""What the caller-facing HTTP adapter needs of the entry role."""
+"""The interface of the entry role to its HTTP adapter for callers."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -8,18 +8,21 @@
 
 
 class EntryApi(Protocol):
-    """The entry; every method raises typed errors."""
+    """The entry's operations for callers.
+
+    Every method may raise an `errors.MintcleatError`.
+    """
 
     def authenticate(self, key: str, request: str) -> "EntryApi":
-        """Returns the entry as the holder of a key may use it.
+        """Returns the operations that the holder of an API key may use.
 
         Args:
-            key: Digest of the key that a request carries; empty for none.
-            request: Its id.
+            key: Digest of the request's API key; empty if it has none.
+            request: Id of the request.
         """
 
     def ready(self) -> bool:
-        """Tells whether this entry takes new work."""
+        """Returns whether this entry accepts new requests."""
 
     def models(self) -> list[str]:
         """Returns the names of the model services."""
@@ -27,13 +30,13 @@
     def create_program(
         self, new: requests.NewProgram
     ) -> program_messages.ProgramView:
-        """Creates a program, or returns the same one for a resend."""
+        """Creates a program; a repeated request returns the existing one."""
 
     def show_program(self, program: str) -> program_messages.ProgramView:
-        """Returns a program."""
+        """Returns the current state of a program."""
 
     def history(self, program: str) -> program_messages.History:
-        """Returns a program's whole history."""
+        """Returns all finished turns of a program."""
 
     def close_program(self, program: str) -> None:
         """Closes a program and its sub-agents."""
@@ -41,7 +44,7 @@
     def chat(
         self, call: requests.ChatCall
     ) -> Iterator[requests.Text | requests.End]:
-        """Yields the parts of a chat answer and then its end."""
+        """Yields the chunks of a chat answer as they arrive, then its end."""
 
     def service(self, call: requests.ServiceCall) -> requests.ServiceAnswer:
-        """Returns the answer of a plain service."""
+        """Calls a plain service and returns its response."""
--- a/src/mintcleat/ports/control.py
+++ b/src/mintcleat/ports/control.py
@@ -1,4 +1,4 @@
-"""How a role asks the leaders of the program groups."""
+"""The interface to the leaders of the program groups."""
 
 from typing import Any
 from typing import Protocol
@@ -7,24 +7,25 @@
 
 
 class Control(Protocol):
-    """A client of the program groups; it finds the leader and retries.
+    """A client of the program groups that finds the leader and retries.
 
     Attributes:
-        groups: How many program groups there are.
+        groups: Number of program groups.
     """
 
     groups: int
 
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
-        """Sends a message to the leader of the scope's group.
+        """Sends a request to the leader of the scope's group.
 
         Args:
             scope: Program id, or `customer/key` for a call without a program.
-            message: One of the program group requests.
+            message: A request of `domain.program_messages`.
             timeout: Seconds for the whole exchange, retries included.
 
         Raises:
-            errors.MintcleatError: The group's refusal, or no leader answered.
+            errors.MintcleatError: The group refused the request, or no leader
+                answered in time.
         """
 
     def ended_programs(
@@ -33,4 +34,7 @@
         programs: list[str],
         timeout: float,
     ) -> list[str]:
-        """Returns which programs are gone; a group that can't tell, none."""
+        """Returns those of the programs that are closed, expired or unknown.
+
+        Programs of a group that does not answer are left out.
+        """
--- a/src/mintcleat/ports/directory.py
+++ b/src/mintcleat/ports/directory.py
@@ -1,4 +1,4 @@
-"""What an entry or a sidecar knows of the configuration and the members."""
+"""The interface to the applied configuration and the live upstreams."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -8,19 +8,23 @@
 
 
 class Directory(Protocol):
-    """The node's applied configuration and the announced upstreams."""
+    """The configuration applied on this node and the announced upstreams."""
 
     def manifest(self) -> manifest.Manifest:
-        """Returns the manifest applied here."""
+        """Returns the manifest that this node has applied."""
 
     def revision(self) -> int:
-        """Returns the revision applied here; 0 before the first."""
+        """Returns the revision of the applied manifest; 0 if there is none."""
 
     def has_lease(self) -> bool:
-        """Tells whether new work may be taken on this revision."""
+        """Returns whether this node's configuration lease is still valid.
+
+        Without a valid lease a newer revision may be in force elsewhere, so
+        the node must not accept new work.
+        """
 
     def members(self, service: str) -> list[member_messages.Announcement]:
         """Returns the live upstreams of a service, sorted by instance."""
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Calls back after each change of manifest or members."""
+        """Calls `callback` after each change of the manifest or members."""
--- a/src/mintcleat/ports/events.py
+++ b/src/mintcleat/ports/events.py
@@ -1,21 +1,21 @@
-"""Where roles tell their decisions; see `domain.events`."""
+"""The interface through which roles report events of `domain.events`."""
 
 from typing import Any
 from typing import Protocol
 
 
 class EventReporter(Protocol):
-    """Takes events; never blocks and never fails."""
+    """Reports events; `emit` never blocks and never raises."""
 
     def emit(self, event: Any) -> None:
-        """Takes one event of `domain.events`."""
+        """Reports one event of `domain.events`."""
 
 
 class NullEventReporter:
-    """Takes events and keeps none."""
+    """Discards all events."""
 
     def emit(self, event: Any) -> None:
-        """Drops the event."""
+        """Discards the event."""
 
 
 NULL_EVENT_REPORTER = NullEventReporter()
--- a/src/mintcleat/ports/forwarding.py
+++ b/src/mintcleat/ports/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that are passed on: the caller's side and the upstream's side."""
+"""The interfaces to callers and upstreams for forwarded requests."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -8,34 +8,34 @@
 
 
 class UpstreamResponse(Protocol):
-    """An upstream's answer whose head has come.
+    """A response whose head has arrived and whose body may not have.
 
     Attributes:
-        head: Its head.
+        head: Status and headers of the response.
     """
 
     head: routed.Head
 
     def body(self) -> bytes:
-        """Returns the whole body.
+        """Reads and returns the whole body.
 
         Raises:
-            errors.StreamClosed: It broke off.
+            errors.StreamClosed: The connection was lost before its end.
         """
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body as it comes; ends only at its whole end.
+        """Yields the body as it arrives and returns at its end.
 
         Raises:
-            errors.StreamClosed: It broke off.
+            errors.StreamClosed: The connection was lost before its end.
         """
 
     def close(self) -> None:
-        """Gives up what has not come; the upstream stops working on it."""
+        """Discards the rest of the body; the upstream cancels the request."""
 
 
 class UpstreamClient(Protocol):
-    """Sends requests to upstreams in the upstreams' own protocol."""
+    """Sends requests to upstreams in their own protocol."""
 
     def send(
         self,
@@ -43,29 +43,34 @@
         call: routed.RoutedCall,
         sending: routed.Sending,
     ) -> UpstreamResponse:
-        """Sends a request and returns the answer once its head has come.
+        """Sends a request and returns once the response's head has arrived.
 
         Raises:
-            errors.NoUpstream: Nothing was delivered; as UpstreamBusy or
-                WrongUpstream, the upstream said that it does not run it.
-            errors.StreamClosed: It may have run, and no answer will come.
+            errors.NoUpstream: The request was not run: it was not delivered,
+                or the upstream rejected it (UpstreamBusy, WrongUpstream).
+            errors.StreamClosed: The connection was lost; the request may have
+                run.
         """
 
     def forget(self, life: str) -> None:
-        """Drops what is kept for a life of an upstream that is over."""
+        """Drops the connections to an upstream process that has ended.
+
+        Args:
+            life: The `life` of the process's registration.
+        """
 
 
 class CallerResponse(Protocol):
-    """The answer to one caller, in the callers' own protocol."""
+    """The response to one caller, in the protocol of callers."""
 
     def send_whole(self, head: routed.Head, body: bytes) -> None:
-        """Sends an upstream's whole answer."""
+        """Sends a complete response."""
 
     def send_head(self, head: routed.Head) -> None:
-        """Sends the head of an upstream's answer."""
+        """Sends the head of a response whose body follows by `write`."""
 
     def write(self, data: bytes) -> None:
-        """Sends a piece of its body at once."""
+        """Sends a chunk of the body without delay."""
 
     def end(self) -> None:
-        """Ends it as complete."""
+        """Marks the response as complete."""
--- a/src/mintcleat/ports/histories.py
+++ b/src/mintcleat/ports/histories.py
@@ -1,30 +1,30 @@
-"""Where a program group keeps what is too large for memory."""
+"""The store for records of a program group that are too large for memory."""
 
 from typing import Protocol
 
 
 class HistoryStore(Protocol):
-    """Append-only sequences of records by name, for one group.
+    """Named append-only sequences of records of one group.
 
-    It holds no state of its own: the replicated log and its snapshots are
-    what lasts, and a replica fills an empty store from them at its start.
-    Names are program ids and, for answers of calls, texts with a slash.
+    The store need not be durable: the replicated log and its snapshots are,
+    and a replica refills an empty store from them when it starts. Sequences
+    are named by program id or, for answers of calls, `answer/<attempt>`.
     """
 
     def append(self, name: str, record: bytes) -> None:
-        """Adds the next record of a sequence."""
+        """Appends a record to a sequence, which is created if missing."""
 
     def read(self, name: str, first: int, last: int) -> list[bytes]:
-        """Returns the records `first` to `last`, counted from 1.
+        """Returns the records `first` to `last`, both included, from 1.
 
         Records that do not exist are left out.
 
         Raises:
-            errors.StorageDamaged: A record is not what was written.
+            errors.StorageDamaged: A record is corrupt.
         """
 
     def forget(self, name: str) -> None:
-        """Drops a sequence; safe to repeat."""
+        """Deletes a sequence, if it exists."""
 
     def clear(self) -> None:
-        """Drops every sequence."""
+        """Deletes all sequences."""
--- a/src/mintcleat/ports/log.py
+++ b/src/mintcleat/ports/log.py
@@ -1,4 +1,4 @@
-"""A replicated log of commands, in groups, under state machines."""
+"""The interface to the replicated log and to its state machines."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,12 +7,13 @@
 
 
 class Position(NamedTuple):
-    """Where one replica of a group stands.
+    """Progress of one replica of a group.
 
     Attributes:
-        commit: Last index known to be committed.
-        applied: Last index that the machine has.
-        lease_left: Seconds; 0 on a follower.
+        term: Current term.
+        commit: Highest index known to be committed.
+        applied: Highest index applied to the state machine.
+        lease_left: Seconds left of the leader lease; 0 on a follower.
     """
 
     term: int
@@ -22,23 +23,27 @@
 
 
 class StateMachine(Protocol):
-    """A deterministic state machine; `apply` must not read clock or chance."""
+    """A deterministic state machine.
+
+    `apply` must not read a clock or random numbers, or replicas diverge.
+    """
 
     def apply(self, index: int, command: bytes) -> Any:
-        """Applies one committed command and returns the proposer's result.
+        """Applies one committed command and returns its result.
 
-        A result may be a typed error instance; `propose` raises it.
+        `propose` returns the result to the proposer, or raises it if it is an
+        `errors.MintcleatError`.
         """
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the serialized state."""
 
     def restore(self, state: bytes) -> None:
-        """Replaces the whole state by a snapshot."""
+        """Replaces the state by that of a snapshot."""
 
 
 class ReplicatedLog(Protocol):
-    """Many groups on one instance; each has one state machine."""
+    """The replicas of one instance; each group has one state machine."""
 
     def attach(
         self,
@@ -46,67 +51,76 @@
         machine: StateMachine,
         on_lead: Callable[[], None] | None = None,
     ) -> None:
-        """Registers the machine of a group, before `start`.
+        """Registers the state machine of a group; call it before `start`.
 
         Args:
             group: Name of the group.
-            machine: Its state machine here.
-            on_lead: Called once for each term in which this replica leads,
-                as soon as `leads` is true. It must not block.
+            machine: State machine of the local replica.
+            on_lead: Called once in each term in which this replica is the
+                leader, as soon as `leads` returns True. It must not block.
         """
 
     def start(self) -> None:
-        """Recovers from disk, then takes part in elections."""
+        """Recovers the replicas from disk and lets them join elections."""
 
     def propose(self, group: str, command: bytes, timeout: float) -> Any:
-        """Commits a command and returns what `apply` returned for it.
+        """Commits a command and returns the result of applying it.
 
-        Blocks the calling green thread only.
+        Only the calling green thread waits.
 
         Raises:
-            errors.NotLeader: Nothing was proposed.
-            errors.ProposalLost: It may or may not be committed later.
+            errors.NotLeader: This replica does not lead; nothing was proposed.
+            errors.ProposalLost: The outcome is unknown: the command may have
+                been committed or may still be.
         """
 
     def barrier(self, group: str, timeout: float) -> None:
-        """Returns once the local machine may answer a linearizable read.
+        """Returns once the local state is recent enough to be read.
+
+        A read after it is linearizable.
 
         Raises:
-            errors.NotLeader: This replica cannot tell.
+            errors.NotLeader: This replica could not confirm its leadership.
         """
 
     def leader(self, group: str) -> str:
-        """Returns the leader's stream address, or an empty text."""
+        """Returns the leader's stream address; empty if it is not known."""
 
     def leads(self, group: str) -> bool:
-        """Tells whether this replica leads with a valid lease."""
+        """Returns whether this replica is the leader with a valid lease."""
 
     def position(self, group: str) -> Position:
-        """Returns where this replica stands, for the operators' log."""
+        """Returns the progress of this replica, for diagnostics."""
 
     def holders(self, group: str, index: int) -> list[str]:
-        """Returns the voters known to hold an entry on disk.
+        """Returns the voters known to have an entry on disk.
 
-        Only the leader knows of others; names are `instance@epoch`.
+        Names have the form `instance@epoch`. Only the leader knows of voters
+        other than itself.
         """
 
     def groups(self) -> list[str]:
         """Returns the names of all groups."""
 
     def addresses(self) -> list[str]:
-        """Returns the stream addresses of the instances heard lately."""
+        """Returns the stream addresses of the live instances."""
 
     def live_instances(self) -> dict[str, str]:
-        """Returns the names of the instances heard lately, with their labels.
+        """Returns the labels of the live instances, by instance name.
 
-        This instance is among them.
+        Live are this instance and those that sent a message recently.
         """
 
     def evacuate(self, instances: frozenset[str]) -> None:
-        """Keeps groups off these instances and moves those there away."""
+        """Moves all replicas off these instances and places no more there.
+
+        Args:
+            instances: Names of all instances to be kept empty; replaces the
+                set of the call before.
+        """
 
     def transfer_leadership(self, timeout: float) -> None:
-        """Transfers every leadership before a planned stop."""
+        """Transfers every leadership held here, before a planned stop."""
 
     def stop(self) -> None:
-        """Syncs and closes."""
+        """Syncs the log and closes it."""
--- a/src/mintcleat/ports/membership.py
+++ b/src/mintcleat/ports/membership.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of the configuration, beyond what an entry needs."""
+"""The interface of a sidecar to the configuration service."""
 
 from typing import Any
 from typing import Protocol
@@ -7,32 +7,45 @@
 
 
 class Membership(directory.Directory, Protocol):
-    """The configuration as a sidecar follows it.
+    """The directory, and what only sidecars need of the configuration.
 
     Attributes:
-        duplicate: Whether a newer process announces this node's name.
+        duplicate: Whether a newer process announces itself under this
+            node's name.
     """
 
     duplicate: bool
 
     def may_serve_stale(self) -> bool:
-        """Tells whether idempotent plain calls go on without a lease."""
+        """Returns whether idempotent plain calls are served without a lease."""
 
     def draining(self, instance: str, failure_domain: str) -> bool:
-        """Tells whether an operator drains the instance or its domain."""
+        """Returns whether the instance or its failure domain is drained."""
 
     def quarantined(self, digest: bytes) -> bool:
-        """Tells whether a request is refused everywhere."""
+        """Returns whether a request is quarantined, that is, never run.
+
+        Args:
+            digest: Digest of the request.
+        """
 
     def suspect(self, digest: bytes) -> bool:
-        """Tells whether a request may run beside no other suspect only."""
+        """Returns whether a request is suspected of crashing upstreams.
+
+        Suspects run one at a time, so that a crash shows which one caused it.
+
+        Args:
+            digest: Digest of the request.
+        """
 
     def ask(self, message: Any, timeout: float) -> Any:
-        """Asks the config leader; the message must be safe to repeat.
+        """Sends a request to the configuration leader and returns its reply.
+
+        The request may be sent more than once, so it must be idempotent.
 
         Raises:
-            errors.ControlUnavailable: No control instance gave an answer.
+            errors.ControlUnavailable: No control instance answered in time.
         """
 
     def announce(self) -> None:
-        """Sends a changed announcement at once."""
+        """Sends this node's announcement now, not at the next interval."""
--- a/src/mintcleat/ports/metrics.py
+++ b/src/mintcleat/ports/metrics.py
@@ -1,16 +1,19 @@
-"""Counters, gauges and latency histograms that the roles write to."""
+"""The interface through which roles record metrics."""
 
 from typing import Protocol
 
 
 class Metrics(Protocol):
-    """Metric names are snake case; labels are few and bounded in value."""
+    """Counters, gauges and histograms.
+
+    Names are in snake case. Labels are few and have a bounded set of values.
+    """
 
     def count(self, name: str, **labels: str) -> None:
-        """Adds one to a counter."""
+        """Increments a counter by one."""
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
-        """Sets a gauge."""
+        """Sets a gauge to a value."""
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Adds one observation to a histogram of seconds."""
+        """Adds an observation to a histogram of durations."""
--- a/src/mintcleat/ports/streams.py
+++ b/src/mintcleat/ports/streams.py
@@ -1,4 +1,4 @@
-"""Multiplexed message streams between the system's processes."""
+"""The interface to multiplexed message streams between processes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -6,64 +6,74 @@
 
 
 class Exchange(Protocol):
-    """One request and whatever both sides send on it until it closes.
+    """A bidirectional message stream that one request opened.
 
     Attributes:
-        peer: Address of the other side.
+        peer: Address of the other process.
     """
 
     peer: str
 
     def send(self, message: Any) -> None:
-        """Sends a message; waits while the peer gives no credit.
+        """Sends a message; blocks while the peer's flow control window is full.
 
         Raises:
-            errors.StreamClosed: The peer closed or is lost.
+            errors.StreamClosed: The peer closed the exchange, or the
+                connection was lost.
         """
 
     def try_send(self, message: Any) -> bool:
-        """Sends a message if that needs no waiting; tells whether it did."""
+        """Sends a message unless that would block; returns whether it did."""
 
     def receive(self, timeout: float | None = None) -> Any:
-        """Returns the next message; a Failure is raised as its typed error.
+        """Returns the next message; blocks until there is one.
 
         Raises:
-            errors.StreamClosed: The peer closed or is lost.
-            errors.StreamTimeout: Nothing came within `timeout` seconds.
+            errors.MintcleatError: The message was an `errors.Failure`, which
+                is raised as the error that it describes.
+            errors.StreamClosed: The peer closed the exchange, or the
+                connection was lost.
+            errors.StreamTimeout: No message arrived within `timeout` seconds.
         """
 
     def close(self) -> None:
-        """Ends the exchange for both sides; safe to repeat."""
+        """Closes the exchange on both sides; closing it again has no effect."""
 
 
 Handler = Callable[[Exchange, Any], None]
 
 
 class Streams(Protocol):
-    """Dials peers and serves exchanges that peers open."""
+    """Opens exchanges with peers and serves those that peers open."""
 
     def open(self, address: str, message: Any) -> Exchange:
         """Opens an exchange with a first message.
 
         Raises:
-            errors.StreamClosed: The peer cannot be reached. The message was
-                not delivered when the error's outcome is `not_run`.
+            errors.StreamClosed: The peer is unreachable. If the error's
+                outcome is `not_run`, the message was not delivered.
         """
 
     def ask(self, address: str, message: Any, timeout: float) -> Any:
-        """Sends one message and returns the one reply.
+        """Sends a message and returns the peer's first reply.
 
         Raises:
+            errors.MintcleatError: The error that the peer replied.
             errors.StreamClosed: As in `open` and `receive`.
-            errors.StreamTimeout: No reply within `timeout` seconds.
+            errors.StreamTimeout: No reply arrived within `timeout` seconds.
         """
 
     def handle(self, kind: type, handler: Handler) -> None:
-        """Runs `handler` in a green thread for each exchange of `kind`.
+        """Registers the handler of exchanges opened by a message type.
 
-        A typed error that the handler raises is sent as the last message;
-        the exchange closes when the handler returns.
+        The handler runs in a green thread of its own for each exchange, which
+        closes when the handler returns. An `errors.MintcleatError` raised by
+        the handler is sent to the peer as the last message.
+
+        Args:
+            kind: Type of the first message.
+            handler: Called with the exchange and its first message.
         """
 
     def stop(self) -> None:
-        """Closes the listener and every connection."""
+        """Closes the listener and all connections."""
--- a/src/mintcleat/ports/timers.py
+++ b/src/mintcleat/ports/timers.py
@@ -1,37 +1,37 @@
-"""Time, as a service that parts subscribe to."""
+"""The interface to clocks, timers and green threads."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 
 class Subscription(Protocol):
-    """A callback that is due once or repeatedly."""
+    """A scheduled callback, one-time or periodic."""
 
     def cancel(self) -> None:
-        """Stops further callbacks; safe to repeat."""
+        """Prevents further calls; cancelling again has no effect."""
 
 
 class Timers(Protocol):
-    """Monotonic clock, wall clock and callbacks, all on the one loop."""
+    """Clocks and timers; all callbacks run on the event loop's thread."""
 
     def now(self) -> float:
-        """Returns monotonic seconds; never goes back."""
+        """Returns the seconds of a monotonic clock."""
 
     def wall_time(self) -> float:
-        """Returns seconds since 1970, for records that people read."""
+        """Returns the Unix time in seconds, for display only."""
 
     def after(
         self, seconds: float, callback: Callable[[], None]
     ) -> Subscription:
-        """Calls back once, `seconds` from now."""
+        """Calls `callback` once, in `seconds` from now."""
 
     def every(
         self, seconds: float, callback: Callable[[], None]
     ) -> Subscription:
-        """Calls back each `seconds`, first after one period."""
+        """Calls `callback` every `seconds`, first after one period."""
 
     def sleep(self, seconds: float) -> None:
         """Suspends the calling green thread."""
 
     def spawn(self, function: Callable[..., None], *args: object) -> None:
-        """Runs the function in a green thread of its own."""
+        """Runs a function in a new green thread."""
--- a/src/mintcleat/ports/upstream.py
+++ b/src/mintcleat/ports/upstream.py
@@ -1,4 +1,4 @@
-"""What a sidecar needs of the upstream beside it."""
+"""The interface of a sidecar to its upstream."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -8,12 +8,19 @@
 
 
 class EngineInfo(NamedTuple):
-    """What a model engine says of itself.
+    """Properties that a model engine reports of itself.
 
     Attributes:
-        life: Changes when the engine restarts; its cache is then empty.
-        capacity: Sequences that it takes at once.
-        memory: Tokens that its cache can hold; 0 when it doesn't tell.
+        life: Number of the engine process; it changes with a restart, which
+            empties the cache.
+        model: Name of the loaded model.
+        capacity: Number of sequences that the engine runs concurrently.
+        state: State of the engine, as it reports it.
+        fencing: Whether it rejects orders with an outdated fencing token.
+        kv_export: Whether it can export and import cached prefixes.
+        priority: Whether it orders calls by priority.
+        resume: Whether a lost stream can be resumed.
+        memory: Capacity of the prefix cache in tokens; 0 if unknown.
     """
 
     life: int
@@ -28,7 +35,13 @@
 
 
 class EngineLoad(NamedTuple):
-    """Load as the engine reports it, with a lag; memory in tokens."""
+    """A load report of the engine, which may be out of date.
+
+    Attributes:
+        running: Sequences in progress.
+        waiting: Sequences in the engine's queue.
+        free_memory: Free space of the prefix cache in tokens.
+    """
 
     running: int
     waiting: int
@@ -36,14 +49,14 @@
 
 
 class EngineCall(NamedTuple):
-    """One chat completion.
+    """A chat completion request.
 
     Attributes:
-        request: Id of the request, by which it is resumed and cancelled.
-        program: Owner of the cached prefix; empty for none.
-        messages: JSON texts of the whole conversation.
-        parameters: JSON text of the other fields of the body.
-        priority: Lower runs first.
+        request: Id of the request, used to resume or cancel it.
+        program: Program that owns the cached prefix; empty for none.
+        messages: All messages of the conversation, each as JSON.
+        parameters: The other fields of the request body, as JSON.
+        priority: Calls with a lower value run first.
     """
 
     request: str
@@ -54,13 +67,19 @@
 
 
 class TextChunk(NamedTuple):
-    """Text that the engine generated next."""
+    """The next part of the generated text."""
 
     text: str
 
 
 class End(NamedTuple):
-    """The engine's own end of an answer; `total` in characters."""
+    """The end of an answer, as the engine reports it.
+
+    Attributes:
+        total: Length of the whole answer in characters.
+        reason: Finish reason, as the engine gives it.
+        usage: Tokens of the prompt and of the answer.
+    """
 
     total: int
     reason: str
@@ -68,7 +87,13 @@
 
 
 class CacheEvent(NamedTuple):
-    """A change of what a program holds; `tokens` is its new total."""
+    """A change in the cached prefix of a program.
+
+    Attributes:
+        seq: Sequence number of the event.
+        program: Program that owns the prefix.
+        tokens: Cached tokens of the program after the change.
+    """
 
     seq: int
     program: str
@@ -76,7 +101,13 @@
 
 
 class CacheEvents(NamedTuple):
-    """Events since the last asked for; `seq` is the engine's newest."""
+    """Cache events, in order.
+
+    Attributes:
+        life: Number of the engine process; see EngineInfo.
+        seq: Sequence number of the engine's newest event.
+        events: The events that were asked for.
+    """
 
     life: int
     seq: int
@@ -84,7 +115,13 @@
 
 
 class CacheListing(NamedTuple):
-    """Everything that the engine's cache holds: tokens by program."""
+    """The content of the engine's prefix cache.
+
+    Attributes:
+        life: Number of the engine process; see EngineInfo.
+        seq: Sequence number of the last event included.
+        programs: Cached tokens by program.
+    """
 
     life: int
     seq: int
@@ -92,7 +129,7 @@
 
 
 class Reply(NamedTuple):
-    """Whole answer of a plain service."""
+    """The complete response of a plain service."""
 
     status: int
     headers: list[list[str]]
@@ -100,62 +137,65 @@
 
 
 class ModelEngine(Protocol):
-    """A model engine.
+    """A client of a model engine.
 
-    Every method raises errors.NoUpstream when nothing was delivered,
-    errors.StreamClosed when the connection was lost later, and
-    errors.UpstreamFailed when the engine answered with an error.
+    Every method raises errors.NoUpstream if the request was not delivered,
+    errors.StreamClosed if the connection was lost after delivery, and
+    errors.UpstreamFailed if the engine responded with an error.
     """
 
     def info(self) -> EngineInfo:
-        """Returns what the engine announces."""
+        """Returns the engine's properties."""
 
     def load(self) -> EngineLoad:
-        """Returns the engine's own load report."""
+        """Returns the engine's load report."""
 
     def run(self, call: EngineCall) -> Iterator[TextChunk | End]:
-        """Runs a call; the answer is whole only once `End` came."""
+        """Runs a call; the answer is complete only once `End` is yielded."""
 
     def resume(self, request: str, offset: int) -> Iterator[TextChunk | End]:
-        """Follows a running call again, from a character offset."""
+        """Continues the stream of a running call from a character offset."""
 
     def cancel(self, request: str) -> None:
-        """Stops a call."""
+        """Cancels a call."""
 
     def events(self, after: int, wait: float) -> CacheEvents:
-        """Returns cache events above `after`; waits up to `wait` seconds."""
+        """Returns the cache events with a sequence number above `after`.
+
+        Blocks for up to `wait` seconds until there is one.
+        """
 
     def cache_listing(self) -> CacheListing:
-        """Returns everything that the cache holds."""
+        """Returns the content of the whole cache."""
 
     def release(self, programs: list[str]) -> None:
-        """Frees what the programs hold."""
+        """Evicts the cached prefixes of the programs."""
 
     def truncate(self, program: str, keep: int) -> None:
-        """Frees what a program holds beyond its first `keep` tokens."""
+        """Evicts a program's cached prefix beyond its first `keep` tokens."""
 
     def pin(self, program: str) -> None:
-        """Keeps a program's cache from eviction until it is released."""
+        """Protects a program's cached prefix from eviction until `release`."""
 
     def export_cache(self, program: str) -> bytes:
-        """Returns a program's cache."""
+        """Returns a program's cached prefix, to be imported elsewhere."""
 
     def import_cache(self, exported: bytes) -> None:
-        """Takes in a cache that another engine exported."""
+        """Adds a prefix that another engine exported to the cache."""
 
     def order(self, fencing_token: int, action: str, model: str) -> None:
-        """Carries out an order.
+        """Executes an order, such as loading a model.
 
         Raises:
-            errors.FencedOff: The engine has seen a higher fencing number.
+            errors.FencedOff: The engine has seen a higher fencing token.
         """
 
 
 class PlainService(Protocol):
-    """A plain service."""
+    """A client of a plain service."""
 
     def alive(self) -> bool:
-        """Tells whether it takes connections."""
+        """Returns whether the service accepts connections."""
 
     def send(
         self,
@@ -165,10 +205,11 @@
         body: bytes,
         timeout: float,
     ) -> Reply:
-        """Sends one request and returns the whole answer.
+        """Sends a request and returns the complete response.
 
         Raises:
-            errors.NoUpstream: Nothing was delivered.
+            errors.NoUpstream: The request was not delivered.
             errors.StreamClosed: The connection was lost after delivery.
-            errors.StreamTimeout: No whole answer within `timeout` seconds.
+            errors.StreamTimeout: The response was not complete within
+                `timeout` seconds.
         """
--- a/src/mintcleat/ports/wal.py
+++ b/src/mintcleat/ports/wal.py
@@ -1,4 +1,4 @@
-"""A durable, shared log of opaque records, and the disk below it."""
+"""The interfaces to the write-ahead log and to the disk below it."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -11,20 +11,21 @@
 
 
 class Recovery(NamedTuple):
-    """What the disk held when it was opened.
+    """Content of the log when it was opened.
 
     Attributes:
-        identity: The replica identity on the disk. Its epoch is that of the
-            start that formatted the disk, so an emptied or copied disk never
-            bears the identity that it had before.
-        records: Every record in order, read from the disk as they are taken,
-            once. Held at the same time, a log of some ten megabytes and what
-            is made of it would be more than a small machine has, and the
-            process would end at each start. Taking them raises StorageDamaged
-            as `open` does.
-        formatted: Whether the disk was empty or a copy and was formatted now.
-        cut_bytes: Length of the torn tail that was cut off.
-        size: Bytes of the log.
+        identity: The replica identity stored on the disk. Its epoch is that
+            of the process start that formatted the disk, so a disk that was
+            wiped or copied never reuses its earlier identity.
+        records: All records in order, read lazily; can be iterated once. A
+            log of ten megabytes that is held in memory together with the
+            state built from it exceeds the memory of a small machine, and the
+            process would be killed at each start. Iterating raises
+            errors.StorageDamaged as `open` does.
+        formatted: Whether `open` formatted the disk, because it was empty or
+            a copy of another.
+        cut_bytes: Bytes of the torn write that was cut off the log's end.
+        size: Size of the log in bytes.
     """
 
     identity: identities.Incarnation
@@ -35,32 +36,33 @@
 
 
 class WriteAheadLog(Protocol):
-    """One log for all groups of an instance.
+    """One log of opaque records, shared by all groups of an instance.
 
-    After a failed write or sync every later call raises StorageFailed: the
-    kernel may have dropped the dirty pages, so that a second sync would
-    report success for bytes that are gone.
+    After a failed write or sync every later call raises
+    errors.StorageFailed: the kernel may have dropped the dirty pages, so a
+    second sync would report success for bytes that are lost.
     """
 
     def open(self, node: identities.Incarnation) -> Recovery:
-        """Reads the log, or formats an empty disk for `node`.
+        """Opens the log, or formats an empty disk for `node`.
 
         Raises:
-            errors.StorageDamaged: The log is damaged before its tail.
+            errors.StorageDamaged: The log is corrupt elsewhere than at its
+                end.
             errors.StorageFailed: The disk cannot be read or written.
         """
 
     def append(self, records: Iterable[bytes]) -> None:
-        """Adds records; they last only once `sync` has returned."""
+        """Appends records; they are durable once `sync` has returned."""
 
     def sync(self) -> None:
-        """Makes all appended records durable, with one sync of the disk."""
+        """Makes all appended records durable, with a single disk sync."""
 
     def size(self) -> int:
-        """Returns the bytes in all segments."""
+        """Returns the size of all segments in bytes."""
 
     def rewrite(self, records: Iterable[bytes]) -> None:
-        """Replaces the whole log, durably and in one step."""
+        """Replaces the whole log, durably and atomically."""
 
     def save_snapshot(
         self,
@@ -69,48 +71,52 @@
         state: bytes,
         pause: Callable[[], None] | None = None,
     ) -> None:
-        """Stores a snapshot file durably.
-
-        `pause`, if given, is called between the steps of the writing; other
-        calls may be made meanwhile.
+        """Stores a snapshot durably.
+
+        Args:
+            group: Name of the group.
+            index: Index of the last log entry included in the snapshot.
+            state: Serialized state.
+            pause: Called between the steps of a long write, so that other
+                calls of the log can run in between.
         """
 
     def load_snapshot(self, group: str, index: int) -> bytes:
         """Returns the state of a stored snapshot.
 
         Raises:
-            errors.StorageDamaged: The file is missing or damaged.
+            errors.StorageDamaged: The file is missing or corrupt.
         """
 
     def drop_snapshots(self, group: str, below: int) -> None:
-        """Removes the group's snapshots with a lower index."""
+        """Deletes the group's snapshots with an index lower than `below`."""
 
     def close(self) -> None:
-        """Syncs and closes the files."""
+        """Syncs and closes the log's files."""
 
 
 class DiskWorker(Protocol):
-    """Runs calls of the disk one after the other."""
+    """Runs blocking disk operations, one at a time."""
 
     def run(self, function: Callable[..., Any], *args: Any) -> Any:
-        """Returns what the function returns, or raises what it raises.
+        """Runs a function; returns its result or raises its exception.
 
-        Only the calling green thread waits, where the worker has a thread of
-        its own.
+        If the worker has a thread of its own, only the calling green thread
+        waits; see `blocks_caller`.
         """
 
     def pause(self) -> None:
-        """Lets other work go on in the middle of a long call."""
+        """Runs other work that is due; to be called within a long operation."""
 
     def blocks_caller(self) -> bool:
-        """Tells whether the caller's whole thread waits in `run`."""
+        """Returns whether `run` blocks the caller's whole thread."""
 
     def close(self) -> None:
-        """Ends what `run` works with; safe to repeat."""
+        """Releases the worker's resources; closing again has no effect."""
 
 
 class InlineWorker:
-    """Runs calls on the caller's own thread, which waits for the disk."""
+    """Runs operations on the caller's thread, which blocks."""
 
     def __init__(self, pause: Callable[[], None] = lambda: None) -> None:
         self.pause = pause
@@ -120,21 +126,33 @@
         return True
 
     def close(self) -> None:
-        """Has nothing to end."""
+        """Does nothing; there are no resources to release."""
 
     def run(self, function: Callable[..., Any], *args: Any) -> Any:
-        """Calls the function."""
+        """Calls the function and returns its result."""
         return function(*args)
 
 
 class Disk(Protocol):
-    """The calls that can fail on a disk; tests inject failures here."""
+    """The disk operations that can fail; tests inject failures here."""
 
     def write(self, descriptor: int, data: bytes) -> None:
-        """Writes all bytes, or raises OSError."""
+        """Writes all bytes.
+
+        Raises:
+            OSError: The write failed.
+        """
 
     def sync(self, descriptor: int) -> None:
-        """Syncs a file, or raises OSError."""
+        """Syncs a file.
+
+        Raises:
+            OSError: The sync failed.
+        """
 
     def sync_directory(self, path: pathlib.Path) -> None:
-        """Syncs the entries of a directory, or raises OSError."""
+        """Syncs the entries of a directory.
+
+        Raises:
+            OSError: The sync failed.
+        """
