--- a/src/mintcleat/programs/branches.py
+++ b/src/mintcleat/programs/branches.py
@@ -1,16 +1,17 @@
-"""Programs whose turns go on from a named turn: a tree, not a line.
+"""Programs whose turns form a tree: a turn may continue any earlier turn.
 
-Such a program is opened by its first turn. Its turns are opaque: what went in
-and what came out, repeated before the input of each turn that goes on from
-them. Sub-agents and several continuations of one turn share the chain before
-them. Budgets count tokens that were handed out; a turn holds the most it can
-hand out from before it runs until it is settled, so that a crash between the
-two can only leave too much held, never too little.
+Such a program is created by its first turn. The input and the output of a turn
+are opaque bytes. They are handed out with each turn that continues them, so
+sub-agents and alternative continuations of one turn share the turns before it.
+
+Budgets count the tokens that were delivered to callers. An open turn reserves
+the most tokens that it can deliver, from before it runs until it is closed. A
+crash in between can thus leave too many tokens reserved, but never too few.
 
 Programs and turns belong to a customer. Callers choose their ids, so two
-customers may choose the same one, and one may name a turn that it has only
-heard of: each sees its own alone, and another's turn is like one that never
-was.
+customers may choose the same one, and a customer may name a turn id that it
+has only heard of. Each customer sees its own programs and turns alone; those
+of others are reported as unknown.
 """
 
 import collections
@@ -23,43 +24,44 @@
 from mintcleat.domain import program_messages
 from mintcleat.programs import limits
 
-# A caller's own time ends later than the last command of the group by the way
-# of an answer, and a new leader's clock goes on from the last command.
-RETENTION_SLACK = 15.0
-# Turns that were settled and whose opening may still be on its way. Both are
-# sent within the deadline of one request; a program has few in that time.
-SETTLED_KEPT = 64
-# Place in the state of what releases without limits do not write.
-_LIMITS = 3
-# Turns and programs that one sweep drops, so that it holds the loop briefly.
+# Added to the retention that an entry asks for: a caller counts it from the
+# arrival of the answer, and a new leader's clock starts at the last command.
+RETENTION_SLACK_SECONDS = 15.0
+# Closed turns that an account remembers, in case the OpenTurn arrives after the
+# CloseTurn. Both are sent within the deadline of one request, and a program has
+# few turns in that time.
+MAX_SETTLED_TURNS = 64
+# Index of the limits in `Branches.state`; releases without limits end before.
+_LIMITS_INDEX = 3
+# Turns and accounts that one sweep deletes, so as not to stall the event loop.
 MAX_DROPS = 2000
-# Between two sweeps; memory that is due for so long is of no account.
-SWEEP_SECONDS = 10.0
+# The memory of what expires between two sweeps is negligible.
+SWEEP_INTERVAL_SECONDS = 10.0
 
 
 class ScopedId(NamedTuple):
-    """A program or a turn, under the customer that chose its id."""
+    """Id of a program or a turn, unique together with its customer."""
 
     customer: str
     name: str
 
 
 class Account:
-    """One program's tokens.
+    """Token account of one program.
 
     Attributes:
-        budget: Tokens that may be handed out; 0 for no limit.
-        spent: Tokens of settled turns.
-        held: Most tokens of each turn under way.
-        settled: Turns settled lately, oldest first.
-        upstream: Where the program ran last.
-        expires: Clock at which the account may go.
+        budget: Tokens that may be delivered in total; 0 for no limit.
+        spent: Tokens delivered by settled turns.
+        reserved: Tokens reserved by each open turn, by turn id.
+        settled: Ids of recently settled turns, the oldest first.
+        upstream: Upstream that ran the program's last turn; empty for none.
+        expires: Group clock after which the account may be deleted.
     """
 
     def __init__(self) -> None:
         self.budget = 0
         self.spent = 0
-        self.held: dict[str, int] = {}
+        self.reserved: dict[str, int] = {}
         self.settled: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
@@ -67,27 +69,31 @@
         self.expires = 0.0
 
     def settle(self, turn: str, tokens: int) -> None:
-        """Replaces what a turn holds by what it used; once."""
-        self.held.pop(turn, None)
+        """Replaces a turn's reservation by the tokens it delivered.
+
+        Settling a turn again has no effect.
+        """
+        self.reserved.pop(turn, None)
         if turn in self.settled:
             return
         self.spent += tokens
         self.settled[turn] = None
-        while len(self.settled) > SETTLED_KEPT:
+        while len(self.settled) > MAX_SETTLED_TURNS:
             self.settled.popitem(last=False)
 
 
 class Branches:
-    """Accounts and kept turns of one group.
+    """Accounts and finished turns of one group.
 
     Attributes:
-        accounts: By program, the longest untouched first. They are kept for
-            about as long each, so they leave in about this order.
-        turns: Kept turns. A program may go on from a turn of another one of
-            its customer.
-        expires: Clock at which each kept turn may go, the first one first.
-        swept: Clock of the last sweep.
-        limits: What customers have sent lately.
+        limits: Requests that customers have sent recently.
+        accounts: Accounts by program, the least recently used first. All
+            have a similar retention, so they expire in about this order.
+        turns: Finished turns by id. A program may continue a turn of another
+            program of its customer.
+        expires: Group clock after which each finished turn may be deleted,
+            the earliest first.
+        last_sweep: Group clock of the last sweep.
     """
 
     def __init__(self) -> None:
@@ -99,32 +105,45 @@
         self.expires: collections.OrderedDict[ScopedId, float] = (
             collections.OrderedDict()
         )
-        self.swept = 0.0
+        self.last_sweep = 0.0
 
     def open(self, request: program_messages.OpenTurn, clock: float) -> Any:
-        """Reserves the tokens of a turn, and returns what it goes on from."""
+        """Opens a turn: reserves its tokens and counts its request.
+
+        Opening an open turn again has no effect.
+
+        Returns:
+            A TurnOpened with the turns that this one continues, or the error
+            that refuses it.
+        """
         chain = chain_of(self.turns, request.customer, request.previous)
         if chain is None:
-            return errors.UnknownTurn(f"No turn {request.previous}.")
+            return errors.UnknownTurn(
+                f"Turn {request.previous} does not exist or has expired."
+            )
         account = self._account(request, clock)
         account.budget = request.budget
         if request.turn in account.settled:
-            # Its sender gave it up before this copy arrived.
-            return errors.Superseded(f"Turn {request.turn} was given up.")
+            # Its sender has already settled it; this message is a late copy.
+            return errors.Superseded(
+                f"Turn {request.turn} is already settled; use a new turn id."
+            )
         counted, ahead = -1.0, 0
-        if request.turn not in account.held:
-            left = account.budget - account.spent - sum(account.held.values())
-            if account.budget and request.reserve > left:
+        if request.turn not in account.reserved:
+            tokens_left = (
+                account.budget - account.spent - sum(account.reserved.values())
+            )
+            if account.budget and request.reserve > tokens_left:
                 return errors.BudgetExhausted(
-                    f"The turn may need {request.reserve} tokens and "
-                    f"{max(left, 0)} are left."
+                    f"The turn reserves {request.reserve} tokens, but only "
+                    f"{max(tokens_left, 0)} of the budget are left."
                 )
-            over = self.limits.admit(
+            refusal = self.limits.admit(
                 request.customer, request.program, request.limit, clock
             )
-            if over is not None:
-                return over
-            account.held[request.turn] = request.reserve
+            if refusal is not None:
+                return refusal
+            account.reserved[request.turn] = request.reserve
             if request.limit is not None:
                 counted = clock
             ahead = self.limits.count_ahead(
@@ -137,28 +156,38 @@
         )
 
     def count(self, request: program_messages.CountCall, clock: float) -> Any:
-        """Counts a request that opens no turn, or refuses it."""
-        over = self.limits.admit(
+        """Counts a request that opens no turn against its customer's limit.
+
+        Returns:
+            A CallCounted, or the error that refuses the request.
+        """
+        refusal = self.limits.admit(
             request.customer, request.program, request.limit, clock
         )
-        if over is not None:
-            return over
+        if refusal is not None:
+            return refusal
         ahead = self.limits.count_ahead(
             request.customer, request.ahead, request.limit, clock
         )
         return program_messages.CallCounted(ahead)
 
     def close(self, request: program_messages.CloseTurn, clock: float) -> Any:
-        """Settles a turn, and keeps it where it ended whole."""
+        """Settles a turn, and keeps it to be continued if `keep` is set.
+
+        Returns:
+            A Done, or UnknownTurn if the turn before it is not kept any more.
+        """
         account = self._account(request, clock)
-        if request.counted >= 0 and request.turn in account.held:
+        if request.counted >= 0 and request.turn in account.reserved:
             self.limits.refund(request.customer, request.counted)
         account.settle(request.turn, request.tokens)
         account.upstream = request.upstream or account.upstream
         if not request.keep:
             return identities.Done()
         if chain_of(self.turns, request.customer, request.previous) is None:
-            return errors.UnknownTurn(f"No turn {request.previous}.")
+            return errors.UnknownTurn(
+                f"Turn {request.previous} does not exist or has expired."
+            )
         key = ScopedId(request.customer, request.turn)
         self.turns[key] = program_messages.KeptTurn(
             request.turn,
@@ -168,20 +197,20 @@
             request.upstream,
             request.customer,
         )
-        self._keep_chain(request, clock)
+        self._renew_chain(request, clock)
         return identities.Done()
 
     def is_due(self, clock: float) -> bool:
-        """Tells whether a sweep at `clock` would drop anything."""
-        if clock - self.swept < SWEEP_SECONDS:
+        """Returns whether a sweep at `clock` would delete anything."""
+        if clock - self.last_sweep < SWEEP_INTERVAL_SECONDS:
             return False
         turn = next(iter(self.expires.values()), clock)
         account = next(iter(self.accounts.values()), None)
         return turn < clock or (account is not None and account.expires < clock)
 
     def sweep(self, clock: float) -> None:
-        """Drops turns and accounts whose retention is over."""
-        self.swept = clock
+        """Deletes expired turns and accounts, MAX_DROPS of each at most."""
+        self.last_sweep = clock
         for _ in range(MAX_DROPS):
             name = next(iter(self.expires), None)
             if name is None or self.expires[name] >= clock:
@@ -195,15 +224,15 @@
             del self.accounts[name]
 
     def state(self) -> list[Any]:
-        """Returns everything as plain data."""
+        """Returns the state as a list that msgpack can encode."""
         return [
-            self.swept,
+            self.last_sweep,
             [
                 [
                     key.name,
                     account.budget,
                     account.spent,
-                    account.held,
+                    account.reserved,
                     list(account.settled),
                     account.upstream,
                     account.expires,
@@ -219,23 +248,27 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Takes what `state` returned."""
+        """Replaces the state by one that `state` returned."""
         self.__init__()
-        self.swept = state[0]
+        self.last_sweep = state[0]
         for (
             name,
             budget,
             spent,
-            held,
+            reserved,
             settled,
             upstream,
             expires,
             *owner,
         ) in state[1]:
-            # Releases without customers end before the owner.
+            # Accounts of releases without customers have no such field.
             key = ScopedId(owner[0] if owner else "", name)
             account = self.accounts[key] = Account()
-            account.budget, account.spent, account.held = budget, spent, held
+            account.budget, account.spent, account.reserved = (
+                budget,
+                spent,
+                reserved,
+            )
             account.settled.update(dict.fromkeys(settled))
             account.upstream, account.expires = upstream, expires
         for until, *fields in state[2]:
@@ -243,13 +276,14 @@
             turn = ScopedId(kept.customer, kept.turn)
             self.turns[turn] = kept
             self.expires[turn] = until
-        if len(state) > _LIMITS:
-            self.limits.load(state[_LIMITS])
+        if len(state) > _LIMITS_INDEX:
+            self.limits.load(state[_LIMITS_INDEX])
 
-    def _keep_chain(
+    def _renew_chain(
         self, request: program_messages.CloseTurn, clock: float
     ) -> None:
-        until = clock + request.retention + RETENTION_SLACK
+        """Extends the retention of a turn and of all turns before it."""
+        until = clock + request.retention + RETENTION_SLACK_SECONDS
         turn = request.turn
         while turn:
             key = ScopedId(request.customer, turn)
@@ -263,12 +297,12 @@
         request: program_messages.OpenTurn | program_messages.CloseTurn,
         clock: float,
     ) -> Account:
-        """Returns the account of a turn's program; keeps it from now on."""
+        """Returns a program's account, created if missing, and renews it."""
         key = ScopedId(request.customer, request.program)
         account = self.accounts.get(key)
         if account is None:
             account = self.accounts[key] = Account()
-        until = clock + request.retention + RETENTION_SLACK
+        until = clock + request.retention + RETENTION_SLACK_SECONDS
         account.expires = max(account.expires, until)
         self.accounts.move_to_end(key)
         return account
@@ -279,12 +313,14 @@
     customer: str,
     turn: str,
 ) -> list[program_messages.KeptTurn] | None:
-    """Returns a customer's turn and all before it; None if one lacks.
+    """Returns a turn of a customer and all turns before it.
 
-    A chain is kept as a whole: each turn that ends renews all before it.
+    Each finished turn extends the retention of all turns before it, so a
+    chain is either complete or has expired.
 
     Returns:
-        The oldest turn first; nothing for no turn.
+        The turns, the oldest first; an empty list if `turn` is empty; None if
+        the turn or one before it does not exist.
     """
     found = []
     while turn:
--- a/testing/test_branches.py
+++ b/testing/test_branches.py
@@ -1,4 +1,4 @@
-"""Programs whose turns go on from a named turn."""
+"""Programs whose turns continue a named turn."""
 
 import msgpack
 import testtools
@@ -8,8 +8,8 @@
 from mintcleat.domain import program_messages
 from mintcleat.programs import branches
 
-# The program of nobody in particular.
-OWN = branches.ScopedId("", "p")
+# Program "p" of no customer.
+PROGRAM = branches.ScopedId("", "p")
 
 
 def opening(turn: str, previous: str = "", **fields: object) -> object:
@@ -43,13 +43,13 @@
         found = self.group.open(opening("x", previous, budget=0), at)
         return [kept.input for kept in found.chain]
 
-    def test_turn_goes_on_from_the_whole_chain_oldest_first(self) -> None:
+    def test_turn_gets_the_whole_chain_oldest_first(self) -> None:
         self.run_turn("a")
         self.run_turn("b", "a")
         self.run_turn("c", "b")
         self.assertEqual([b"a", b"b", b"c"], self.chain("c"))
 
-    def test_several_turns_go_on_from_one(self) -> None:
+    def test_several_turns_may_continue_one(self) -> None:
         self.run_turn("a")
         self.run_turn("b", "a")
         self.run_turn("c", "a")
@@ -61,22 +61,23 @@
         found = self.group.open(opening("b", "a", holds_chain=True), 0.0)
         self.assertEqual(program_messages.TurnOpened([], "u1"), found)
 
-    def test_turn_that_never_ended_whole_can_not_be_continued(self) -> None:
+    def test_incomplete_turn_cannot_be_continued(self) -> None:
         self.group.open(opening("a"), 0.0)
         self.group.close(closing("a", keep=False), 0.0)
         found = self.group.open(opening("b", "a"), 0.0)
         self.assertIsInstance(found, errors.UnknownTurn)
 
-    def test_another_customers_turn_is_one_that_never_was(self) -> None:
-        # Whoever heard of a turn's id was handed the whole conversation.
+    def test_turn_of_another_customer_is_unknown(self) -> None:
+        # Guards against handing out a whole conversation to anybody who knows
+        # the id of a turn.
         self.group.open(opening("a", customer="farmers"), 0.0)
         self.group.close(closing("a", customer="farmers"), 0.0)
-        stolen = self.group.open(opening("b", "a", customer="studios"), 0.0)
-        self.assertIsInstance(stolen, errors.UnknownTurn)
+        foreign = self.group.open(opening("b", "a", customer="studios"), 0.0)
+        self.assertIsInstance(foreign, errors.UnknownTurn)
         own = self.group.open(opening("b", "a", customer="farmers"), 0.0)
         self.assertEqual([b"a"], [kept.input for kept in own.chain])
 
-    def test_two_customers_may_choose_one_id(self) -> None:
+    def test_two_customers_may_choose_the_same_id(self) -> None:
         for customer, output in (("farmers", b"1"), ("studios", b"2")):
             fields = {"customer": customer}
             self.group.open(opening("a", **fields), 0.0)
@@ -85,14 +86,14 @@
         found = self.group.open(opening("b", "a", customer="farmers"), 0.0)
         self.assertEqual([b"1"], [kept.output for kept in found.chain])
 
-    def test_budget_is_the_customers_own(self) -> None:
+    def test_customers_with_the_same_id_have_separate_budgets(self) -> None:
         self.group.open(opening("a", reserve=100, customer="farmers"), 0.0)
         other = self.group.open(
             opening("b", reserve=100, customer="studios"), 0.0
         )
         self.assertIsInstance(other, program_messages.TurnOpened)
 
-    def test_records_of_a_release_without_customers_are_read(self) -> None:
+    def test_state_of_releases_without_customers_is_loaded(self) -> None:
         state = [
             0.0,
             [["p", 100, 60, {"t": 40}, ["s"], "u1", 99.0]],
@@ -103,20 +104,20 @@
         spent = self.group.open(opening("c", reserve=1), 0.0)
         self.assertIsInstance(spent, errors.BudgetExhausted)
 
-    def test_another_program_may_go_on_from_a_turn(self) -> None:
-        # A caller that lost its program, its process or its machine starts a
-        # new program from the last turn that it knows. Turns that were found
-        # under their own program's id only were answered "no such turn".
+    def test_another_program_may_continue_a_turn(self) -> None:
+        # A caller that lost its program, process or machine starts a new
+        # program from the last turn that it knows. Guards against looking turns
+        # up under their own program only, which would report them as unknown.
         self.run_turn("a")
         self.run_turn("b", "a")
         other = opening("c", "b")._replace(program="q")
         found = self.group.open(other, 0.0)
         self.assertEqual([b"a", b"b"], [kept.input for kept in found.chain])
         self.group.close(closing("c", "b")._replace(program="q"), 50.0)
-        self.group.sweep(60.0 + branches.RETENTION_SLACK + 1.0)
+        self.group.sweep(60.0 + branches.RETENTION_SLACK_SECONDS + 1.0)
         self.assertEqual([b"a", b"b", b"c"], self.chain("c", 76.0))
 
-    def test_turn_under_way_holds_the_most_that_it_can_use(self) -> None:
+    def test_open_turn_reserves_the_most_it_can_use(self) -> None:
         self.group.open(opening("a"), 0.0)
         self.group.open(opening("b"), 0.0)
         refused = self.group.open(opening("c"), 0.0)
@@ -131,35 +132,35 @@
             self.group.open(opening("a"), 0.0)
         for _ in range(3):
             self.group.close(closing("a", tokens=30), 0.0)
-        self.assertEqual(30, self.group.accounts[OWN].spent)
-        self.assertEqual({}, self.group.accounts[OWN].held)
+        self.assertEqual(30, self.group.accounts[PROGRAM].spent)
+        self.assertEqual({}, self.group.accounts[PROGRAM].reserved)
 
-    def test_opening_that_arrives_after_its_settling_holds_nothing(
+    def test_turn_opened_after_it_was_closed_reserves_nothing(
         self,
     ) -> None:
-        # An entry gave up on a slow leader, told its caller "not run" and
-        # settled the turn through the next leader. The first copy of the
-        # opening commits after that; nobody would ever settle it.
+        # An entry gives up on a slow leader, tells its caller "not run" and
+        # closes the turn at the next leader. The OpenTurn sent first commits
+        # after that; its reservation would never be settled.
         self.group.close(closing("a", tokens=0, keep=False), 0.0)
         late = self.group.open(opening("a"), 0.0)
         self.assertIsInstance(late, errors.Superseded)
-        self.assertEqual({}, self.group.accounts[OWN].held)
+        self.assertEqual({}, self.group.accounts[PROGRAM].reserved)
 
-    def test_chain_is_kept_from_the_end_of_its_last_turn(self) -> None:
+    def test_retention_of_a_chain_starts_at_its_last_turn(self) -> None:
         self.run_turn("a", at=0.0)
         self.run_turn("b", "a", at=50.0)
-        self.group.sweep(0.0 + 60.0 + branches.RETENTION_SLACK + 1.0)
+        self.group.sweep(0.0 + 60.0 + branches.RETENTION_SLACK_SECONDS + 1.0)
         self.assertEqual([b"a", b"b"], self.chain("b", 76.0))
 
-    def test_sweep_drops_what_is_over(self) -> None:
+    def test_sweep_deletes_expired_turns_and_accounts(self) -> None:
         self.run_turn("a")
-        late = 60.0 + branches.RETENTION_SLACK + 0.1
+        late = 60.0 + branches.RETENTION_SLACK_SECONDS + 0.1
         self.assertTrue(self.group.is_due(late))
         self.group.sweep(late)
         self.assertEqual({}, self.group.turns)
         self.assertEqual({}, self.group.accounts)
 
-    def test_state_comes_back_whole(self) -> None:
+    def test_loaded_state_equals_the_saved_state(self) -> None:
         self.run_turn("a")
         self.run_turn("b", "a")
         self.group.open(opening("c", "b"), 3.0)
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -1,4 +1,4 @@
-"""Customers' limits: the count, who is refused, and what entries hold ahead."""
+"""Customers' limits: counting, refusals and requests counted ahead."""
 
 import math
 import random
@@ -31,98 +31,110 @@
 class CountTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.held = limits.CustomerLimits()
+        self.counts = limits.CustomerLimits()
 
-    def take(self, clock: float, program: str = "p", limit: Any = SMALL) -> Any:
-        return self.held.admit("farmers", program, limit, clock)
+    def admit(
+        self, clock: float, program: str = "p", limit: Any = SMALL
+    ) -> Any:
+        return self.counts.admit("farmers", program, limit, clock)
 
-    def spend(self, clock: float, limit: Any = SMALL) -> int:
+    def exhaust(self, clock: float, limit: Any = SMALL) -> int:
         count = 0
-        while self.take(clock, limit=limit) is None:
+        while self.admit(clock, limit=limit) is None:
             count += 1
         return count
 
     def test_window_holds_rate_and_burst(self) -> None:
-        self.assertEqual(60, self.spend(0.0))
-        self.assertEqual(0, self.spend(4.9))
-        self.assertEqual(60, self.spend(5.3))
+        self.assertEqual(60, self.exhaust(0.0))
+        self.assertEqual(0, self.exhaust(4.9))
+        self.assertEqual(60, self.exhaust(5.3))
 
     def test_customer_without_a_limit_is_never_refused(self) -> None:
         for _ in range(1000):
-            self.assertIsNone(self.take(0.0, limit=None))
+            self.assertIsNone(self.admit(0.0, limit=None))
 
-    def test_programs_under_way_may_use_the_tolerance(self) -> None:
-        # Demand comes in lumps: refused at the limit, turns in the middle of
-        # programs failed on days on which no window was too full.
-        self.assertEqual(60 + 19, self.spend(0.0, TOLERANT))
-        begins = self.take(0.0, "q", TOLERANT)
+    def test_active_programs_may_use_the_tolerance(self) -> None:
+        # Guards against programs that fail in the middle because a short burst
+        # exceeds the limit although no window exceeds the tolerance.
+        self.assertEqual(60 + 19, self.exhaust(0.0, TOLERANT))
+        begins = self.admit(0.0, "q", TOLERANT)
         self.assertIsInstance(begins, errors.LimitNear)
 
-    def test_other_customers_are_not_touched(self) -> None:
-        self.spend(0.0)
-        self.assertIsNone(self.held.admit("studios", "p", SMALL, 0.0))
+    def test_other_customers_are_not_affected(self) -> None:
+        self.exhaust(0.0)
+        self.assertIsNone(self.counts.admit("studios", "p", SMALL, 0.0))
 
-    def test_refusal_tells_when_to_come_back(self) -> None:
+    def test_refused_request_is_admitted_after_retry_after(self) -> None:
         for clock in range(60):
-            self.take(clock / 20)
-        refused = self.take(3.0)
+            self.admit(clock / 20)
+        refused = self.admit(3.0)
         self.assertIsInstance(refused, errors.LimitReached)
-        self.assertIsNone(self.take(3.0 + refused.retry_after))
+        self.assertIsNone(self.admit(3.0 + refused.retry_after))
 
-    def test_lower_limit_binds_what_was_sent_before(self) -> None:
-        self.spend(0.0)
+    def test_lowered_limit_counts_requests_sent_before(self) -> None:
+        self.exhaust(0.0)
         lower = SMALL._replace(rate=1.0, burst=1.0)
-        self.assertEqual(0, self.spend(4.0, lower))
-        self.assertEqual(6, self.spend(5.3, lower))
-
-    def test_request_that_ran_nowhere_is_given_back(self) -> None:
-        self.spend(0.0)
-        self.held.refund("farmers", 0.0)
-        self.assertEqual(1, self.spend(0.1))
-
-    def test_limit_below_one_request_still_lets_one_through(self) -> None:
-        self.assertEqual(1, self.spend(0.0, SMALL._replace(rate=0.1, burst=0)))
-
-    def test_requests_ahead_are_few_and_never_near_the_limit(self) -> None:
-        self.take(0.0)
-        self.assertEqual(6, self.held.count_ahead("farmers", 50, TOLERANT, 0.0))
-        self.assertEqual(0, self.held.count_ahead("farmers", 50, TOLERANT, 0.5))
-        while self.held.usages["farmers"].used < 50:
-            self.take(2.0)
-        self.assertEqual(0, self.held.count_ahead("farmers", 50, TOLERANT, 2.0))
-        self.assertEqual(0, self.held.count_ahead("farmers", 50, SMALL, 2.0))
-
-    def test_state_of_idle_customers_leaves(self) -> None:
+        self.assertEqual(0, self.exhaust(4.0, lower))
+        self.assertEqual(6, self.exhaust(5.3, lower))
+
+    def test_refunded_request_frees_its_place(self) -> None:
+        self.exhaust(0.0)
+        self.counts.refund("farmers", 0.0)
+        self.assertEqual(1, self.exhaust(0.1))
+
+    def test_limit_below_one_request_admits_one(self) -> None:
+        self.assertEqual(
+            1, self.exhaust(0.0, SMALL._replace(rate=0.1, burst=0))
+        )
+
+    def test_few_requests_are_counted_ahead_and_none_near_the_limit(
+        self,
+    ) -> None:
+        self.admit(0.0)
+        self.assertEqual(
+            6, self.counts.count_ahead("farmers", 50, TOLERANT, 0.0)
+        )
+        self.assertEqual(
+            0, self.counts.count_ahead("farmers", 50, TOLERANT, 0.5)
+        )
+        while self.counts.usages["farmers"].used < 50:
+            self.admit(2.0)
+        self.assertEqual(
+            0, self.counts.count_ahead("farmers", 50, TOLERANT, 2.0)
+        )
+        self.assertEqual(0, self.counts.count_ahead("farmers", 50, SMALL, 2.0))
+
+    def test_idle_customers_are_forgotten(self) -> None:
         for number in range(4200):
-            self.held.admit(f"c{number}", "p", SMALL, 0.0)
+            self.counts.admit(f"c{number}", "p", SMALL, 0.0)
         for number in range(4200):
-            self.held.admit("farmers", "p", SMALL, 200.0 + number / 1000)
-        self.assertEqual(["farmers"], list(self.held.usages))
+            self.counts.admit("farmers", "p", SMALL, 200.0 + number / 1000)
+        self.assertEqual(["farmers"], list(self.counts.usages))
 
-    def test_state_goes_on_after_a_snapshot(self) -> None:
-        self.spend(1.0)
+    def test_loaded_snapshot_continues_the_count(self) -> None:
+        self.exhaust(1.0)
         copy = limits.CustomerLimits()
-        copy.load(self.held.state())
-        self.assertEqual(self.held.state(), copy.state())
+        copy.load(self.counts.state())
+        self.assertEqual(self.counts.state(), copy.state())
         self.assertIsNotNone(copy.admit("farmers", "p", SMALL, 2.0))
 
 
 class GroupTest(testtools.TestCase):
-    """Counting with the turns, as the replicated group does it."""
+    """Requests that are counted by the commands that open turns."""
 
     def setUp(self) -> None:
         super().setUp()
         self.group = branches.Branches()
         self.one = SMALL._replace(rate=0.0, burst=1.0)
 
-    def test_turn_is_counted_once_however_often_it_is_sent(self) -> None:
+    def test_resent_turn_is_counted_once(self) -> None:
         for _ in range(3):
             found = self.group.open(opening("a", self.one), 0.0)
             self.assertIsInstance(found, program_messages.TurnOpened)
         refused = self.group.open(opening("b", self.one), 0.0)
         self.assertIsInstance(refused, errors.LimitReached)
 
-    def test_turn_that_ran_nowhere_counts_no_more(self) -> None:
+    def test_turn_that_did_not_run_is_uncounted(self) -> None:
         found = self.group.open(opening("a", self.one), 0.0)
         self.group.close(
             program_messages.CloseTurn(
@@ -133,7 +145,7 @@
         found = self.group.open(opening("b", self.one), 0.0)
         self.assertIsInstance(found, program_messages.TurnOpened)
 
-    def test_turn_that_is_refused_for_its_budget_is_not_counted(self) -> None:
+    def test_turn_refused_for_its_budget_is_not_counted(self) -> None:
         poor = opening("a", self.one)._replace(budget=1, reserve=2)
         self.assertIsInstance(
             self.group.open(poor, 0.0), errors.BudgetExhausted
@@ -141,9 +153,9 @@
         found = self.group.open(opening("b", self.one), 0.0)
         self.assertIsInstance(found, program_messages.TurnOpened)
 
-    def test_new_leader_goes_on_with_the_count(self) -> None:
-        # Counts in a leader's memory began anew with each leader, and a
-        # customer had its whole limit once more after every loss.
+    def test_new_leader_continues_the_count(self) -> None:
+        # Guards against counts that are kept in the leader's memory only: a
+        # customer would get its whole limit again after each change of leader.
         self.group.open(opening("a", self.one), 0.0)
         successor = branches.Branches()
         successor.load(self.group.state())
@@ -152,7 +164,7 @@
 
 
 class Sender:
-    """An entry that may freeze between a count and the sending of it."""
+    """An entry that may freeze between counting a request and sending it."""
 
     def __init__(self) -> None:
         self.ahead = decisions.Ahead()
@@ -160,17 +172,18 @@
 
 
 class RandomSchedule:
-    """Entries before a group whose leader is lost, in virtual time.
+    """Random requests of entries to a group that loses leaders.
 
-    Limits are lowered and raised meanwhile; the leader counts by the newest.
-    Requests are counted by the group's clock, which stands still while nobody
-    leads and is never ahead of true time. What arrives is noted by true time.
+    The time is simulated. Limits are lowered and raised meanwhile, and the
+    leader applies the newest. Requests are counted by the group's clock, which
+    stops while there is no leader and is never ahead of the true time;
+    arrivals are recorded in true time.
     """
 
     def __init__(self, seed: int, *, replicated: bool = True) -> None:
         self.random = random.Random(seed)
         self.replicated = replicated
-        self.held = limits.CustomerLimits()
+        self.counts = limits.CustomerLimits()
         self.limit = program_messages.Limit(
             self.random.choice((1.0, 5.0, 20.0, 100.0)),
             float(self.random.choice((0, 1, 10, 100))),
@@ -210,10 +223,10 @@
         away = self.random.uniform(0.1, 1.0)
         self.leaderless_until = self.now + away
         self.lag += away
-        state = self.held.state()
-        self.held = limits.CustomerLimits()
+        state = self.counts.state()
+        self.counts = limits.CustomerLimits()
         if self.replicated:
-            self.held.load(state)
+            self.counts.load(state)
 
     def step(self, sender: Sender) -> None:
         if self.now < sender.frozen_until:
@@ -225,15 +238,17 @@
             return
         clock = self.now - self.lag
         program = f"p{self.random.randint(1, 3)}"
-        if self.held.admit("farmers", program, self.limit, clock) is None:
+        if self.counts.admit("farmers", program, self.limit, clock) is None:
             self.arrivals.append(self.now)
             wanted = self.random.randint(0, 3)
-            given = self.held.count_ahead("farmers", wanted, self.limit, clock)
+            given = self.counts.count_ahead(
+                "farmers", wanted, self.limit, clock
+            )
             until = self.now + limits.AHEAD_SECONDS
             sender.ahead.put("farmers", given, until)
 
     def exceeds(self) -> bool:
-        """Tells whether any window holds more than it may."""
+        """Returns whether any window holds more requests than allowed."""
         first = 0
         for last, at in enumerate(self.arrivals):
             while at - self.arrivals[first] >= WINDOW:
@@ -243,10 +258,11 @@
         return False
 
     def allowed(self, begin: float, end: float) -> float:
-        """Returns the requests that a window may hold.
+        """Returns the maximum number of requests in a window.
 
-        The largest limit in force in it counts, and before it for as long as
-        requests that were counted ahead may still be sent.
+        This is the largest limit, with its tolerance, in force within the
+        window or up to AHEAD_SECONDS before it, because requests that were
+        counted ahead may be sent that much later.
         """
         until = [*(at for at, _ in self.changes[1:]), math.inf]
         return max(
@@ -256,8 +272,8 @@
         )
 
 
-class DeafSchedule(RandomSchedule):
-    """A leader that hears of no change of the limit."""
+class StaleLimitSchedule(RandomSchedule):
+    """A schedule whose leader never learns of a changed limit."""
 
     def change(self) -> None:
         super().change()
@@ -265,13 +281,13 @@
 
 
 class ScheduleTest(testtools.TestCase):
-    def test_no_window_exceeds_the_limit_and_what_is_held_ahead(self) -> None:
+    def test_no_window_exceeds_the_limit_and_its_tolerance(self) -> None:
         for seed in range(300):
             schedule = RandomSchedule(seed)
             schedule.run(400)
             self.assertFalse(schedule.exceeds(), f"seed {seed}")
 
-    def test_the_check_finds_counts_that_die_with_their_leader(self) -> None:
+    def test_check_detects_counts_lost_with_the_leader(self) -> None:
         found = 0
         for seed in range(300):
             schedule = RandomSchedule(seed, replicated=False)
@@ -279,15 +295,15 @@
             found += schedule.exceeds()
         self.assertGreater(found, 10)
 
-    def test_the_check_finds_a_leader_that_keeps_the_first_limit(self) -> None:
+    def test_check_detects_a_leader_with_a_stale_limit(self) -> None:
         found = 0
         for seed in range(300):
-            schedule = DeafSchedule(seed)
+            schedule = StaleLimitSchedule(seed)
             schedule.run(400)
             found += schedule.exceeds()
         self.assertGreater(found, 10)
 
-    def test_entry_that_slept_sends_nothing_it_held_before(self) -> None:
+    def test_requests_counted_ahead_expire(self) -> None:
         ahead = decisions.Ahead()
         ahead.put("farmers", 3, until=1.0)
         self.assertTrue(ahead.take("farmers", 0.9))
@@ -295,10 +311,10 @@
 
 
 class Programs:
-    """Programs of one customer that come faster than its limit allows.
+    """Programs of one customer that begin at a share of its limit.
 
-    Each sends its requests one after the other, comes back when told to, and
-    fails with the fourth refusal of one request.
+    Each sends its requests one after the other and retries a refused request
+    after its `retry_after`. It fails at the fourth refusal of one request.
     """
 
     TRIES = 3
@@ -316,11 +332,11 @@
         self.rate = share * limit.most() / WINDOW
         self.limit = limit
         self.plain = plain
-        self.held = limits.CustomerLimits()
+        self.counts = limits.CustomerLimits()
         self.random = random.Random(seed)
 
     def play(self, seconds: float) -> tuple[int, int]:
-        """Returns the requests that ran, and those of programs that ended."""
+        """Returns the requests that ran, and those of completed programs."""
         due: list[tuple[float, int, int, int]] = []
         at, number = 0.0, 0
         while at < seconds:
@@ -331,10 +347,10 @@
         while due:
             due.sort()
             now, program, done, refused = due.pop(0)
-            # Without the distinction every request is one of a program that
-            # is under way.
+            # With `plain`, all requests count as those of one active program,
+            # so that new programs are not distinguished.
             name = "one" if self.plain else f"p{program}"
-            error = self.held.admit("farmers", name, self.limit, now)
+            error = self.counts.admit("farmers", name, self.limit, now)
             if error is None:
                 ran += 1
                 done += 1
@@ -356,9 +372,10 @@
         ]
         return sum(ran for ran, _ in found), sum(used for _, used in found)
 
-    def test_over_the_limit_programs_that_begin_are_finished(self) -> None:
-        # Plain counting refused turns in the middle; at four times the limit
-        # three quarters of what ran was of programs that failed later.
+    def test_above_the_limit_programs_that_begin_complete(self) -> None:
+        # Guards against refusals in the middle of programs: with plain counting
+        # at four times the limit, three quarters of the requests that ran
+        # belonged to programs that failed later.
         for share, gain in ((1.5, 1.1), (2.0, 1.3), (4.0, 2.0)):
             _, plain = self.played(share, True)
             ran, useful = self.played(share, False)
@@ -366,13 +383,13 @@
             if share <= 2.0:
                 self.assertGreater(useful, 0.8 * ran, share)
 
-    def test_below_the_limit_no_program_is_lost_to_the_caution(self) -> None:
+    def test_below_the_limit_as_many_programs_complete(self) -> None:
         for share in (0.3, 0.62):
             _, plain = self.played(share, True)
             _, useful = self.played(share, False)
             self.assertGreaterEqual(useful, 0.99 * plain, share)
 
-    def test_large_customer_at_most_of_its_limit_is_never_refused(
+    def test_large_customer_below_its_limit_loses_no_program(
         self,
     ) -> None:
         large = program_messages.Limit(200.0, 200.0, WINDOW)
@@ -381,7 +398,7 @@
 
 
 class FakeControl:
-    """A group that refuses a stated number of times."""
+    """A group that raises the given refusals before it admits requests."""
 
     groups = 1
 
@@ -400,7 +417,7 @@
 
 
 class FakeConfiguration:
-    """A configuration whose lease the test sets."""
+    """A configuration with a lease that the test sets."""
 
     def __init__(self, policies: manifest.Policies) -> None:
         self.held = manifest.Manifest(policies=policies)
@@ -429,12 +446,14 @@
             self.configuration,
         )
 
-    def test_customer_without_a_limit_costs_control_nothing(self) -> None:
+    def test_customer_without_a_limit_sends_nothing_to_control(self) -> None:
         self.allowances.take("studios", "p", "r")
         self.allowances.take("", "p", "r")
         self.assertEqual([], self.control.asked)
 
-    def test_request_counted_ahead_costs_nothing_until_it_ends(self) -> None:
+    def test_request_counted_ahead_needs_no_control_until_it_expires(
+        self,
+    ) -> None:
         for _ in range(3):
             self.allowances.take("farmers", "p", "r")
         self.assertEqual(1, len(self.control.asked))
@@ -443,35 +462,36 @@
         self.allowances.take("farmers", "p", "r")
         self.assertEqual(3, len(self.control.asked))
 
-    def test_short_wait_of_a_program_under_way_is_taken_here(self) -> None:
+    def test_active_program_waits_out_a_short_retry_after(self) -> None:
         self.control.refusals = [errors.LimitReached("", retry_after=0.2)]
         self.allowances.take("farmers", "p", "r")
         self.assertEqual(0.2, self.clock.now())
 
-    def test_long_wait_is_refused_at_once(self) -> None:
+    def test_long_retry_after_is_refused_immediately(self) -> None:
         self.control.refusals = [errors.LimitReached("", retry_after=2.0)]
         self.assertRaises(
             errors.LimitReached, self.allowances.take, "farmers", "p", "r"
         )
         self.assertEqual(0.0, self.clock.now())
 
-    def test_program_that_has_not_begun_is_sent_away_at_once(self) -> None:
+    def test_new_program_is_refused_immediately(self) -> None:
         self.control.refusals = [errors.LimitNear("", retry_after=0.2)]
         self.assertRaises(
             errors.LimitNear, self.allowances.take, "farmers", "p", "r"
         )
         self.assertEqual(0.0, self.clock.now())
 
-    def test_count_that_may_be_lost_is_a_true_not_run(self) -> None:
+    def test_count_of_unknown_outcome_is_reported_as_not_run(self) -> None:
         self.control.refusals = [errors.OutcomeUnknown("lost")]
         error = self.assertRaises(
             errors.ControlUnavailable, self.allowances.take, "farmers", "p", "r"
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
-    def test_entry_that_is_cut_off_sends_callers_away_soon(self) -> None:
-        # Held for as long as an election takes, each was late, though any
-        # other entry would have served it at once.
+    def test_entry_without_control_refuses_callers_quickly(self) -> None:
+        # Guards against an entry that has lost control and makes callers wait
+        # for as long as an election takes, though another entry could serve
+        # them immediately.
         self.allowances.take("farmers", "p", "r")
         self.configuration.left = 0.0
         self.clock.sleep(2.0)
