--- a/src/mintcleat/programs/__init__.py
+++ b/src/mintcleat/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The program record state machine, free of I/O."""
+"""The replicated state machine of program records; performs no I/O."""
--- a/src/mintcleat/programs/branches.py
+++ b/src/mintcleat/programs/branches.py
@@ -34,7 +34,7 @@
 # Index of the limits in `Branches.state`; releases without limits end before.
 _LIMITS_INDEX = 3
 # Turns and accounts that one sweep deletes, so as not to stall the event loop.
-MAX_DROPS = 2000
+MAX_DELETIONS = 2000
 # The memory of what expires between two sweeps is negligible.
 SWEEP_INTERVAL_SECONDS = 10.0
 
@@ -209,15 +209,15 @@
         return turn < clock or (account is not None and account.expires < clock)
 
     def sweep(self, clock: float) -> None:
-        """Deletes expired turns and accounts, MAX_DROPS of each at most."""
+        """Deletes expired turns and accounts, MAX_DELETIONS of each at most."""
         self.last_sweep = clock
-        for _ in range(MAX_DROPS):
+        for _ in range(MAX_DELETIONS):
             name = next(iter(self.expires), None)
             if name is None or self.expires[name] >= clock:
                 break
             del self.expires[name]
             del self.turns[name]
-        for _ in range(MAX_DROPS):
+        for _ in range(MAX_DELETIONS):
             name = next(iter(self.accounts), None)
             if name is None or self.accounts[name].expires >= clock:
                 break
--- a/src/mintcleat/programs/calls.py
+++ b/src/mintcleat/programs/calls.py
@@ -1,4 +1,4 @@
-"""Begin of calls: order of turns, at-most-once, attempts that only grow."""
+"""Beginning of calls: order of turns, at-most-once execution, attempts."""
 
 from typing import Any
 
@@ -16,37 +16,48 @@
 
 
 def begin(group: state.Group, request: program_messages.BeginCall) -> Any:
-    """Grants an attempt, or tells what became of this key before."""
+    """Grants an attempt for a new key, or returns the state of a known one.
+
+    Returns:
+        A Granted, Recorded or Underway, or the error that refuses the call.
+    """
     table = tables.key_table(group, request)
     if isinstance(table, errors.MintcleatError):
         return table
-    call = table.get(tables.slot(request))
+    call = table.get(tables.table_key(request))
     if call is not None:
-        return _resend(group, call, request)
+        return _begin_known_key(group, call, request)
     if not request.program:
         return _grant_new(group, table, request)
     program = group.programs[request.program]
     if request.turn and request.turn < program.next_turn:
-        return _past_turn(group, program, request)
+        return _answer_past_turn(group, program, request)
     if _is_past_key(program, request.key):
         return _key_conflict(request)
-    fault = _refusal(group, program, request)
-    if fault is not None:
-        return fault
+    refusal = _refusal(group, program, request)
+    if refusal is not None:
+        return refusal
     return _grant_new(group, table, request)
 
 
 def find(group: state.Group, request: program_messages.FindCall) -> Any:
-    """Tells what became of a key, for an entry that must refuse new work."""
+    """Looks a key up without granting an attempt.
+
+    Entries that must not accept new work answer resends in this way.
+
+    Returns:
+        A Recorded or Underway, the error of the call, or Done with `absent`
+        if the key is not known.
+    """
     table = tables.key_table(group, request)
     if isinstance(table, errors.MintcleatError):
         return table
-    call = table.get(tables.slot(request))
+    call = table.get(tables.table_key(request))
     if call is not None:
         return _outcome(group, call, request)
     program = group.programs.get(request.program)
     if program and request.turn and request.turn < program.next_turn:
-        return _past_turn(group, program, request)
+        return _answer_past_turn(group, program, request)
     return identities.Done("absent")
 
 
@@ -55,7 +66,7 @@
     call: records.Call,
     request: program_messages.BeginCall | program_messages.FindCall,
 ) -> Any:
-    """Returns what is known of a call, whatever may be granted next."""
+    """Returns the state of a call whose key is known."""
     if (call.digest, call.turn) != (request.digest, request.turn):
         return _key_conflict(request)
     match call.state:
@@ -66,35 +77,38 @@
             return errors.from_failure(call.failure)
         case records.UNKNOWN:
             return errors.OutcomeUnknown(
-                f"Attempt {call.attempt} of key {call.key} may have run."
+                f"Attempt {call.attempt} of key {call.key} may or may not have"
+                " run."
             )
     return program_messages.Underway(call.attempt, call.sidecar, call.address)
 
 
-def _resend(
+def _begin_known_key(
     group: state.Group,
     call: records.Call,
     request: program_messages.BeginCall,
 ) -> Any:
-    """Answers a begin whose key is known."""
+    """Answers a BeginCall whose key is known."""
     outcome = _outcome(group, call, request)
     is_open = call.state in (records.RUNNING, records.UNKNOWN)
     if not is_open or isinstance(outcome, errors.KeyConflict):
         return outcome
-    is_same = _is_same_sending(call, request)
+    is_same = _is_resend(call, request)
     if is_same and call.state == records.RUNNING:
         return _granted(group, call)
-    if not is_same and _may_retry(call, request):
-        return _grant_again(group, call, request)
+    if not is_same and _may_get_new_attempt(call, request):
+        return _grant_attempt(group, call, request)
     return outcome
 
 
-def _may_retry(call: records.Call, request: program_messages.BeginCall) -> bool:
-    """Tells whether the call may get a newer attempt.
+def _may_get_new_attempt(
+    call: records.Call, request: program_messages.BeginCall
+) -> bool:
+    """Returns whether the call may get another attempt.
 
-    A sealed attempt never runs, so any call may. Otherwise the old attempt
-    may have run, which only an idempotent call can stand, and the old one
-    must be past: settled as unknown, or its sidecar seen in a later life.
+    It may if the old attempt is sealed, since it will never run. Otherwise
+    the old attempt may have run, so the call must be idempotent, and the old
+    attempt must be over: settled as unknown, or its sidecar has restarted.
     """
     if request.sealed and request.sealed == call.attempt:
         return True
@@ -107,14 +121,14 @@
     return call.state == records.UNKNOWN or is_sidecar_gone
 
 
-def _is_same_sending(
-    call: records.Call, request: program_messages.BeginCall
-) -> bool:
-    """Tells a resend after a lost answer from another caller's begin.
+def _is_resend(call: records.Call, request: program_messages.BeginCall) -> bool:
+    """Returns whether a request resends the one that got the attempt.
 
-    Only the sender knows its nonce. Without it the sender would be told
-    that another attempt is under way, and nobody would run the call. Once
-    the attempt is past, a late copy gets no new one: nobody waits for it.
+    Such a request carries the same nonce, which only its sender knows, and is
+    granted the same attempt again: it was resent because the reply was lost.
+    Otherwise the sender would be told that an attempt is already under way,
+    and nobody would run the call. Once the attempt is over, a late copy gets
+    no new one, because nobody waits for it.
     """
     return bool(request.nonce) and (call.nonce, call.sidecar) == (
         request.nonce,
@@ -122,12 +136,12 @@
     )
 
 
-def _past_turn(
+def _answer_past_turn(
     group: state.Group,
     program: records.Program,
     request: program_messages.BeginCall | program_messages.FindCall,
 ) -> Any:
-    """Answers a begin of a finished turn from the history."""
+    """Answers a request for a finished turn from the history."""
     past = answers.load_turn(group, program.program, request.turn)
     if past.key == request.key:
         if past.request != request.digest:
@@ -140,15 +154,16 @@
 
 
 def _is_past_key(program: records.Program, key: str) -> bool:
-    """Tells whether a finished turn of the program had this key."""
-    return prefixes.count(program.past_keys, prefixes.of_key(key)) > 0
+    """Returns whether a finished turn of the program had this key."""
+    return prefixes.count(program.past_key_digests, prefixes.of_key(key)) > 0
 
 
 def _key_conflict(
     request: program_messages.BeginCall | program_messages.FindCall,
 ) -> errors.KeyConflict:
     return errors.KeyConflict(
-        f"Key {request.key} was used for another request."
+        f"Idempotency key {request.key} was used for a different request; use"
+        " a new key."
     )
 
 
@@ -156,8 +171,8 @@
     program: records.Program, request: program_messages.BeginCall
 ) -> errors.WrongTurn:
     return errors.WrongTurn(
-        f"Turn {request.turn} of {program.program} was sent;"
-        f" its next is {program.next_turn}."
+        f"Turn {request.turn} of program {program.program} is out of order;"
+        f" its next turn is {program.next_turn}."
     )
 
 
@@ -166,30 +181,32 @@
     program: records.Program,
     request: program_messages.BeginCall,
 ) -> errors.MintcleatError | None:
-    """Returns why a new key of a program gets no attempt, or None."""
+    """Returns the error if a new key must not get an attempt, or None."""
     if program.state != records.OPEN:
         return errors.ProgramClosed(
             f"Program {program.program} is {program.state}."
         )
-    if request.nonce and request.nonce == program.released:
-        # A copy that comes after its grant was given back: nobody waits for
-        # it any more, and a grant would hold the turn for nobody.
-        return errors.CallRunning("This sending was settled as not run.")
+    if request.nonce and request.nonce == program.released_nonce:
+        # This is a late copy of a request whose attempt was settled as not run.
+        # Nobody waits for it, so a new attempt would only block the turn.
+        return errors.CallRunning(
+            "The attempt of this request was already settled as not run."
+        )
     if request.turn:
         if request.turn != program.next_turn:
             return _wrong_turn(program, request)
-        if program.turn_key:
+        if program.open_turn_key:
             return errors.CallRunning(
-                f"Turn {request.turn} of {program.program} is held by another"
-                " key."
+                f"Turn {request.turn} of program {program.program} is under way"
+                " with another key."
             )
     if loops.is_loop(program, request.digest):
         return errors.LoopDetected(
-            f"Program {program.program} sent one call"
-            f" {program.repeat_limit} times."
+            f"Program {program.program} has sent the same call"
+            f" {program.repeat_limit} times, which is its repeat limit."
         )
     return budgets.check(
-        group.chain(program), request.turn, request.reserve, group.clock
+        group.lineage(program), request.turn, request.reserve, group.clock
     )
 
 
@@ -214,20 +231,22 @@
         nonce=request.nonce,
         touched=group.clock,
     )
-    table[tables.slot(request)] = call
+    table[tables.table_key(request)] = call
     if request.program:
         program = group.programs[request.program]
-        chain = group.chain(program)
-        call.reserved = budgets.reserve_of(chain, request.turn, request.reserve)
-        budgets.hold(chain, call)
-        loops.note(program, request.digest)
+        lineage = group.lineage(program)
+        call.reserved = budgets.tokens_to_reserve(
+            lineage, request.turn, request.reserve
+        )
+        budgets.reserve(lineage, call)
+        loops.record_call(program, request.digest)
         if request.turn:
-            program.turn_key = request.key
+            program.open_turn_key = request.key
     group.calls[call.number] = call
-    return _grant_again(group, call, request)
+    return _grant_attempt(group, call, request)
 
 
-def _grant_again(
+def _grant_attempt(
     group: state.Group,
     call: records.Call,
     request: program_messages.BeginCall,
@@ -251,15 +270,15 @@
             call.attempt, 0, digests.EMPTY, 0, 0, "", "", ""
         )
     program = group.programs[call.program]
-    chain = group.chain(program)
-    is_limited = any(ancestor.budget.tokens for ancestor in chain)
+    lineage = group.lineage(program)
+    is_limited = any(ancestor.budget.tokens for ancestor in lineage)
     return program_messages.Granted(
         attempt=call.attempt,
         base_turn=program.next_turn - 1,
         base_digest=program.digest,
-        attained=chain[-1].used,
+        attained=lineage[-1].used,
         tokens_left=call.reserved if is_limited else 0,
-        root=chain[-1].program,
+        root=lineage[-1].program,
         agent=program.agent,
         klass=program.klass,
     )
--- a/src/mintcleat/programs/checks.py
+++ b/src/mintcleat/programs/checks.py
@@ -1,7 +1,7 @@
-"""Checks of a request before it is proposed.
+"""Validation of requests before they are proposed to the log.
 
-What is in the log is applied by every replica; a value that no honest peer
-sends, such as a negative reservation, is refused before it gets there.
+Every replica applies what is in the log, so values that are out of range, such
+as a negative reservation, must be refused before.
 """
 
 import re
@@ -10,16 +10,16 @@
 from mintcleat.domain import errors
 from mintcleat.domain import program_messages
 
-MAX_KEY = 256
+MAX_KEY_LENGTH = 256
 _ID = re.compile(r"[A-Za-z0-9_~-][A-Za-z0-9_.~-]{0,199}")
 _DIGEST_BYTES = 16
 
 
 def check(request: Any) -> None:
-    """Refuses a request that no well-behaved peer sends.
+    """Checks that the fields of a request are in range.
 
     Raises:
-        errors.BadRequest: A field is out of its range.
+        errors.BadRequest: A field is out of range.
     """
     match request:
         case program_messages.CreateProgram():
@@ -30,10 +30,13 @@
             _check_key(request.key)
             _check_counts("turn and reserve", (request.turn, request.reserve))
             if request.turn and not request.program:
-                raise errors.BadRequest("A turn needs a program.")
+                raise errors.BadRequest(
+                    "A request with a turn number needs a program id."
+                )
             if len(request.digest) != _DIGEST_BYTES:
                 raise errors.BadRequest(
-                    f"The digest must have {_DIGEST_BYTES} bytes."
+                    f"The digest must have {_DIGEST_BYTES} bytes, but has"
+                    f" {len(request.digest)}."
                 )
         case program_messages.OpenTurn():
             _check_key(request.program)
@@ -59,31 +62,38 @@
             _check_key(request.key)
             outcomes = (errors.NOT_RUN, errors.UNKNOWN, errors.RAN)
             if request.outcome not in outcomes:
-                raise errors.BadRequest(f"{request.outcome!r} is no outcome.")
+                raise errors.BadRequest(
+                    f"The outcome must be one of {outcomes}, but is"
+                    f" {request.outcome!r}."
+                )
 
 
 def _check_id(program: str) -> None:
     if not _ID.fullmatch(program):
         raise errors.BadRequest(
-            "A program id has 1 to 200 letters, digits, '_', '-', '~' or"
-            " dots and does not start with a dot."
+            "A program id must consist of 1 to 200 letters, digits, '_', '-',"
+            " '~' or dots and must not start with a dot."
         )
 
 
 def _check_key(key: str) -> None:
-    if not 0 < len(key) <= MAX_KEY:
+    if not 0 < len(key) <= MAX_KEY_LENGTH:
         raise errors.BadRequest(
-            f"An idempotency key has 1 to {MAX_KEY} characters."
+            f"A key or an id must have 1 to {MAX_KEY_LENGTH} characters, but"
+            f" has {len(key)}."
         )
 
 
 def _check_customer(customer: str) -> None:
-    if len(customer) > MAX_KEY:
+    if len(customer) > MAX_KEY_LENGTH:
         raise errors.BadRequest(
-            f"A customer's name has {MAX_KEY} characters at most."
+            f"A customer's name must have {MAX_KEY_LENGTH} characters at most,"
+            f" but has {len(customer)}."
         )
 
 
 def _check_counts(name: str, values: tuple[float, ...]) -> None:
     if not all(0 <= value < 2**62 for value in values):
-        raise errors.BadRequest(f"The {name} must be 0 or more.")
+        raise errors.BadRequest(
+            f"The {name} must be at least 0 and below 2**62, but is {values}."
+        )
--- a/src/mintcleat/programs/commands.py
+++ b/src/mintcleat/programs/commands.py
@@ -1,7 +1,7 @@
-"""Commands of a program group as they stand in the replicated log.
+"""The commands of a program group in the replicated log, and their encoding.
 
-The leader stamps each command, because replicas must not read a clock of
-their own when they apply it.
+The leader adds its clock to each command, because replicas must not read their
+own clocks when they apply it.
 """
 
 from typing import Any
@@ -15,11 +15,11 @@
 
 
 class Tick(NamedTuple):
-    """Moves the group's clock and lets old records leave.
+    """Advances the group's clock and deletes expired records.
 
     Attributes:
         program_idle: Seconds without a call after which a program expires.
-        record_retention: Seconds that closed programs and settled keys stay.
+        record_retention: Seconds for which ended programs and calls are kept.
     """
 
     program_idle: float
@@ -27,12 +27,13 @@
 
 
 class Command(NamedTuple):
-    """One entry of the log: requests that are applied in order.
+    """One log entry: requests that are applied in order.
 
     Attributes:
-        clock: The group's clock in seconds of leadership, never wall time:
-            a leader whose wall clock is a day ahead would expire everything.
-        wall: Seconds since 1970, for people only.
+        clock: The group's clock in seconds. It advances only while there is
+            a leader and does not follow wall time, because a leader whose
+            wall clock is a day ahead would expire all records.
+        wall: Unix time in seconds, for display only.
         requests: Messages of `MUTATIONS`, or one Tick.
     """
 
@@ -54,21 +55,23 @@
 
 
 def encode(command: Command) -> bytes:
-    """Returns the command as bytes of the log."""
+    """Returns the command in the encoding of the log."""
     requests = [_to_wire(request) for request in command.requests]
     return msgpack.packb([command.clock, command.wall, requests])
 
 
 def decode(data: bytes) -> Command:
-    """Returns the command that `encode` made these bytes from.
+    """Decodes a command that `encode` has encoded.
 
     Raises:
-        errors.BadRequest: The bytes are no command.
+        errors.BadRequest: The data is not valid msgpack.
     """
     try:
         clock, wall, requests = msgpack.unpackb(data, strict_map_key=False)
     except (ValueError, msgpack.exceptions.UnpackException) as error:
-        raise errors.BadRequest(f"No program command: {error}.") from error
+        raise errors.BadRequest(
+            f"The data is not a valid program command: {error}."
+        ) from error
     return Command(clock, wall, [_from_wire(item) for item in requests])
 
 
--- a/src/mintcleat/programs/histories.py
+++ b/src/mintcleat/programs/histories.py
@@ -1,4 +1,4 @@
-"""Turns as records of a history store, and a store in memory."""
+"""The encoding of turns for the history store, and a store in memory."""
 
 import msgpack
 import msgspec
@@ -7,33 +7,33 @@
 
 
 def encode(turn: records.TurnRecord) -> bytes:
-    """Returns a turn as a record."""
+    """Encodes a turn as a record of the history store."""
     return msgpack.packb(turn)
 
 
 def decode(record: bytes) -> records.TurnRecord:
-    """Returns the turn of a record."""
+    """Decodes a record of the history store."""
     return msgspec.convert(msgpack.unpackb(record), records.TurnRecord)
 
 
 class MemoryHistoryStore:
-    """Records in memory, for tests; see `ports.histories.HistoryStore`."""
+    """A `ports.histories.HistoryStore` in memory, for tests."""
 
     def __init__(self) -> None:
         self.records: dict[str, list[bytes]] = {}
 
     def append(self, name: str, record: bytes) -> None:
-        """Adds the next record of a sequence."""
+        """Appends a record to a sequence, which is created if missing."""
         self.records.setdefault(name, []).append(record)
 
     def read(self, name: str, first: int, last: int) -> list[bytes]:
-        """Returns the records `first` to `last`, counted from 1."""
+        """Returns the records `first` to `last`, both included, from 1."""
         return self.records.get(name, [])[first - 1 : last]
 
     def forget(self, name: str) -> None:
-        """Drops a sequence; safe to repeat."""
+        """Deletes a sequence, if it exists."""
         self.records.pop(name, None)
 
     def clear(self) -> None:
-        """Drops every sequence."""
+        """Deletes all sequences."""
         self.records.clear()
--- a/src/mintcleat/programs/machine.py
+++ b/src/mintcleat/programs/machine.py
@@ -1,4 +1,4 @@
-"""The state machine of one program group: dispatch of its requests."""
+"""The state machine of one program group."""
 
 from typing import Any
 
@@ -14,20 +14,20 @@
 from mintcleat.programs import snapshots
 from mintcleat.programs import state
 
-# Each level adds an ancestor that every begin and finish walks; a program
-# that spawns itself without end must not make the group's work grow.
+# Every begin and finish of a call walks all ancestors of its program, so a
+# program that keeps starting sub-agents must not nest them without bound.
 MAX_DEPTH = 16
 
 
 class ProgramMachine(state.Group):
     """Applies commands to a group and answers reads.
 
-    `apply` reads no clock and no chance, so every replica that applied the
-    same commands holds the same state.
+    `apply` reads neither clock nor random numbers, so replicas that applied
+    the same commands have the same state.
     """
 
     def apply(self, index: int, command: bytes) -> list[Any]:
-        """Applies a command and returns one reply or typed error a request."""
+        """Applies a command; returns a reply or an error for each request."""
         del index
         decoded = commands.decode(command)
         self.clock = max(self.clock, decoded.clock)
@@ -35,17 +35,20 @@
         return [self._apply_one(request) for request in decoded.requests]
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the serialized state."""
         return snapshots.pack(self)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replaces the whole state by a snapshot."""
+        """Replaces the state by that of a snapshot."""
         snapshots.unpack(self, snapshot)
 
     def read(self, request: Any) -> Any:
-        """Answers a request that changes nothing; a typed error is returned.
+        """Answers a read-only request.
 
-        The caller makes sure that this replica may answer reads.
+        The caller must make sure that the state is recent enough to be read.
+
+        Returns:
+            The reply, or the error that refuses the request.
         """
         match request:
             case program_messages.ShowProgram():
@@ -55,10 +58,12 @@
             case program_messages.FetchHistory():
                 return self._history(request)
             case program_messages.RenewResidency():
-                return self._gone(request)
+                return self._ended(request)
             case program_messages.FindCall():
                 return calls.find(self, request)
-        return errors.BadRequest(f"{type(request).__name__} is no read.")
+        return errors.BadRequest(
+            f"{type(request).__name__} is not a read request."
+        )
 
     def _apply_one(self, request: Any) -> Any:
         match request:
@@ -80,22 +85,23 @@
                 return self._close(request)
             case commands.Tick():
                 return retention.sweep(self, request)
-        return errors.BadRequest(f"{type(request).__name__} is no command.")
+        return errors.BadRequest(f"{type(request).__name__} is not a command.")
 
     def _create(self, request: program_messages.CreateProgram) -> Any:
         found = self.programs.get(request.program)
         if found is not None:
-            if _attributes(found) == request._replace(program=""):
+            if _creation_request(found) == request._replace(program=""):
                 return records.view(found)
             return errors.ProgramExists(
-                f"Program {request.program} exists with other attributes."
+                f"Program {request.program} exists with other attributes; use"
+                " another id."
             )
         parent = None
         if request.parent or "." in request.program:
             parent = self.programs.get(request.parent)
-            fault = _parent_fault(request, parent)
-            if fault is not None:
-                return fault
+            refusal = _check_parent(request, parent)
+            if refusal is not None:
+                return refusal
         program = records.Program(
             program=request.program,
             customer=request.customer,
@@ -118,13 +124,17 @@
     def _close(self, request: program_messages.CloseProgram) -> Any:
         program = self.programs.get(request.program)
         if program is None:
-            return self.unknown(request.program)
+            return self.unknown_program(request.program)
         self.end(program, records.CLOSED)
         return records.view(program)
 
     def _show(self, program: str) -> Any:
         found = self.programs.get(program)
-        return self.unknown(program) if found is None else records.view(found)
+        return (
+            self.unknown_program(program)
+            if found is None
+            else records.view(found)
+        )
 
     def _list(
         self, request: program_messages.ListPrograms
@@ -140,7 +150,7 @@
     def _history(self, request: program_messages.FetchHistory) -> Any:
         program = self.programs.get(request.program)
         if program is None:
-            return self.unknown(request.program)
+            return self.unknown_program(request.program)
         newest = program.next_turn - 1
         last = min(request.last or newest, newest)
         found = self.histories.read(
@@ -152,19 +162,21 @@
             [identities.Turn(t.turn, t.messages, t.digest) for t in turns],
         )
 
-    def _gone(
+    def _ended(
         self, request: program_messages.RenewResidency
     ) -> program_messages.Gone:
-        gone = []
+        ended = []
         for name in request.programs:
             program = self.programs.get(name)
             if program is None or program.state != records.OPEN:
-                gone.append(name)
-        return program_messages.Gone(gone)
+                ended.append(name)
+        return program_messages.Gone(ended)
 
 
-def _attributes(program: records.Program) -> program_messages.CreateProgram:
-    """Returns the request that made the program, without its id."""
+def _creation_request(
+    program: records.Program,
+) -> program_messages.CreateProgram:
+    """Returns the request that created the program, without its id."""
     return program_messages.CreateProgram(
         program="",
         customer=program.customer,
@@ -176,21 +188,26 @@
     )
 
 
-def _parent_fault(
+def _check_parent(
     request: program_messages.CreateProgram, parent: records.Program | None
 ) -> errors.MintcleatError | None:
     prefix, _, name = request.program.rpartition(".")
     if not name or prefix != request.parent:
         return errors.BadRequest(
-            f"A sub-agent's id is its parent's, a dot and a name;"
+            "The id of a sub-agent must be its parent's id, a dot and a name;"
             f" {request.program} is not below {request.parent or 'any'}."
         )
     if request.program.count(".") > MAX_DEPTH:
         return errors.BadRequest(
-            f"{request.program} is more than {MAX_DEPTH} levels deep."
+            f"Sub-agent {request.program} is nested deeper than {MAX_DEPTH}"
+            " levels."
         )
     if parent is None:
-        return errors.UnknownProgram(f"No program {request.parent}.")
+        return errors.UnknownProgram(
+            f"The parent program {request.parent} does not exist."
+        )
     if parent.state != records.OPEN:
-        return errors.ProgramClosed(f"Program {request.parent} is closed.")
+        return errors.ProgramClosed(
+            f"The parent program {request.parent} is not open."
+        )
     return None
--- a/src/mintcleat/programs/outcomes.py
+++ b/src/mintcleat/programs/outcomes.py
@@ -1,4 +1,4 @@
-"""Finish and settle of attempts: each outcome is recorded once."""
+"""The end of attempts; each outcome is recorded once."""
 
 from typing import Any
 
@@ -16,13 +16,19 @@
 
 
 def finish(group: state.Group, request: program_messages.FinishCall) -> Any:
-    """Records the answer of the call's newest attempt, once."""
+    """Records the answer of a call's newest attempt.
+
+    Finishing it again has no effect.
+
+    Returns:
+        Done, or Superseded if the attempt is not the newest.
+    """
     table = tables.key_table(group, request)
     if isinstance(table, errors.MintcleatError):
         return table
-    call = table.get(tables.slot(request))
+    call = table.get(tables.table_key(request))
     if call is None:
-        return _finished_before(group, request)
+        return _finish_past_turn(group, request)
     if call.attempt != request.attempt:
         return _superseded(request)
     if call.state == records.FINISHED:
@@ -35,49 +41,54 @@
     if call.program:
         _record_in_program(group, call, request)
     if not call.turn:
-        answers.keep(group, call, request.answer)
+        answers.store(group, call, request.answer)
     return identities.Done()
 
 
 def settle(group: state.Group, request: program_messages.SettleCall) -> Any:
-    """Ends an attempt without an answer; an older attempt's is ignored."""
+    """Ends an attempt without an answer.
+
+    Returns:
+        Done; with `superseded` if the attempt is not the newest, or with the
+        call's state if it has already ended.
+    """
     table = tables.key_table(group, request)
     if isinstance(table, errors.MintcleatError):
         return table
-    call = table.get(tables.slot(request))
+    call = table.get(tables.table_key(request))
     if call is None or call.attempt != request.attempt:
         return identities.Done("superseded")
     if call.state not in (records.RUNNING, records.UNKNOWN):
         return identities.Done(call.state)
     match request.outcome:
         case errors.NOT_RUN:
-            budgets.release(tables.chain(group, call), call)
-            tables.free_turn(group, call)
+            budgets.release(tables.lineage(group, call), call)
+            tables.release_turn(group, call)
             if call.program:
-                group.programs[call.program].released = call.nonce
+                group.programs[call.program].released_nonce = call.nonce
             tables.remove(group, call)
         case errors.RAN:
             call.state = records.FAILED
             call.failure = request.failure
-            budgets.write_off(tables.chain(group, call), call)
-            tables.free_turn(group, call)
+            budgets.write_off(tables.lineage(group, call), call)
+            tables.release_turn(group, call)
             tables.touch(group, call)
         case errors.UNKNOWN:
             call.state = records.UNKNOWN
             call.failure = request.failure
             tables.touch(group, call)
         case _:
-            return errors.BadRequest(f"{request.outcome!r} is no outcome.")
+            return errors.BadRequest(f"{request.outcome!r} is not an outcome.")
     return identities.Done()
 
 
-def drop(group: state.Group, call: records.Call) -> None:
-    """Forgets a call whose retention is over."""
+def discard(group: state.Group, call: records.Call) -> None:
+    """Deletes a call and its answer; a call not settled counts as run."""
     if call.state in (records.RUNNING, records.UNKNOWN):
-        budgets.write_off(tables.chain(group, call), call)
-        tables.free_turn(group, call)
+        budgets.write_off(tables.lineage(group, call), call)
+        tables.release_turn(group, call)
     if call.is_stored:
-        group.histories.forget(answers.name_of(call))
+        group.histories.forget(answers.sequence_name(call))
     tables.remove(group, call)
 
 
@@ -86,13 +97,13 @@
     call: records.Call,
     request: program_messages.FinishCall,
 ) -> None:
-    """Settles the budget and, for a turn, appends to the history."""
+    """Settles the budgets and appends a turn to the program's history."""
     program = group.programs[call.program]
-    budgets.settle(group.chain(program), call)
+    budgets.settle(group.lineage(program), call)
     if not call.turn:
         return
     usage = call.usage
-    program.context = usage.prompt_tokens + usage.completion_tokens
+    program.context_tokens = usage.prompt_tokens + usage.completion_tokens
     answer = request.answer.decode(errors="replace")
     texts = [*call.messages, answer]
     program.digest = digests.rolling(program.digest, texts)
@@ -107,26 +118,32 @@
     )
     group.histories.append(program.program, histories.encode(turn))
     program.next_turn += 1
-    program.turn_key = ""
-    program.past_keys += prefixes.of_key(call.key)
+    program.open_turn_key = ""
+    program.past_key_digests += prefixes.of_key(call.key)
     program.resident = request.sidecar
     program.resident_address = call.address
     tables.remove(group, call)
 
 
-def _finished_before(
+def _finish_past_turn(
     group: state.Group, request: program_messages.FinishCall
 ) -> Any:
-    """Tells a repeated finish of a recorded turn from one that came late."""
-    if request.program and _has_recorded(group, request):
+    """Answers a FinishCall whose call is not known any more.
+
+    It is either a repetition for a recorded turn, or it comes too late.
+    """
+    if request.program and _is_recorded(group, request):
         return identities.Done()
     return _superseded(request)
 
 
-def _has_recorded(
+def _is_recorded(
     group: state.Group, request: program_messages.FinishCall
 ) -> bool:
-    """Looks the attempt up from the newest turn back; attempts only grow."""
+    """Returns whether a finished turn was recorded from this attempt.
+
+    Later turns have higher attempt numbers, so the search goes backwards.
+    """
     turn = group.programs[request.program].next_turn - 1
     while turn > 0:
         past = answers.load_turn(group, request.program, turn)
@@ -138,5 +155,6 @@
 
 def _superseded(request: program_messages.FinishCall) -> errors.Superseded:
     return errors.Superseded(
-        f"Attempt {request.attempt} of key {request.key} was replaced."
+        f"Attempt {request.attempt} of key {request.key} was superseded by a"
+        " newer attempt or has expired."
     )
--- a/src/mintcleat/programs/placement.py
+++ b/src/mintcleat/programs/placement.py
@@ -1,4 +1,4 @@
-"""Which group holds a program or a call."""
+"""The assignment of programs and calls to program groups."""
 
 from typing import Any
 
@@ -20,9 +20,10 @@
     """Returns the group of a scope.
 
     Args:
-        scope: A program id, of which only the root counts, so that one
-            commit draws on one budget; or `call_scope` of a call without one.
-        count: How many program groups there are.
+        scope: A program id, or the `call_scope` of a call without a program.
+            Only the root of a program id counts, so that a call and all
+            budgets that it draws on are in one group.
+        count: Number of program groups.
     """
     root = records.root_of(scope) if "/" not in scope else scope
     return f"{_PREFIX}{xxhash.xxh3_64_intdigest(root.encode()) % count}"
@@ -39,10 +40,10 @@
 
 
 def scope_of(message: Any) -> str:
-    """Returns the scope of a program group request.
+    """Returns the scope of a request to a program group.
 
     Raises:
-        errors.BadRequest: The message is none, or names no scope.
+        errors.BadRequest: The message is no such request, or has no scope.
     """
     match message:
         case program_messages.CountCall():
@@ -65,4 +66,6 @@
             | program_messages.FetchHistory()
         ):
             return message.program
-    raise errors.BadRequest(f"{type(message).__name__} has no group.")
+    raise errors.BadRequest(
+        f"{type(message).__name__} does not name a program or a call."
+    )
--- a/src/mintcleat/programs/prefixes.py
+++ b/src/mintcleat/programs/prefixes.py
@@ -1,13 +1,14 @@
-"""Short digests packed into one byte string.
+"""Short digests, packed into one byte string to save memory.
 
-A program has hundreds of turns; a list of keys would cost a hundred bytes
-each. Two of a program's keys share 8 bytes once in some 10 ** 14 programs,
-and then a call is refused that could have run, never the reverse.
+A program has hundreds of turns, and a list of their keys would take about a
+hundred bytes per key. Two keys of a program have the same short digest in about
+one of 10**14 programs. A call that could have run is then refused; a collision
+never lets a call run twice.
 """
 
 import xxhash
 
-SIZE = 8
+PREFIX_BYTES = 8
 
 
 def of_key(key: str) -> bytes:
@@ -16,19 +17,19 @@
 
 
 def of_digest(digest: bytes) -> bytes:
-    """Returns the short form of a request's digest."""
-    return digest[:SIZE].ljust(SIZE, b"\0")
+    """Returns the short digest of a request, given its full digest."""
+    return digest[:PREFIX_BYTES].ljust(PREFIX_BYTES, b"\0")
 
 
 def count(packed: bytes, prefix: bytes) -> int:
-    """Returns how often a short digest is among those packed.
+    """Returns how often a short digest occurs among those packed.
 
-    Most are not there at all, which one search over the bytes tells; only
-    what it finds may lie across two digests and is counted one by one.
+    Most do not occur, which a single search over the bytes shows. A match may
+    lie across two digests, so matches are then counted digest by digest.
     """
     if prefix not in packed:
         return 0
     return sum(
         packed.startswith(prefix, start)
-        for start in range(0, len(packed), SIZE)
+        for start in range(0, len(packed), PREFIX_BYTES)
     )
--- a/src/mintcleat/programs/records.py
+++ b/src/mintcleat/programs/records.py
@@ -1,4 +1,8 @@
-"""What a group remembers of its programs and calls."""
+"""The records of programs, calls and turns.
+
+Snapshots store the fields of Call and Program in the order of their
+definition, so the order must not change.
+"""
 
 import dataclasses
 from typing import NamedTuple
@@ -17,17 +21,21 @@
 FINISHED = "finished"
 FAILED = "failed"
 
-NOWHERE = identities.Incarnation("", 0)
+NO_SIDECAR = identities.Incarnation("", 0)
 NO_USAGE = identities.Usage()
 
 
 class TurnRecord(NamedTuple):
-    """A finished turn, with what a resend of it is told by.
+    """A finished turn.
 
     Attributes:
-        request: Digest of the caller's whole request.
-        messages: JSON texts, the answer last.
-        digest: Rolling digest after this turn.
+        turn: Number of the turn, from 1.
+        key: Idempotency key of the request.
+        request: Digest of the whole request, to recognize resends.
+        attempt: Number of the attempt that ran it.
+        usage: Tokens that the engine reported.
+        messages: JSON of the new messages and, at the end, of the answer.
+        digest: Rolling digest of the history after this turn.
     """
 
     turn: int
@@ -41,18 +49,25 @@
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """A call that holds its key.
+    """A call whose idempotency key is in use.
 
     Attributes:
-        number: Its first attempt, which names it for good in its group.
+        number: Number of its first attempt, its id within the group.
         program: Id of its program; empty for a call without one.
-        messages: New chat messages, kept until the turn is finished.
-        reserved: Tokens held on the program and its ancestors.
+        digest: Digest of the whole request.
+        turn: Number of the chat turn; 0 for a tool call.
+        messages: New chat messages; dropped when the turn is finished.
+        reserved: Tokens reserved in the budgets of the program and its
+            ancestors.
+        attempt: Number of the newest attempt.
+        sidecar: Sidecar that the newest attempt is bound to.
+        address: Stream address of the sidecar.
+        nonce: Nonce of the request that got the newest attempt.
+        touched: Group clock of the last change.
         state: `running`, `unknown`, `finished` or `failed`.
-        nonce: Number of the sending that got the attempt.
-        touched: Group clock of its last change.
-        answer: The recorded answer when it is short.
+        answer: The recorded answer, if it is short.
         is_stored: Whether the answer is in the history store instead.
+        failure: The recorded failure, if the call has failed.
     """
 
     number: int
@@ -78,21 +93,33 @@
 
 @dataclasses.dataclass(slots=True)
 class Program:
-    """A program's record.
+    """The record of a program.
 
     Attributes:
-        used: Tokens settled, sub-agents included.
-        reserved: Tokens held, sub-agents included.
-        turns: Turns finished or under way, sub-agents included.
-        context: Tokens of the conversation, as the engine last counted it.
-        turn_key: Key of the turn under way; empty for none.
-        past_keys: 8-byte digests of the keys of the finished turns.
-        released: Nonce of the sending whose turn was given back last.
-        recent: 8-byte prefixes of the digests of the recent calls.
-        created: Wall time, for people.
-        started: Group clock at creation, for the limit in seconds.
-        ended: Group clock when closed or expired.
-        calls: Calls that hold their key, by key.
+        program: Id of the program.
+        parent: Id of the parent program; empty for a root program.
+        repeat_limit: Maximum number of recent calls with the same digest; 0
+            for no limit.
+        created: Unix time of the creation in seconds, for display only.
+        started: Group clock of the creation, for the budget in seconds.
+        state: `open`, `closed` or `expired`.
+        next_turn: Number of the next turn.
+        used: Tokens of settled calls, including those of sub-agents.
+        reserved: Tokens reserved for calls, including those of sub-agents.
+        turns: Turns finished or under way, including those of sub-agents.
+        context_tokens: Length of the conversation in tokens, as the engine
+            last reported it.
+        digest: Rolling digest of the history.
+        open_turn_key: Key of the turn under way; empty for none.
+        past_key_digests: Short digests of the keys of finished turns; see
+            `prefixes`.
+        released_nonce: Nonce of the last request that was settled as not run.
+        recent_digests: Short digests of recent calls; see `prefixes`.
+        ended: Group clock at which the program was closed or expired.
+        resident: Sidecar that ran the last turn.
+        resident_address: Stream address of `resident`.
+        children: Ids of the sub-agents.
+        calls: Calls whose key is in use, by key.
     """
 
     program: str
@@ -109,21 +136,21 @@
     used: int = 0
     reserved: int = 0
     turns: int = 0
-    context: int = 0
+    context_tokens: int = 0
     digest: bytes = digests.EMPTY
-    turn_key: str = ""
-    past_keys: bytes = b""
-    released: int = 0
-    recent: bytes = b""
+    open_turn_key: str = ""
+    past_key_digests: bytes = b""
+    released_nonce: int = 0
+    recent_digests: bytes = b""
     ended: float = 0.0
-    resident: identities.Incarnation = NOWHERE
+    resident: identities.Incarnation = NO_SIDECAR
     resident_address: str = ""
     children: list[str] = dataclasses.field(default_factory=list)
     calls: dict[str, Call] = dataclasses.field(default_factory=dict)
 
 
 def view(program: Program) -> program_messages.ProgramView:
-    """Returns what callers and operators see of a program."""
+    """Returns the view of a program for callers and operators."""
     return program_messages.ProgramView(
         program=program.program,
         customer=program.customer,
@@ -140,10 +167,10 @@
         resident_address=program.resident_address,
         created=program.created,
         children=list(program.children),
-        context=program.context,
+        context=program.context_tokens,
     )
 
 
 def root_of(program: str) -> str:
-    """Returns the id of the root program: the part before the first dot."""
+    """Returns the id of the root program, the part before the first dot."""
     return program.partition(".")[0]
--- a/src/mintcleat/programs/retention.py
+++ b/src/mintcleat/programs/retention.py
@@ -1,8 +1,8 @@
-"""What leaves a group, and when.
+"""Expiry of programs and deletion of old records.
 
-Without it, records of programs that nobody will ask for again fill the
-memory of every replica; with it, a key is remembered for a stated time and
-a resend within that time never runs twice.
+Without deletion, records that nobody asks for any more would fill the memory of
+every replica. Each key is kept for the configured retention, so that a resend
+within that time never runs twice.
 """
 
 from mintcleat.domain import identities
@@ -11,36 +11,37 @@
 from mintcleat.programs import records
 from mintcleat.programs import state
 
-# Records that one tick may drop: a burst that was closed together must not
-# stall the loop, and with it the heartbeats, when it becomes due together.
-MAX_DROPS = 1000
-# Seconds of its clock that an idle group loses at most with its leader;
-# small beside any sensible retention.
-CLOCK_STEP = 60.0
+# Records of each kind that one tick deletes. Many may expire at the same time,
+# and deleting all would stall the event loop and delay heartbeats.
+MAX_DELETIONS = 1000
+# Maximum time that the clock of an idle group loses with a change of leader;
+# negligible against any reasonable retention.
+CLOCK_STEP_SECONDS = 60.0
 
 
 def sweep(group: state.Group, tick: commands.Tick) -> identities.Done:
-    """Expires abandoned programs and drops what is past its retention."""
+    """Expires abandoned programs and deletes records past their retention."""
     _expire_idle(group, tick.program_idle)
-    _drop_ended(group, tick.record_retention)
-    _drop_calls(group, tick.record_retention)
+    _delete_ended(group, tick.record_retention)
+    _discard_calls(group, tick.record_retention)
     group.branches.sweep(group.clock)
     return identities.Done()
 
 
 def is_due(group: state.Group, clock: float, tick: commands.Tick) -> bool:
-    """Tells whether a tick at `clock` is worth a log entry.
+    """Returns whether a Tick at `clock` should be proposed to the log.
 
-    A group without records costs none. One with records writes its clock
-    down once in `CLOCK_STEP`: the next leader goes on from what is written,
-    so frequent changes of an idle group's leader would else stop its clock.
+    This is the case if it would delete anything. A group with records also
+    logs its clock every CLOCK_STEP_SECONDS, because a new leader continues at
+    the last logged clock: without it, frequent changes of the leader would stop
+    the clock of an idle group.
     """
     if group.branches.is_due(clock):
         return True
     is_empty = not (
         group.activity or group.ended or group.calls or group.branches.accounts
     )
-    if not is_empty and clock - group.clock >= CLOCK_STEP:
+    if not is_empty and clock - group.clock >= CLOCK_STEP_SECONDS:
         return True
     oldest = next(iter(group.activity.values()), clock)
     if clock - oldest >= tick.program_idle:
@@ -52,7 +53,7 @@
 
 
 def _expire_idle(group: state.Group, idle: float) -> None:
-    for _ in range(MAX_DROPS):
+    for _ in range(MAX_DELETIONS):
         if not group.activity:
             return
         root, touched = next(iter(group.activity.items()))
@@ -61,8 +62,8 @@
         group.end(group.programs[root], records.EXPIRED)
 
 
-def _drop_ended(group: state.Group, retention: float) -> None:
-    for _ in range(MAX_DROPS):
+def _delete_ended(group: state.Group, retention: float) -> None:
+    for _ in range(MAX_DELETIONS):
         if not group.ended or group.clock - group.ended[0][0] < retention:
             return
         ended, name = group.ended.popleft()
@@ -71,28 +72,29 @@
             continue
         if program.parent:
             group.programs[program.parent].children.remove(name)
-        _forget(group, name)
+        _delete_program(group, name)
 
 
-def _forget(group: state.Group, name: str) -> None:
-    """Drops a program and all below it; its calls first.
+def _delete_program(group: state.Group, name: str) -> None:
+    """Deletes a program, its calls and its sub-agents.
 
-    A call without an outcome holds tokens of every ancestor. They count as
-    spent; dropped with the record alone they would stay reserved there.
+    The calls are discarded before the record. A call without an outcome has
+    tokens reserved in the budgets of all ancestors; these count as used and
+    would otherwise stay reserved.
     """
     program = group.programs[name]
     for child in program.children:
-        _forget(group, child)
+        _delete_program(group, child)
     for call in list(program.calls.values()):
-        outcomes.drop(group, call)
+        outcomes.discard(group, call)
     group.histories.forget(name)
-    group.forgotten += 1
+    group.deleted_programs += 1
     del group.programs[name]
 
 
-def _drop_calls(group: state.Group, retention: float) -> None:
-    for _ in range(MAX_DROPS):
+def _discard_calls(group: state.Group, retention: float) -> None:
+    for _ in range(MAX_DELETIONS):
         oldest = next(iter(group.calls.values()), None)
         if oldest is None or group.clock - oldest.touched < retention:
             return
-        outcomes.drop(group, oldest)
+        outcomes.discard(group, oldest)
--- a/src/mintcleat/programs/snapshots.py
+++ b/src/mintcleat/programs/snapshots.py
@@ -1,4 +1,4 @@
-"""The state of a program group as bytes and back."""
+"""Encoding and decoding of the state of a program group."""
 
 import dataclasses
 from typing import Any
@@ -12,8 +12,8 @@
 from mintcleat.programs import state
 
 FORMAT = 1
-# Place of what older releases of this format do not write.
-_BRANCHES = 10
+# Index of the turn trees; snapshots of older releases end before it.
+_BRANCHES_INDEX = 10
 
 _CALL_FIELDS = tuple(f.name for f in dataclasses.fields(records.Call))
 _PROGRAM_FIELDS = tuple(
@@ -22,12 +22,12 @@
 
 
 def pack(group: state.Group) -> bytes:
-    """Returns the whole state, in an order that every replica shares."""
+    """Encodes the state of a group; all replicas produce the same bytes."""
     parts = [
         FORMAT,
         group.clock,
         group.last_attempt,
-        group.forgotten,
+        group.deleted_programs,
         [_fields(p, _PROGRAM_FIELDS) for p in group.programs.values()],
         [_fields(call, _CALL_FIELDS) for call in group.calls.values()],
         [list(item) for item in group.activity.items()],
@@ -44,18 +44,19 @@
 
 
 def unpack(group: state.Group, data: bytes) -> None:
-    """Replaces the state of a group.
+    """Replaces the state of a group by an encoded one.
 
     Raises:
-        errors.StorageDamaged: The bytes are no snapshot of this format.
+        errors.StorageDamaged: The snapshot has another format.
     """
     parts = msgpack.unpackb(data, strict_map_key=False)
     if parts[0] != FORMAT:
         raise errors.StorageDamaged(
-            f"The snapshot has format {parts[0]}, not {FORMAT}."
+            f"The snapshot has format {parts[0]}, but {FORMAT} is expected;"
+            " use the release that wrote it."
         )
     group.clear()
-    group.clock, group.last_attempt, group.forgotten = parts[1:4]
+    group.clock, group.last_attempt, group.deleted_programs = parts[1:4]
     for values in parts[4]:
         program = _record(records.Program, _PROGRAM_FIELDS, values)
         group.programs[program.program] = program
@@ -63,8 +64,8 @@
         _add_call(group, _record(records.Call, _CALL_FIELDS, values))
     group.activity.update((name, clock) for name, clock in parts[6])
     group.ended.extend((clock, name) for clock, name in parts[7])
-    if len(parts) > _BRANCHES:
-        group.branches.load(parts[_BRANCHES])
+    if len(parts) > _BRANCHES_INDEX:
+        group.branches.load(parts[_BRANCHES_INDEX])
     for name, stored in parts[8] + parts[9]:
         for record in stored:
             group.histories.append(name, record)
@@ -75,12 +76,14 @@
     if call.program:
         group.programs[call.program].calls[call.key] = call
     else:
-        group.keyed[call.customer, call.key] = call
+        group.standalone_calls[call.customer, call.key] = call
 
 
 def _stored_answers(group: state.Group) -> list[Any]:
     names = [
-        answers.name_of(call) for call in group.calls.values() if call.is_stored
+        answers.sequence_name(call)
+        for call in group.calls.values()
+        if call.is_stored
     ]
     return [[name, group.histories.read(name, 1, 1)] for name in names]
 
--- a/src/mintcleat/programs/state.py
+++ b/src/mintcleat/programs/state.py
@@ -1,4 +1,4 @@
-"""What one program group holds, and what all its transitions share."""
+"""The state of one program group."""
 
 import collections
 from typing import Any
@@ -10,41 +10,45 @@
 
 
 class Group:
-    """Programs, their calls and the calls without a program of one group.
+    """Programs and calls of one group.
 
     Attributes:
-        clock: Seconds that the group was led; moves with the commands.
-        last_attempt: The attempts of a group only grow.
-        branches: Programs that open with their first turn.
+        histories: Store of turns and long answers.
+        clock: Seconds for which the group had a leader, as of the last
+            command.
+        wall: Unix time of the last command in seconds, for display only.
+        last_attempt: Number of the newest attempt; attempt numbers of a group
+            only increase.
+        deleted_programs: Number of programs deleted after their retention.
+        branches: Programs whose turns form a tree.
         programs: Records by program id.
-        keyed: Calls without a program, by (customer, key).
-        activity: Root ids, the longest idle first, with the clock of the
-            last change anywhere below.
-        ended: (clock, id) of closed and expired programs, in that order.
-        calls: Calls that hold their key, the longest untouched first; they
-            leave by retention in this order.
-        forgotten: Programs that left by retention.
+        standalone_calls: Calls without a program, by (customer, key).
+        activity: Group clock of the last change of a root program or of its
+            sub-agents, by root id, the least recently changed first.
+        ended: (clock, id) of closed and expired programs, the earliest first.
+        calls: Calls whose key is in use, by number, the least recently
+            changed first, which is the order of their expiry.
     """
 
     def __init__(self, store: Any = None) -> None:
         """Creates an empty group.
 
         Args:
-            store: A `ports.histories.HistoryStore`; in memory when None.
+            store: A `ports.histories.HistoryStore`; None for one in memory.
         """
         self.histories = store or histories.MemoryHistoryStore()
         self.clear()
 
     def clear(self) -> None:
-        """Drops all state."""
+        """Deletes all state."""
         self.histories.clear()
         self.clock = 0.0
         self.wall = 0.0
         self.last_attempt = 0
-        self.forgotten = 0
+        self.deleted_programs = 0
         self.branches = branches.Branches()
         self.programs: dict[str, records.Program] = {}
-        self.keyed: dict[tuple[str, str], records.Call] = {}
+        self.standalone_calls: dict[tuple[str, str], records.Call] = {}
         self.activity: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
@@ -53,7 +57,7 @@
             collections.OrderedDict()
         )
 
-    def chain(self, program: records.Program) -> list[records.Program]:
+    def lineage(self, program: records.Program) -> list[records.Program]:
         """Returns the program and its ancestors, the root last."""
         found = [program]
         while found[-1].parent:
@@ -61,14 +65,19 @@
         return found
 
     def touch(self, program: str) -> None:
-        """Notes activity, for the expiry of abandoned programs."""
+        """Records activity, which postpones the expiry of the root program."""
         root = records.root_of(program)
         if root in self.activity:
             self.activity[root] = self.clock
             self.activity.move_to_end(root)
 
     def end(self, program: records.Program, state: str) -> None:
-        """Closes or expires a program and its sub-agents."""
+        """Closes or expires a program and its sub-agents.
+
+        Args:
+            program: The program.
+            state: `closed` or `expired`.
+        """
         for child in program.children:
             self.end(self.programs[child], state)
         if program.state != records.OPEN:
@@ -78,13 +87,14 @@
         self.activity.pop(program.program, None)
         self.ended.append((self.clock, program.program))
 
-    def unknown(self, program: str) -> errors.UnknownProgram:
-        """Returns the refusal of a program that has no record.
+    def unknown_program(self, program: str) -> errors.UnknownProgram:
+        """Returns the error for a program that has no record.
 
-        Once any record has left by retention, this may be one of them, and
-        its request may have run: "not run" would be a guess.
+        Once any program was deleted after its retention, this may be one of
+        them, whose request may have run, so the outcome is unknown.
         """
-        outcome = errors.UNKNOWN if self.forgotten else errors.NOT_RUN
+        outcome = errors.UNKNOWN if self.deleted_programs else errors.NOT_RUN
         return errors.UnknownProgram(
-            f"No program {program or '(empty id)'}.", outcome=outcome
+            f"Program {program or '(empty id)'} does not exist.",
+            outcome=outcome,
         )
--- a/src/mintcleat/programs/tables.py
+++ b/src/mintcleat/programs/tables.py
@@ -1,4 +1,4 @@
-"""Key tables and what every kind of request needs of them."""
+"""Key tables, which hold calls by idempotency key."""
 
 from typing import Any
 
@@ -7,49 +7,49 @@
 
 
 def key_table(group: state.Group, request: Any) -> Any:
-    """Returns the key table of the request, or its refusal."""
+    """Returns the key table for a request, or the error that refuses it."""
     if not request.program:
-        return group.keyed
+        return group.standalone_calls
     program = group.programs.get(request.program)
     if program is None:
-        return group.unknown(request.program)
+        return group.unknown_program(request.program)
     return program.calls
 
 
-def slot(request: Any) -> Any:
-    """Returns the request's place in its key table."""
+def table_key(request: Any) -> Any:
+    """Returns the key of a request in its key table."""
     if request.program:
         return request.key
     return (request.customer, request.key)
 
 
-def chain(group: state.Group, call: records.Call) -> list[records.Program]:
-    """Returns the programs whose budgets the call draws on, the root last."""
+def lineage(group: state.Group, call: records.Call) -> list[records.Program]:
+    """Returns a call's program and its ancestors, the root last."""
     if not call.program:
         return []
-    return group.chain(group.programs[call.program])
+    return group.lineage(group.programs[call.program])
 
 
-def free_turn(group: state.Group, call: records.Call) -> None:
-    """Lets another key take the turn that this call holds."""
+def release_turn(group: state.Group, call: records.Call) -> None:
+    """Releases the turn of a call, so that another key may take it."""
     if not call.program:
         return
     program = group.programs[call.program]
-    if call.turn and program.turn_key == call.key:
-        program.turn_key = ""
+    if call.turn and program.open_turn_key == call.key:
+        program.open_turn_key = ""
 
 
 def touch(group: state.Group, call: records.Call) -> None:
-    """Starts the call's retention anew and notes its program's activity."""
+    """Restarts a call's retention and records activity of its program."""
     call.touched = group.clock
     group.calls.move_to_end(call.number)
     group.touch(call.program)
 
 
 def remove(group: state.Group, call: records.Call) -> None:
-    """Takes a call out of its key table."""
+    """Removes a call from the group and from its key table."""
     del group.calls[call.number]
     if call.program:
         del group.programs[call.program].calls[call.key]
     else:
-        del group.keyed[call.customer, call.key]
+        del group.standalone_calls[call.customer, call.key]
--- a/testing/fakes/log.py
+++ b/testing/fakes/log.py
@@ -1,4 +1,4 @@
-"""A replicated log in memory, whose leadership the test controls."""
+"""A replicated log in memory with leadership controlled by the test."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,12 +8,15 @@
 
 
 class Cluster:
-    """The commands of each group and who leads.
+    """The committed commands of each group, and the replicas.
 
     Attributes:
+        commands: Committed commands by group.
+        replicas: All replicas.
         leader: Stream address of the leader; empty for none.
-        lag: Addresses of replicas that apply nothing for now.
-        lose_next: Commands committed whose answer the proposer loses.
+        lag: Addresses of replicas that do not apply commands for now.
+        lose_next: Number of next proposals that are committed but raise
+            ProposalLost.
     """
 
     def __init__(self) -> None:
@@ -24,7 +27,7 @@
         self.lose_next = 0
 
     def elect(self, address: str) -> None:
-        """Moves leadership; the new leader has applied everything."""
+        """Makes a replica the leader, once it has applied all commands."""
         self.lag.discard(address)
         for replica in self.replicas:
             if replica.address == address:
@@ -32,14 +35,14 @@
         self.leader = address
 
     def heal(self) -> None:
-        """Lets every replica catch up."""
+        """Lets all replicas apply all commands again."""
         self.lag.clear()
         for replica in self.replicas:
             replica.catch_up()
 
 
 class MemoryLog:
-    """One instance's replica; see `ports.log.ReplicatedLog`."""
+    """The log of one instance; see `ports.log.ReplicatedLog`."""
 
     def __init__(self, cluster: Cluster, address: str) -> None:
         self.cluster = cluster
@@ -55,16 +58,16 @@
         machine: log_ports.StateMachine,
         on_lead: Callable[[], None] | None = None,
     ) -> None:
-        """Registers a machine; it applies what is there already."""
+        """Registers the state machine of a group."""
         self.machines[group] = machine
         self.applied[group] = 0
 
     def start(self) -> None:
-        """Applies the commands of earlier runs."""
+        """Applies the commands committed before."""
         self.catch_up()
 
     def propose(self, group: str, command: bytes, timeout: float) -> Any:
-        """Commits at once when this replica leads."""
+        """Commits a command immediately, if this replica is the leader."""
         if not self.leads(group):
             raise errors.NotLeader(self.cluster.leader)
         commands = self.cluster.commands.setdefault(group, [])
@@ -81,22 +84,22 @@
         return result
 
     def barrier(self, group: str, timeout: float) -> None:
-        """Returns when this replica leads."""
+        """Returns if this replica is the leader."""
         if not self.leads(group):
             raise errors.NotLeader(self.cluster.leader)
 
     def leader(self, group: str) -> str:
-        """Returns the leader's address; a cut-off replica knows none."""
+        """Returns the leader's address; empty on a lagging replica."""
         if self.address in self.cluster.lag:
             return ""
         return self.cluster.leader
 
     def leads(self, group: str) -> bool:
-        """Tells whether this replica leads."""
+        """Returns whether this replica is the leader."""
         return self.cluster.leader == self.address
 
     def position(self, group: str) -> log_ports.Position:
-        """Returns how far this replica has applied."""
+        """Returns the progress of this replica."""
         applied = self.applied.get(group, 0)
         left = 1.0 if self.leads(group) else 0.0
         return log_ports.Position(1, applied, applied, left)
@@ -122,19 +125,19 @@
         return dict.fromkeys(self.addresses(), "")
 
     def evacuate(self, instances: frozenset[str]) -> None:
-        """Moves nothing: there is one copy of the log."""
+        """Does nothing; there is one copy of the log."""
 
     def transfer_leadership(self, timeout: float) -> None:
-        """Gives leadership up."""
+        """Resigns as the leader."""
         if self.cluster.leader == self.address:
             self.cluster.leader = ""
 
     def stop(self) -> None:
-        """Leaves the cluster."""
+        """Removes this replica from the cluster."""
         self.cluster.replicas.remove(self)
 
     def catch_up(self) -> None:
-        """Applies every committed command."""
+        """Applies all committed commands."""
         for group, machine in self.machines.items():
             commands = self.cluster.commands.get(group, [])
             while self.applied[group] < len(commands):
--- a/testing/fakes/program_rig.py
+++ b/testing/fakes/program_rig.py
@@ -1,8 +1,8 @@
-"""Callers, entries and upstreams around the real program service.
+"""Simulated callers, entries and upstreams for the real program service.
 
-The service, the client and the log are the real ones; entry and sidecar are
-reduced to the exchange of attempts, so that each fault can be put exactly
-between two of their steps.
+The service, its client and the log are real. Entries and sidecars are reduced
+to the protocol of attempts, so that faults can be injected between any two
+steps.
 """
 
 import random
@@ -26,10 +26,12 @@
 
 
 class Faults:
-    """Chances of each fault; all stop when `active` is unset.
+    """A random source of faults.
 
     Attributes:
-        count: Faults that happened.
+        random: Random number generator of the whole run.
+        active: Whether faults happen at all.
+        count: Number of faults that happened.
     """
 
     def __init__(self, seed: int) -> None:
@@ -44,7 +46,7 @@
 
 
 class FaultyLog:
-    """Loses the outcome of proposals, before or after they are made."""
+    """A log that loses proposals or their outcomes, or delays them."""
 
     def __init__(self, inner: log_ports.ReplicatedLog, faults: Faults) -> None:
         self.inner = inner
@@ -57,14 +59,14 @@
         if self.faults.happens(0.03):
             raise errors.ProposalLost("Lost before it was proposed.")
         if self.faults.happens(0.03):
-            eventlet.spawn_after(0.05, self._late, group, command)
+            eventlet.spawn_after(0.05, self._send_late, group, command)
             raise errors.ProposalLost("It is committed later.")
         result = self.inner.propose(group, command, timeout)
         if self.faults.happens(0.05):
             raise errors.ProposalLost("It is committed already.")
         return result
 
-    def _late(self, group: str, command: bytes) -> None:
+    def _send_late(self, group: str, command: bytes) -> None:
         try:
             self.inner.propose(group, command, 1.0)
         except errors.MintcleatError:
@@ -72,7 +74,7 @@
 
 
 class FaultyStreams:
-    """Loses, delays and repeats requests to control."""
+    """Streams that lose, delay and repeat requests to the service."""
 
     def __init__(self, inner: stream_ports.Streams, faults: Faults) -> None:
         self.inner = inner
@@ -82,7 +84,7 @@
         if self.faults.happens(0.03):
             raise errors.StreamClosed("No way.", outcome=errors.NOT_RUN)
         if self.faults.happens(0.03):
-            eventlet.spawn_after(0.1, self._late, address, message)
+            eventlet.spawn_after(0.1, self._send_late, address, message)
             raise _LOST
         reply = self.inner.ask(address, message, timeout)
         if self.faults.happens(0.05):
@@ -91,7 +93,7 @@
             return self.inner.ask(address, message, timeout)
         return reply
 
-    def _late(self, address: str, message: Any) -> None:
+    def _send_late(self, address: str, message: Any) -> None:
         try:
             self.inner.ask(address, message, 1.0)
         except errors.MintcleatError:
@@ -99,7 +101,7 @@
 
 
 class Call(NamedTuple):
-    """What a caller wants done."""
+    """A call of a caller."""
 
     program: str
     key: str
@@ -109,7 +111,13 @@
 
 
 class Upstream:
-    """A sidecar with its engine; the engine is the witness of each run."""
+    """A sidecar with its engine; records each execution.
+
+    Attributes:
+        states: State of each attempt: `never` (sealed, will never run),
+            `running` or `ran`. Attempt numbers are unique within a group of
+            programs only, so the key is the program and the number.
+    """
 
     def __init__(self, name: str, rig: "Rig") -> None:
         self.rig = rig
@@ -118,7 +126,7 @@
         self.states: dict[tuple[str, int], str] = {}
 
     def restart(self) -> None:
-        """Dies and comes back: it knows nothing of its attempts."""
+        """Restarts the sidecar, which loses the states of its attempts."""
         epoch = self.incarnation.epoch + 1
         self.incarnation = self.incarnation._replace(epoch=epoch)
         self.states = {}
@@ -126,13 +134,13 @@
     def seal(
         self, call: Call, attempt: int, incarnation: identities.Incarnation
     ) -> str:
-        """Answers a SealAttempt; attempts count per group of programs."""
+        """Seals an attempt unless it has started; returns its state."""
         if incarnation != self.incarnation:
             return "unknown"
         return self.states.setdefault((call.program, attempt), "never")
 
     def run(self, call: Call, attempt: int, sidecar: Any) -> str:
-        """Runs an attempt and returns its answer once it is committed."""
+        """Runs an attempt; returns its answer once that is committed."""
         name = (call.program, attempt)
         if sidecar != self.incarnation or name in self.states:
             raise errors.Draining("This attempt does not run here.")
@@ -179,7 +187,7 @@
 
 
 class Rig:
-    """Entries, upstreams and the record of what they saw."""
+    """Simulated entries and upstreams, and the history of the run."""
 
     def __init__(
         self, client: control_client.ControlClient, faults: Faults
@@ -195,7 +203,7 @@
         return self.client.ask(program, request, ASK_SECONDS)
 
     def call(self, call: Call) -> errors.MintcleatError | None:
-        """Takes a caller's request at an entry and records what it is told."""
+        """Handles a call at an entry; records and returns its outcome."""
         start = self.record.now()
         answer = ""
         refusal = None
@@ -220,7 +228,7 @@
         return refusal
 
     def read(self, program: str) -> None:
-        """Reads a program and records what was shown."""
+        """Reads a program and records the reply."""
         start = self.record.now()
         try:
             view = self.ask(program, program_messages.ShowProgram(program))
@@ -230,7 +238,7 @@
         self.record.reads.append(read)
 
     def finish(self, programs: list[str]) -> None:
-        """Records the final state once the faults have stopped."""
+        """Stops the faults and records the final state of the programs."""
         self.faults.active = False
         for program in programs:
             view = self.ask(program, program_messages.ShowProgram(program))
@@ -238,7 +246,7 @@
             self.record.finals[program] = histories.Final(view, history.turns)
 
     def _serve(self, call: Call) -> str:
-        """Begins, runs, seals and settles as an entry does."""
+        """Begins, runs, seals and settles attempts as an entry does."""
         sealed = 0
         for _ in range(8):
             name = self.faults.random.choice(sorted(self.upstreams))
@@ -277,9 +285,9 @@
     def _run(
         self, call: Call, upstream: Upstream, attempt: int, sidecar: Any
     ) -> str:
-        """Returns the answer, or nothing when the exchange was lost."""
+        """Returns the answer, or an empty text if the exchange was lost."""
         if self.faults.happens(0.1):
-            eventlet.spawn(self._run_unheard, call, upstream, attempt, sidecar)
+            eventlet.spawn(self._run_detached, call, upstream, attempt, sidecar)
             eventlet.sleep(0)
             return ""
         try:
@@ -288,10 +296,10 @@
             return ""
         return "" if self.faults.happens(0.05) else answer
 
-    def _run_unheard(
+    def _run_detached(
         self, call: Call, upstream: Upstream, attempt: int, sidecar: Any
     ) -> None:
-        """Runs on while the entry hears nothing of it any more."""
+        """Runs an attempt whose entry has lost the exchange."""
         try:
             upstream.run(call, attempt, sidecar)
         except errors.MintcleatError:
@@ -300,7 +308,7 @@
     def _after_loss(
         self, call: Call, upstream: Upstream, attempt: int, sidecar: Any
     ) -> int:
-        """Returns the attempt when it is sealed, or 0 to ask again."""
+        """Returns the attempt if it was sealed, or 0 to begin again."""
         state = "unknown"
         if not self.faults.happens(0.2):
             state = upstream.seal(call, attempt, sidecar)
--- a/testing/histories.py
+++ b/testing/histories.py
@@ -1,8 +1,8 @@
-"""A checker of what callers, upstreams and readers saw in a concurrent run.
+"""A checker of the history of a concurrent run.
 
-A test records every operation of a caller, every run that an upstream really
-did (the witness), every read, and the programs' final state. Times come from
-one counter, so that "before" means the same to all.
+A test records every operation of a caller, every execution at an upstream,
+every read and the final state of the programs. Times come from one counter, so
+that they are totally ordered.
 """
 
 from collections.abc import Iterator
@@ -16,11 +16,15 @@
 
 
 class Operation(NamedTuple):
-    """What one caller sent and was told.
+    """A request of a caller and its outcome.
 
     Attributes:
         turn: Number of the chat turn; 0 for a tool call.
+        sent: The message that was sent.
+        start: Time at which it was sent.
+        end: Time at which the caller got its outcome.
         outcome: `ran`, `not_run` or `unknown`.
+        answer: The answer, if it ran.
     """
 
     program: str
@@ -35,7 +39,7 @@
 
 
 class Run(NamedTuple):
-    """One execution at an upstream."""
+    """One execution at an upstream, from `start` to `end`."""
 
     program: str
     key: str
@@ -47,7 +51,7 @@
 
 
 class Read(NamedTuple):
-    """A ShowProgram and when it was asked and answered."""
+    """The reply to a ShowProgram, with the times of request and reply."""
 
     start: int
     end: int
@@ -55,14 +59,14 @@
 
 
 class Final(NamedTuple):
-    """A program when all has come to rest."""
+    """The state of a program at the end of the run."""
 
     view: program_messages.ProgramView
     turns: list[identities.Turn]
 
 
 class Violation(NamedTuple):
-    """A broken promise.
+    """A violated guarantee.
 
     Attributes:
         kind: `order`, `at_most_once`, `not_run`, `budget`, `history`,
@@ -74,7 +78,7 @@
 
 
 class Record:
-    """Collects what a run saw."""
+    """The recorded history of a run."""
 
     def __init__(self) -> None:
         self.counter = itertools.count(1)
@@ -84,12 +88,12 @@
         self.finals: dict[str, Final] = {}
 
     def now(self) -> int:
-        """Returns the next instant."""
+        """Returns the next time."""
         return next(self.counter)
 
 
 def check(record: Record) -> list[Violation]:
-    """Returns every promise that the run broke."""
+    """Returns all violations in the history of a run."""
     return [
         *_check_order(record),
         *_check_at_most_once(record),
@@ -102,57 +106,61 @@
 
 
 def _check_order(record: Record) -> Iterator[Violation]:
-    """A turn starts to run only after a run of the turn before it ended."""
+    """A turn runs only after the turn before it has finished."""
     ended: dict[tuple[str, int], int] = {}
     for run in record.runs:
         if run.turn:
-            place = (run.program, run.turn)
-            ended[place] = min(run.end, ended.get(place, run.end))
+            call_key = (run.program, run.turn)
+            ended[call_key] = min(run.end, ended.get(call_key, run.end))
     for run in record.runs:
         if run.turn > 1:
             before = ended.get((run.program, run.turn - 1))
             if before is None or before > run.start:
-                yield Violation("order", f"{run} overtook its predecessor")
+                yield Violation(
+                    "order", f"{run} started before the turn before it ended"
+                )
 
 
 def _check_at_most_once(record: Record) -> Iterator[Violation]:
     once = {(o.program, o.key) for o in record.operations if not o.idempotent}
     counts: dict[tuple[str, str], int] = {}
     for run in record.runs:
-        place = (run.program, run.key)
-        counts[place] = counts.get(place, 0) + 1
-    for place in once:
-        if counts.get(place, 0) > 1:
-            yield Violation("at_most_once", f"{place} ran {counts[place]}x")
+        call_key = (run.program, run.key)
+        counts[call_key] = counts.get(call_key, 0) + 1
+    for call_key in once:
+        if counts.get(call_key, 0) > 1:
+            yield Violation(
+                "at_most_once", f"{call_key} ran {counts[call_key]} times"
+            )
 
 
 def _check_not_run(record: Record) -> Iterator[Violation]:
-    """Each run belongs to a request that was not refused as "not run"."""
+    """Each run belongs to a request that was not reported as not run."""
     for run in record.runs:
-        covering = [
+        matching = [
             operation
             for operation in record.operations
             if (operation.program, operation.key) == (run.program, run.key)
             and operation.start < run.start
             and operation.outcome != errors.NOT_RUN
         ]
-        if not covering:
+        if not matching:
             yield Violation("not_run", f"{run} was refused or never sent")
 
 
 def _check_answers(record: Record) -> Iterator[Violation]:
-    """Whoever asks for a key gets the one answer of that key."""
+    """All requests with the same key get the same answer."""
     answers: dict[tuple[str, str], str] = {}
     ran = {(run.program, run.key) for run in record.runs}
     for operation in record.operations:
         if operation.outcome != errors.RAN:
             continue
-        place = (operation.program, operation.key)
-        first = answers.setdefault(place, operation.answer)
+        call_key = (operation.program, operation.key)
+        first = answers.setdefault(call_key, operation.answer)
         if first != operation.answer:
-            yield Violation("answer", f"{place} has two answers")
-        if place not in ran:
-            yield Violation("answer", f"{place} was answered and never ran")
+            yield Violation("answer", f"{call_key} has two different answers")
+        if call_key not in ran:
+            yield Violation("answer", f"{call_key} was answered but never ran")
 
 
 def _check_budget(record: Record) -> Iterator[Violation]:
@@ -161,17 +169,20 @@
     for view in views:
         limit = view.budget.tokens
         if limit and view.used + view.reserved > limit:
-            yield Violation("budget", f"{view.program} holds over {limit}")
+            yield Violation(
+                "budget", f"{view.program} exceeds its budget of {limit}"
+            )
     for name, final in record.finals.items():
         spent = _acknowledged_tokens(record, name)
         if final.view.used < spent:
             yield Violation(
-                "budget", f"{name} records {final.view.used} of {spent} spent"
+                "budget",
+                f"{name} records {final.view.used} of {spent} used tokens",
             )
 
 
 def _acknowledged_tokens(record: Record, root: str) -> int:
-    """Returns the least tokens that the answered calls of a root took."""
+    """Returns the minimum of tokens used by the answered calls of a root."""
     answered = {
         (operation.program, operation.key)
         for operation in record.operations
@@ -180,23 +191,27 @@
     }
     least: dict[tuple[str, str], int] = {}
     for run in record.runs:
-        place = (run.program, run.key)
-        if place in answered:
-            least[place] = min(run.tokens, least.get(place, run.tokens))
+        call_key = (run.program, run.key)
+        if call_key in answered:
+            least[call_key] = min(run.tokens, least.get(call_key, run.tokens))
     return sum(least.values())
 
 
 def _check_history(record: Record) -> Iterator[Violation]:
-    """Histories are whole, unmixed, and hold each acknowledged turn."""
+    """Histories are complete, unmixed and contain each acknowledged turn."""
     sent = {(o.program, o.turn, o.sent) for o in record.operations if o.turn}
     for name, final in record.finals.items():
         digest = digests.EMPTY
         for number, turn in enumerate(final.turns, start=1):
             digest = digests.rolling(digest, turn.messages)
             if turn.turn != number or turn.digest != digest:
-                yield Violation("history", f"{name} is broken at {number}")
+                yield Violation(
+                    "history", f"{name} has a wrong digest at turn {number}"
+                )
             if (name, number, turn.messages[0]) not in sent:
-                yield Violation("history", f"{name} has a strange {number}")
+                yield Violation(
+                    "history", f"{name} has an unsent turn {number}"
+                )
     for operation in record.operations:
         if not operation.turn or operation.outcome != errors.RAN:
             continue
@@ -206,15 +221,15 @@
             len(turns) < operation.turn
             or turns[operation.turn - 1].messages != expected
         ):
-            yield Violation("history", f"{operation} is not in the history")
+            yield Violation("history", f"{operation} is missing")
 
 
 def _check_reads(record: Record) -> Iterator[Violation]:
     """Reads of the turn counter are linearizable.
 
-    The counter only grows and each turn is one write, so three conditions
-    are the whole of it: no read goes back behind an earlier one, none misses
-    a turn acknowledged before it, none sees a turn that nobody had sent.
+    The counter only increases and each turn is one write, so three conditions
+    suffice: no read returns less than an earlier one, none misses a turn that
+    was acknowledged before it, and none shows a turn that was not sent yet.
     """
     for name in {read.view.program for read in record.reads}:
         reads = [r for r in record.reads if r.view.program == name]
--- a/testing/naive_programs.py
+++ b/testing/naive_programs.py
@@ -1,7 +1,8 @@
-"""A record keeper that is slow and plainly right, to compare with.
+"""A simple reference model of the program machine.
 
-It keeps every call ever granted in one list and works each figure out from
-that list when asked. It knows no retention, no snapshots and no log.
+It keeps all calls ever granted in one list and computes every figure from that
+list when asked, which is slow but easy to verify. It has neither snapshots nor
+a log.
 """
 
 import dataclasses
@@ -14,18 +15,18 @@
 
 
 @dataclasses.dataclass
-class NaiveCall:
+class ReferenceCall:
     request: program_messages.BeginCall
     attempt: int
-    held: int
+    reserved_tokens: int
     state: str = "running"
     answer: bytes = b""
     usage: identities.Usage = NO_USAGE
     touched: float = 0.0
-    has_key: bool = True
+    keeps_key: bool = True
 
-    def is_named(self, request: Any) -> bool:
-        if not self.has_key:
+    def matches(self, request: Any) -> bool:
+        if not self.keeps_key:
             return False
         mine, other = self.request, request
         if (mine.program, mine.key) != (other.program, other.key):
@@ -33,13 +34,16 @@
         return bool(mine.program) or mine.customer == other.customer
 
 
-class NaiveKeeper:
-    """Answers with a word and, where one is asked for, an attempt.
+class ReferenceModel:
+    """Answers requests with a tuple of the reply's kind and its key fields.
 
     Attributes:
-        clock: Set by the test before each request.
-        active: When something last happened, by root.
-        ended: When a program was closed or expired.
+        programs: Requests that created the programs, by program id.
+        clock: Group clock in seconds; set by the test before each request.
+        active: Clock of the last activity, by root program.
+        ended: Clock at which each program was closed or expired.
+        calls: All calls ever granted.
+        last_attempt: Number of the newest attempt.
     """
 
     def __init__(self) -> None:
@@ -47,7 +51,7 @@
         self.clock = 0.0
         self.active: dict[str, float] = {}
         self.ended: dict[str, float] = {}
-        self.calls: list[NaiveCall] = []
+        self.calls: list[ReferenceCall] = []
         self.last_attempt = 0
 
     def apply(self, request: Any) -> tuple[Any, ...]:
@@ -75,7 +79,7 @@
         if request.parent in self.ended:
             return ("program_closed",)
         self.programs[request.program] = request
-        self.note(request.program)
+        self.record_activity(request.program)
         return ("view",)
 
     def close(self, request: program_messages.CloseProgram) -> tuple[Any, ...]:
@@ -89,11 +93,11 @@
             if (name + ".").startswith(program + "."):
                 self.ended.setdefault(name, self.clock)
 
-    def touch(self, call: NaiveCall) -> None:
+    def touch(self, call: ReferenceCall) -> None:
         call.touched = self.clock
-        self.note(call.request.program)
+        self.record_activity(call.request.program)
 
-    def note(self, program: str) -> None:
+    def record_activity(self, program: str) -> None:
         self.active[program.split(".", maxsplit=1)[0]] = self.clock
 
     def tick(self, idle: float, retention: float) -> tuple[Any, ...]:
@@ -103,46 +107,46 @@
                 self.end(root)
         for name, ended in list(self.ended.items()):
             if self.clock - ended >= retention:
-                self.forget(name)
+                self.delete_program(name)
         for call in self.calls:
             is_turn = call.request.turn and call.state == "finished"
-            if is_turn or not call.has_key or call.state == "released":
+            if is_turn or not call.keeps_key or call.state == "released":
                 continue
             if self.clock - call.touched >= retention:
                 self.drop(call)
         return ("done",)
 
-    def drop(self, call: NaiveCall) -> None:
-        call.has_key = False
+    def drop(self, call: ReferenceCall) -> None:
+        call.keeps_key = False
         if call.state in ("running", "unknown"):
             call.state = "failed"
 
-    def forget(self, name: str) -> None:
-        """Drops a program; its cost stays with its ancestors."""
+    def delete_program(self, name: str) -> None:
+        """Deletes a program; its usage still counts for its ancestors."""
         del self.ended[name]
         del self.programs[name]
         parent = name.rpartition(".")[0]
-        heir = f"{parent}.~" if parent else "~"
+        owner = f"{parent}.~" if parent else "~"
         for call in self.below(name):
             self.drop(call)
-            call.request = call.request._replace(program=heir)
+            call.request = call.request._replace(program=owner)
 
     def begin(self, request: program_messages.BeginCall) -> tuple[Any, ...]:
         if request.program and request.program not in self.programs:
             return ("unknown_program",)
         for call in self.calls:
-            if call.is_named(request) and call.state != "released":
+            if call.matches(request) and call.state != "released":
                 return self.begin_known(call, request)
         if request.program:
             refusal = self.refusal(request)
             if refusal:
                 return (refusal,)
-        call = NaiveCall(request, 0, self.hold_of(request))
+        call = ReferenceCall(request, 0, self.tokens_to_reserve(request))
         self.calls.append(call)
         return self.grant(call, request)
 
     def begin_known(
-        self, call: NaiveCall, request: program_messages.BeginCall
+        self, call: ReferenceCall, request: program_messages.BeginCall
     ) -> tuple[Any, ...]:
         mine = call.request
         if (mine.digest, mine.turn) != (request.digest, request.turn):
@@ -171,7 +175,7 @@
         return ("underway", call.attempt)
 
     def grant(
-        self, call: NaiveCall, request: program_messages.BeginCall
+        self, call: ReferenceCall, request: program_messages.BeginCall
     ) -> tuple[Any, ...]:
         self.last_attempt += 1
         call.attempt = self.last_attempt
@@ -221,7 +225,7 @@
         if request.program and request.program not in self.programs:
             return ("unknown_program",)
         for call in self.calls:
-            if call.is_named(request) and call.attempt == request.attempt:
+            if call.matches(request) and call.attempt == request.attempt:
                 if call.state == "finished":
                     return ("done",)
                 if call.state in ("running", "unknown"):
@@ -235,14 +239,14 @@
     def settle(self, request: program_messages.SettleCall) -> tuple[Any, ...]:
         if request.program and request.program not in self.programs:
             return ("unknown_program",)
-        words = {"not_run": "released", "unknown": "unknown", "ran": "failed"}
+        states = {"not_run": "released", "unknown": "unknown", "ran": "failed"}
         for call in self.calls:
             if (
-                call.is_named(request)
+                call.matches(request)
                 and call.attempt == request.attempt
                 and call.state in ("running", "unknown")
             ):
-                call.state = words[request.outcome]
+                call.state = states[request.outcome]
                 if call.state != "released":
                     self.touch(call)
                 else:
@@ -250,7 +254,7 @@
                     self.calls.append(call)
         return ("done",)
 
-    def last_released(self, name: str) -> NaiveCall | None:
+    def last_released(self, name: str) -> ReferenceCall | None:
         released = [
             c
             for c in self.calls
@@ -258,7 +262,7 @@
         ]
         return released[-1] if released else None
 
-    def history(self, name: str) -> list[NaiveCall]:
+    def history(self, name: str) -> list[ReferenceCall]:
         turns = [
             c
             for c in self.calls
@@ -275,7 +279,7 @@
             for count in range(1, len(parts) + 1)
         ]
 
-    def below(self, name: str) -> list[NaiveCall]:
+    def below(self, name: str) -> list[ReferenceCall]:
         return [
             c
             for c in self.calls
@@ -294,12 +298,14 @@
             for c in self.below(name)
             if c.state == "finished"
         )
-        lost = sum(c.held for c in self.below(name) if c.state == "failed")
+        lost = sum(
+            c.reserved_tokens for c in self.below(name) if c.state == "failed"
+        )
         return spent + lost
 
     def reserved(self, name: str) -> int:
         return sum(
-            c.held
+            c.reserved_tokens
             for c in self.below(name)
             if c.state in ("running", "unknown")
         )
@@ -314,7 +320,7 @@
         ]
         return min(limits, default=None)
 
-    def hold_of(self, request: program_messages.BeginCall) -> int:
+    def tokens_to_reserve(self, request: program_messages.BeginCall) -> int:
         if not request.program:
             return 0
         left = self.tokens_left(request.program)
--- a/testing/test_histories.py
+++ b/testing/test_histories.py
@@ -1,4 +1,4 @@
-"""The history checker finds each kind of broken promise."""
+"""The history checker detects each kind of violation."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 from mintcleat.domain import identities
 from mintcleat.domain import program_messages
 
-NOWHERE = identities.Incarnation("", 0)
+NO_SIDECAR = identities.Incarnation("", 0)
 
 
 def view(
@@ -28,7 +28,7 @@
         reserved,
         "open",
         b"",
-        NOWHERE,
+        NO_SIDECAR,
         "",
         0.0,
         [],
@@ -44,8 +44,8 @@
     return turns
 
 
-def good_record() -> histories.Record:
-    """Two turns, a tool call of unknown outcome and a refused one."""
+def correct_record() -> histories.Record:
+    """Returns two turns, a tool call of unknown outcome and a refused one."""
     record = histories.Record()
     ran, unknown, not_run = errors.RAN, errors.UNKNOWN, errors.NOT_RUN
     record.operations = [
@@ -69,7 +69,7 @@
     return record
 
 
-def run_before_its_predecessor(record: histories.Record) -> None:
+def run_before_the_turn_before(record: histories.Record) -> None:
     record.runs[1] = record.runs[1]._replace(start=13)
     record.operations[1] = record.operations[1]._replace(start=11)
 
@@ -86,21 +86,21 @@
     record.runs.append(histories.Run("p", "u", 0, 5, 90, 91, 5))
 
 
-def cross_an_answer(record: histories.Record) -> None:
+def answer_with_that_of_another_call(record: histories.Record) -> None:
     record.operations.append(
         record.operations[0]._replace(start=21, end=22, answer="r2")
     )
 
 
-def answer_what_never_ran(record: histories.Record) -> None:
+def answer_a_call_that_never_ran(record: histories.Record) -> None:
     record.runs = [run for run in record.runs if run.key != "b"]
 
 
-def overspend(record: histories.Record) -> None:
+def exceed_the_budget(record: histories.Record) -> None:
     record.reads[2] = histories.Read(41, 42, view(3, 45, 10))
 
 
-def forget_a_cost(record: histories.Record) -> None:
+def omit_used_tokens(record: histories.Record) -> None:
     record.finals["p"] = record.finals["p"]._replace(view=view(3, 5))
 
 
@@ -114,7 +114,7 @@
     record.finals["p"] = record.finals["p"]._replace(turns=turns)
 
 
-def mix_in_another_history(record: histories.Record) -> None:
+def mix_in_a_turn_of_another_program(record: histories.Record) -> None:
     turns = turns_of([("s1", "r1"), ("s2", "r2"), ("of q", "r3")])
     record.finals["p"] = record.finals["p"]._replace(turns=turns)
 
@@ -125,46 +125,46 @@
     )
 
 
-def read_behind_an_acknowledgement(record: histories.Record) -> None:
+def read_without_an_acknowledged_turn(record: histories.Record) -> None:
     record.reads.append(histories.Read(43, 44, view(2, 5)))
 
 
-def read_back_behind_a_read(record: histories.Record) -> None:
+def read_less_than_an_earlier_read(record: histories.Record) -> None:
     record.reads.append(histories.Read(31, 33, view(3, 10)))
     record.reads.append(histories.Read(35, 36, view(2, 5)))
 
 
-def read_from_the_future(record: histories.Record) -> None:
+def read_a_turn_not_yet_sent(record: histories.Record) -> None:
     record.reads.append(histories.Read(26, 27, view(3, 10)))
 
 
 FAULTS: list[tuple[str, Callable[[histories.Record], None]]] = [
-    ("order", run_before_its_predecessor),
+    ("order", run_before_the_turn_before),
     ("at_most_once", run_an_action_twice),
     ("not_run", run_a_refused_call),
     ("not_run", run_a_refused_call_later),
-    ("answer", cross_an_answer),
-    ("answer", answer_what_never_ran),
-    ("budget", overspend),
-    ("budget", forget_a_cost),
+    ("answer", answer_with_that_of_another_call),
+    ("answer", answer_a_call_that_never_ran),
+    ("budget", exceed_the_budget),
+    ("budget", omit_used_tokens),
     ("history", lose_a_turn),
     ("history", record_a_late_answer),
-    ("history", mix_in_another_history),
+    ("history", mix_in_a_turn_of_another_program),
     ("history", break_the_digest),
-    ("stale_read", read_behind_an_acknowledgement),
-    ("stale_read", read_back_behind_a_read),
-    ("stale_read", read_from_the_future),
+    ("stale_read", read_without_an_acknowledged_turn),
+    ("stale_read", read_less_than_an_earlier_read),
+    ("stale_read", read_a_turn_not_yet_sent),
 ]
 
 
-def test_sound_record_has_no_violation() -> None:
-    assert histories.check(good_record()) == []
+def test_correct_record_has_no_violation() -> None:
+    assert histories.check(correct_record()) == []
 
 
-@pytest.mark.parametrize(("kind", "plant"), FAULTS)
-def test_planted_fault_is_found(
-    kind: str, plant: Callable[[histories.Record], None]
+@pytest.mark.parametrize(("kind", "inject"), FAULTS)
+def test_injected_fault_is_detected(
+    kind: str, inject: Callable[[histories.Record], None]
 ) -> None:
-    record = good_record()
-    plant(record)
+    record = correct_record()
+    inject(record)
     assert kind in {found.kind for found in histories.check(record)}
--- a/testing/test_program_service.py
+++ b/testing/test_program_service.py
@@ -1,4 +1,4 @@
-"""The program service on a log in memory."""
+"""The program service with a replicated log in memory."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
 
 
 class NoStreams:
-    """Notes the handlers; requests are handed to the service directly."""
+    """Records the handlers; requests are passed to the service directly."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Any] = {}
@@ -30,7 +30,7 @@
 
 
 class Exchange:
-    """Keeps what a handler sends."""
+    """Records the messages that a handler sends."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -90,7 +90,7 @@
     def commands(self) -> int:
         return sum(len(found) for found in self.cluster.commands.values())
 
-    def test_replica_that_does_not_lead_names_the_leader(self) -> None:
+    def test_follower_refuses_and_names_the_leader(self) -> None:
         self.cluster.elect("c2:1")
         for request in (create("p"), program_messages.ShowProgram("p")):
             (reply,) = self.service.answer([request])
@@ -98,7 +98,7 @@
             self.assertEqual("c2:1", reply.leader)
         self.assertEqual(0, self.commands())
 
-    def test_batch_is_answered_in_order_with_one_commit_a_group(self) -> None:
+    def test_batch_is_answered_in_order_with_one_commit_per_group(self) -> None:
         names = [f"p{number}" for number in range(20)]
         requests = [create(name) for name in names]
         requests.insert(3, program_messages.ShowProgram("nobody"))
@@ -116,12 +116,12 @@
         )
         self.assertEqual("call_running", replies[2].kind)
 
-    def test_lost_proposal_is_told_as_lost(self) -> None:
+    def test_lost_proposal_is_reported(self) -> None:
         self.cluster.lose_next = 1
         (reply,) = self.service.answer([create("p")])
         self.assertThat(reply, matchers.IsInstance(errors.ProposalLost))
 
-    def test_malformed_requests_are_refused_before_the_log(self) -> None:
+    def test_malformed_requests_are_not_proposed(self) -> None:
         bad = [
             config_messages.Ping(),
             create("no spaces"),
@@ -139,23 +139,23 @@
             self.assertThat(reply, matchers.IsInstance(errors.BadRequest))
         self.assertEqual(0, self.commands())
 
-    def test_empty_groups_cost_nothing_and_idle_ones_little(self) -> None:
+    def test_only_groups_with_records_log_their_clock(self) -> None:
         self.service.answer([create("p")])
         self.timers.advance(65.0)
         self.assertEqual(2, self.commands())
 
-    def test_abandoned_program_expires_by_time_of_leadership(self) -> None:
+    def test_abandoned_program_expires_by_the_group_clock(self) -> None:
         self.service.answer([create("p")])
         self.timers.advance(110.0)
         (view,) = self.service.answer([program_messages.ShowProgram("p")])
         self.assertEqual("expired", view.state)
 
-    def test_clock_goes_on_at_the_next_leader(self) -> None:
+    def test_new_leader_continues_the_group_clock(self) -> None:
         """Leadership moves to a replica that started much later.
 
-        Its own process has a younger monotonic clock. Were the group's
-        clock taken from it, idle programs would never expire, or all would
-        at once; it goes on from the last clock in the log instead.
+        The monotonic clock of its process has another origin. If the group's
+        clock were taken from it, idle programs would never expire or all would
+        expire at once, so it continues from the last clock in the log.
         """
         self.service.answer([create("p"), create("q")])
         self.timers.advance(60.0)
@@ -172,7 +172,7 @@
         )
         self.assertEqual(["open", "expired"], [view.state for view in views])
 
-    def test_list_goes_on_after_a_name(self) -> None:
+    def test_list_continues_after_a_name(self) -> None:
         names = [f"p{number}" for number in range(9)]
         self.service.answer([create(name) for name in names])
         found = []
--- a/testing/test_programs_differential.py
+++ b/testing/test_programs_differential.py
@@ -1,4 +1,4 @@
-"""The program machine against a naive keeper, and replica against replica."""
+"""The program machine against a reference model, and against a restored one."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 FAILURE = errors.UpstreamFailed("It failed.").failure()
 IDLE = 100.0
 RETENTION = 250.0
-WORDS = {
+REPLY_KINDS = {
     program_messages.ProgramView: "view",
     program_messages.Granted: "granted",
     program_messages.Recorded: "recorded",
@@ -25,7 +25,7 @@
 }
 
 REPLIES = {
-    *WORDS.values(),
+    *REPLY_KINDS.values(),
     "budget_exhausted",
     "call_running",
     "key_conflict",
@@ -80,7 +80,7 @@
     SIDECARS,
     st.integers(0, 2),
 )
-# Later steps refer to grants by their place, so that most of them hit.
+# Later steps refer to earlier grants by position, so that most of them apply.
 RESENDS = st.tuples(
     st.just("resend"), st.integers(0, 9), st.booleans(), SIDECARS
 )
@@ -102,20 +102,20 @@
 def summary(reply: Any) -> tuple[Any, ...]:
     if isinstance(reply, errors.MintcleatError):
         return (reply.kind,)
-    word = WORDS[type(reply)]
+    kind = REPLY_KINDS[type(reply)]
     match reply:
         case program_messages.Recorded():
-            return (word, reply.attempt, reply.answer)
+            return (kind, reply.attempt, reply.answer)
         case program_messages.Granted() | program_messages.Underway():
-            return (word, reply.attempt)
-    return (word,)
+            return (kind, reply.attempt)
+    return (kind,)
 
 
 class Run:
-    """One sequence on the keeper, a plain replica and a restored one."""
+    """One sequence of steps on the model, a replica and a restored replica."""
 
     def __init__(self) -> None:
-        self.naive = naive_programs.NaiveKeeper()
+        self.reference = naive_programs.ReferenceModel()
         self.plain = machine.ProgramMachine()
         self.restored = machine.ProgramMachine()
         self.grants: list[
@@ -149,9 +149,9 @@
             case (action, place, *rest):
                 if self.grants:
                     begin, granted = self.grants[-1 - place % len(self.grants)]
-                    self.apply(self.refer(action, begin, granted, rest))
+                    self.apply(self.build_request(action, begin, granted, rest))
 
-    def refer(
+    def build_request(
         self,
         action: str,
         begin: program_messages.BeginCall,
@@ -172,11 +172,11 @@
         return begin._replace(sealed=sealed, sidecar=rest[1], nonce=0)
 
     def apply(self, request: Any) -> None:
-        self.naive.clock = self.clock
+        self.reference.clock = self.clock
         if isinstance(request, commands.Tick):
-            expected = self.naive.tick(*request)
+            expected = self.reference.tick(*request)
         else:
-            expected = self.naive.apply(request)
+            expected = self.reference.apply(request)
         command = commands.encode(commands.Command(self.clock, 0.0, [request]))
         (reply,) = self.plain.apply(1, command)
         (other,) = self.restored.apply(1, command)
@@ -187,22 +187,22 @@
             self.grants.append((request, reply))
 
     def check_state(self) -> None:
-        assert self.plain.programs.keys() == self.naive.programs.keys()
+        assert self.plain.programs.keys() == self.reference.programs.keys()
         assert self.plain.snapshot() == self.restored.snapshot()
-        for name in self.naive.programs:
+        for name in self.reference.programs:
             view = self.plain.read(program_messages.ShowProgram(name))
-            assert view.used == self.naive.used(name)
-            assert view.reserved == self.naive.reserved(name)
+            assert view.used == self.reference.used(name)
+            assert view.reserved == self.reference.reserved(name)
             if view.budget.tokens:
                 assert view.used + view.reserved <= view.budget.tokens
             history = self.plain.read(program_messages.FetchHistory(name))
             assert [turn.messages for turn in history.turns] == [
                 [*call.request.messages, call.answer.decode()]
-                for call in self.naive.history(name)
+                for call in self.reference.history(name)
             ]
 
 
-def test_machine_answers_as_the_naive_keeper_does() -> None:
+def test_machine_answers_like_the_reference_model() -> None:
     met = set()
 
     @hypothesis.given(STEPS)
@@ -215,5 +215,5 @@
         met.update(run.met)
 
     compare()
-    # Sequences that never reach a reply would compare nothing.
+    # Every kind of reply must have occurred, or it was never compared.
     assert met >= REPLIES
--- a/testing/test_programs_histories.py
+++ b/testing/test_programs_histories.py
@@ -30,7 +30,7 @@
     max_examples=60,
     suppress_health_check=[hypothesis.HealthCheck.function_scoped_fixture],
 )
-def test_files_hold_what_memory_holds(
+def test_files_hold_the_same_records_as_memory(
     tmp_path: pathlib.Path, steps: list[tuple[str, str, bytes]]
 ) -> None:
     files = histories.FileHistoryStore(tmp_path, segment_bytes=200)
@@ -46,7 +46,7 @@
         assert files.read(name, 2, 3) == plain.read(name, 2, 3)
 
 
-def test_space_of_forgotten_records_comes_back(tmp_path: pathlib.Path) -> None:
+def test_space_of_deleted_records_is_reclaimed(tmp_path: pathlib.Path) -> None:
     store = histories.FileHistoryStore(tmp_path, segment_bytes=1000)
     for number in range(200):
         store.append(f"p{number}", b"x" * 100)
@@ -57,11 +57,12 @@
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) < 3000
 
 
-def test_damaged_record_is_a_typed_error(tmp_path: pathlib.Path) -> None:
-    """A byte of the file flips on the disk.
+def test_reading_a_corrupt_record_raises_storage_damaged(
+    tmp_path: pathlib.Path,
+) -> None:
+    """A byte of the file changes on the disk.
 
-    The read must not hand out another text as the program's history; the
-    error names the repair.
+    The read must not return other text as the program's history.
     """
     store = histories.FileHistoryStore(tmp_path)
     store.append("p", b"a long enough record")
@@ -73,6 +74,6 @@
         store.read("p", 1, 1)
 
 
-def test_new_life_starts_empty(tmp_path: pathlib.Path) -> None:
+def test_store_is_empty_after_a_restart(tmp_path: pathlib.Path) -> None:
     histories.FileHistoryStore(tmp_path).append("p", b"old")
     assert histories.FileHistoryStore(tmp_path).read("p", 1, 1) == []
--- a/testing/test_programs_machine.py
+++ b/testing/test_programs_machine.py
@@ -1,4 +1,4 @@
-"""Order, at-most-once, budget and limits of the program machine."""
+"""The program machine: order, at-most-once execution, budgets, retention."""
 
 from typing import Any
 
@@ -87,7 +87,7 @@
         self.check_refused(errors.WrongTurn, begin(1, "b"))
         self.assertEqual(1, self.apply(begin(2, "b")).base_turn)
 
-    def test_resend_of_an_old_turn_gets_its_recorded_answer(self) -> None:
+    def test_resend_of_a_finished_turn_gets_its_recorded_answer(self) -> None:
         self.create()
         for turn in (1, 2, 3):
             attempt = self.apply(begin(turn, f"k{turn}")).attempt
@@ -96,7 +96,7 @@
         self.assertEqual(program_messages.Recorded(1, b"yes", (3, 4, 0)), reply)
         self.check_refused(errors.KeyConflict, begin(1, "k1", digest=b"x" * 16))
 
-    def test_history_holds_what_was_acknowledged_and_rolls_its_digest(
+    def test_history_holds_finished_turns_and_their_rolling_digests(
         self,
     ) -> None:
         self.create()
@@ -114,11 +114,11 @@
 
 class AttemptTest(MachineTest):
     def test_resend_after_a_lost_answer_gets_the_same_grant(self) -> None:
-        """The entry's begin is committed, its answer is lost.
+        """The entry's BeginCall is committed, but its reply is lost.
 
-        The resend carries the same nonce and gets the grant again; another
-        entry's begin of the same key is told where the attempt runs. Were
-        the resend told so too, nobody would run the call.
+        The resend carries the same nonce and gets the same grant; a BeginCall
+        of another entry with the same key is told where the attempt runs. If
+        the resend were told the same, nobody would run the call.
         """
         self.create()
         first = self.apply(begin(1, "a", nonce=7))
@@ -128,10 +128,10 @@
             self.apply(begin(1, "a", nonce=8)),
         )
 
-    def test_late_copy_of_a_settled_begin_is_not_granted(self) -> None:
-        """A copy of a begin is committed after its attempt was given back.
+    def test_late_copy_of_a_settled_call_is_not_granted(self) -> None:
+        """A copy of a BeginCall commits after its attempt settled as not run.
 
-        Nobody waits for it; a grant would hold the turn, and the caller's
+        Nobody waits for it. A grant would block the turn, and the caller's
         next try with another key would be refused.
         """
         self.create()
@@ -160,12 +160,12 @@
         )
         self.assertEqual((7, 0), (self.show().used, self.show().reserved))
 
-    def test_late_answer_of_a_replaced_attempt_is_not_recorded(self) -> None:
-        """A sidecar is lost, the turn runs again elsewhere.
+    def test_late_answer_of_a_superseded_attempt_is_not_recorded(self) -> None:
+        """A sidecar is lost and the turn runs again at another one.
 
-        The first sidecar comes back and finishes its attempt. Recording it
-        would put an answer into the history that the caller, who follows
-        the second attempt, never sees.
+        The first sidecar reconnects and finishes its attempt. Recording it
+        would add an answer to the history that the caller never sees, because
+        it follows the second attempt.
         """
         self.create()
         first = self.apply(begin(1, "a")).attempt
@@ -181,14 +181,14 @@
         self.assertEqual("second", history.turns[0].messages[-1])
         self.assertEqual(1, len(history.turns))
 
-    def test_sealed_attempt_frees_a_non_idempotent_call(self) -> None:
+    def test_non_idempotent_call_may_run_again_once_sealed(self) -> None:
         self.create()
         tool = begin(0, "t", idempotent=False)
         first = self.apply(tool).attempt
         moved = tool._replace(sidecar=OTHER, sealed=first)
         self.assertThat(self.apply(moved).attempt, matchers.GreaterThan(first))
 
-    def test_later_life_of_the_sidecar_frees_only_idempotent_calls(
+    def test_only_idempotent_calls_run_again_after_a_sidecar_restart(
         self,
     ) -> None:
         self.create()
@@ -201,7 +201,9 @@
         reply = self.apply(begin(1, "a", sidecar=later))
         self.assertThat(reply, matchers.IsInstance(program_messages.Granted))
 
-    def test_failed_call_answers_its_failure_and_frees_the_turn(self) -> None:
+    def test_failed_call_returns_its_failure_and_releases_the_turn(
+        self,
+    ) -> None:
         self.create()
         attempt = self.apply(begin(1, "a")).attempt
         self.apply(settle("a", attempt, errors.RAN))
@@ -226,7 +228,7 @@
 
 
 class LimitTest(MachineTest):
-    def test_sub_agents_draw_on_the_root_and_on_their_own_budget(self) -> None:
+    def test_sub_agent_calls_count_against_own_and_root_budget(self) -> None:
         self.create(budget=identities.Budget(tokens=25))
         self.create("p.c", parent="p", budget=identities.Budget(tokens=15))
         child = {"program": "p.c"}
@@ -237,7 +239,7 @@
         self.apply(finish("a", first, **child))
         self.assertEqual((7, 10), (self.show().used, self.show().reserved))
 
-    def test_turn_without_a_reservation_holds_all_that_is_left(self) -> None:
+    def test_turn_without_a_reservation_reserves_all_tokens_left(self) -> None:
         self.create(budget=identities.Budget(tokens=25))
         granted = self.apply(begin(1, "a", reserve=0))
         self.assertEqual(25, granted.tokens_left)
@@ -267,14 +269,14 @@
             errors.LoopDetected, begin(0, "again", digest=b"1" * 16)
         )
 
-    def test_create_is_repeatable_and_conflicts_with_other_attributes(
+    def test_create_is_idempotent_and_conflicts_with_other_attributes(
         self,
     ) -> None:
         self.assertEqual(self.create(), self.create())
         reply = self.create(agent="claim")
         self.assertThat(reply, matchers.IsInstance(errors.ProgramExists))
 
-    def test_closing_closes_sub_agents_and_reports_them_gone(self) -> None:
+    def test_closing_a_program_closes_and_reports_its_sub_agents(self) -> None:
         self.create()
         self.create("p.c", parent="p")
         self.create("q")
@@ -286,7 +288,7 @@
 
 
 class RetentionTest(MachineTest):
-    def test_abandoned_program_expires_and_its_record_leaves(self) -> None:
+    def test_abandoned_program_expires_and_its_record_is_deleted(self) -> None:
         self.create()
         self.create("p.c", parent="p")
         self.clock = 60.0
@@ -302,11 +304,11 @@
         self.assertEqual({}, self.group.programs)
         self.assertEqual({}, self.group.histories.records)
 
-    def test_refusal_of_a_forgotten_program_makes_no_promise(self) -> None:
-        """A caller resends a call of a program that left by retention.
+    def test_outcome_of_a_deleted_program_is_unknown(self) -> None:
+        """A caller resends a call of a program deleted after its retention.
 
-        The call may have run then. "Not run" holds only as long as no
-        record has ever left.
+        The call may have run. "Not run" is certain only as long as no program
+        was ever deleted.
         """
         reply = self.check_refused(errors.UnknownProgram, begin(1, "a"))
         self.assertEqual(errors.NOT_RUN, reply.outcome)
@@ -317,7 +319,7 @@
         reply = self.check_refused(errors.UnknownProgram, begin(1, "a"))
         self.assertEqual(errors.UNKNOWN, reply.outcome)
 
-    def test_unknown_call_expires_with_its_reservation_spent(self) -> None:
+    def test_expired_unknown_call_counts_its_reservation_as_used(self) -> None:
         self.create(budget=identities.Budget(tokens=25))
         attempt = self.apply(begin(1, "a", idempotent=False)).attempt
         self.apply(settle("a", attempt, errors.UNKNOWN))
@@ -328,7 +330,7 @@
         reply = self.apply(begin(1, "b"))
         self.assertThat(reply, matchers.IsInstance(program_messages.Granted))
 
-    def test_closed_sub_agent_leaves_its_open_root(self) -> None:
+    def test_deleted_sub_agent_is_removed_from_its_open_root(self) -> None:
         self.create()
         self.create("p.c", parent="p")
         self.apply(program_messages.CloseProgram("p.c"))
@@ -336,14 +338,14 @@
         self.apply(TICK._replace(program_idle=9999.0))
         self.assertEqual([], self.show().children)
 
-    def test_forgotten_sub_agent_leaves_no_reservation_on_its_root(
+    def test_deleted_sub_agent_leaves_no_reservation_on_its_root(
         self,
     ) -> None:
         """A sub-agent is closed while one of its calls has no outcome.
 
-        Its record leaves while the root is open. The tokens that the call
-        held are counted as spent; were they only forgotten with the record,
-        they would stay reserved on the root for as long as it lives.
+        Its record is deleted while the root is open. The tokens reserved for
+        the call must count as used; if they were only dropped with the record,
+        they would stay reserved on the root.
         """
         self.create()
         self.create("p.c", parent="p")
@@ -353,7 +355,7 @@
         self.apply(TICK._replace(program_idle=9999.0))
         self.assertEqual((10, 0), (self.show().used, self.show().reserved))
 
-    def test_finished_turns_and_freed_calls_hold_no_memory(self) -> None:
+    def test_finished_turns_and_released_calls_are_not_kept(self) -> None:
         self.create()
         for turn in range(1, 4):
             attempt = self.apply(begin(turn, f"k{turn}")).attempt
