--- a/src/mintcleat/ports/histories.py
+++ b/src/mintcleat/ports/histories.py
@@ -15,7 +15,7 @@
         """Appends a record to a sequence, which is created if missing."""
 
     def read(self, name: str, first: int, last: int) -> list[bytes]:
-        """Returns the records `first` to `last`, both included, from 1.
+        """Returns the records `first` to `last`, numbered from 1, inclusive.
 
         Records that do not exist are left out.
 
--- a/src/mintcleat/programs/histories.py
+++ b/src/mintcleat/programs/histories.py
@@ -27,7 +27,7 @@
         self.records.setdefault(name, []).append(record)
 
     def read(self, name: str, first: int, last: int) -> list[bytes]:
-        """Returns the records `first` to `last`, both included, from 1."""
+        """Returns the records `first` to `last`, numbered from 1, inclusive."""
         return self.records.get(name, [])[first - 1 : last]
 
     def forget(self, name: str) -> None:
--- a/src/mintcleat/programs/retention.py
+++ b/src/mintcleat/programs/retention.py
@@ -11,8 +11,8 @@
 from mintcleat.programs import records
 from mintcleat.programs import state
 
-# Records of each kind that one tick deletes. Many may expire at the same time,
-# and deleting all would stall the event loop and delay heartbeats.
+# Records of each kind that one tick expires or deletes. Many may be due at the
+# same time, and handling all would stall the event loop and delay heartbeats.
 MAX_DELETIONS = 1000
 # Maximum time that the clock of an idle group loses with a change of leader;
 # negligible against any reasonable retention.
