--- a/src/mintcleat/programs/branches.py
+++ b/src/mintcleat/programs/branches.py
@@ -92,7 +92,7 @@
         turns: Finished turns by id. A program may continue a turn of another
             program of its customer.
         expires: Group clock after which each finished turn may be deleted,
-            the earliest first.
+            in about that order.
         last_sweep: Group clock of the last sweep.
     """
 
