--- a/src/mintcleat/ports/membership.py
+++ b/src/mintcleat/ports/membership.py
@@ -19,17 +19,17 @@
     def may_serve_stale(self) -> bool:
         """Returns whether idempotent plain calls are served without a lease."""
 
-    def draining(self, instance: str, failure_domain: str) -> bool:
+    def is_draining(self, instance: str, failure_domain: str) -> bool:
         """Returns whether the instance or its failure domain is drained."""
 
-    def quarantined(self, digest: bytes) -> bool:
+    def is_quarantined(self, digest: bytes) -> bool:
         """Returns whether a request is quarantined, that is, never run.
 
         Args:
             digest: Digest of the request.
         """
 
-    def suspect(self, digest: bytes) -> bool:
+    def is_suspect(self, digest: bytes) -> bool:
         """Returns whether a request is suspected of crashing upstreams.
 
         Suspects run one at a time, so that a crash shows which one caused it.
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -156,18 +156,18 @@
 
     # --- Restrictions ---------------------------------------------------------
 
-    def draining(self, instance: str, failure_domain: str) -> bool:
+    def is_draining(self, instance: str, failure_domain: str) -> bool:
         """Tells whether an operator drains the instance or its domain."""
         return (
             f"instance/{instance}" in self.drains
             or f"failure_domain/{failure_domain}" in self.drains
         )
 
-    def quarantined(self, digest: bytes) -> bool:
+    def is_quarantined(self, digest: bytes) -> bool:
         """Tells whether a request is refused everywhere."""
         return digest in self.quarantine
 
-    def suspect(self, digest: bytes) -> bool:
+    def is_suspect(self, digest: bytes) -> bool:
         """Tells whether a request may run beside no other suspect only."""
         return digest in self.suspects
 
@@ -324,7 +324,7 @@
         index: dict[str, list[member_messages.Announcement]] = {}
         for name in sorted(self.by_instance):
             item = self.by_instance[name]
-            if self.draining(name, item.failure_domain):
+            if self.is_draining(name, item.failure_domain):
                 item = item._replace(state="draining")
             index.setdefault(item.service, []).append(item)
         self.by_service = index
--- a/src/mintcleat/roles/sidecar/crashes.py
+++ b/src/mintcleat/roles/sidecar/crashes.py
@@ -76,9 +76,9 @@
         """Notes that the upstream has answered."""
         self.in_flight.pop(request, None)
 
-    def suspect(self, digest: bytes) -> bool:
+    def is_suspect(self, digest: bytes) -> bool:
         """Tells whether a request may run beside no other suspect only."""
-        return digest in self.local or self.directory.suspect(digest)
+        return digest in self.local or self.directory.is_suspect(digest)
 
     def broken(self, request: str) -> None:
         """Handles a lost stream; returns once a crash is reported."""
--- a/src/mintcleat/roles/sidecar/execution.py
+++ b/src/mintcleat/roles/sidecar/execution.py
@@ -118,7 +118,7 @@
     def _execute(self, attempt: sidecar_attempts.Attempt) -> None:
         digest = attempt.message.digest
         try:
-            call = self.runner.call(attempt, self.crashes.suspect(digest))
+            call = self.runner.call(attempt, self.crashes.is_suspect(digest))
             self.admission.enter(attempt, call)
         except errors.MintcleatError as error:
             self._end_refused(attempt, error)
--- a/src/mintcleat/roles/sidecar/presence.py
+++ b/src/mintcleat/roles/sidecar/presence.py
@@ -144,7 +144,7 @@
 
     def is_draining(self) -> bool:
         """Tells whether new work is refused here."""
-        return self.draining or self.directory.draining(
+        return self.draining or self.directory.is_draining(
             self.node.instance, self.options.failure_domain
         )
 
@@ -165,7 +165,7 @@
         state = self.state()
         if state != "ready":
             return errors.NoUpstream(f"The upstream here is {state}.")
-        if self.directory.quarantined(asked.digest):
+        if self.directory.is_quarantined(asked.digest):
             return errors.Quarantined("Upstreams crashed on this request.")
         if not self.directory.has_lease() and not self._serves_stale(asked):
             return errors.LeaseExpired("The configuration here is too old.")
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -89,13 +89,13 @@
     def may_serve_stale(self) -> bool:
         return self.value.policies.stale_lease == "serve"
 
-    def draining(self, instance: str, failure_domain: str) -> bool:
+    def is_draining(self, instance: str, failure_domain: str) -> bool:
         return self.drained
 
-    def quarantined(self, digest: bytes) -> bool:
+    def is_quarantined(self, digest: bytes) -> bool:
         return digest in self.quarantine
 
-    def suspect(self, digest: bytes) -> bool:
+    def is_suspect(self, digest: bytes) -> bool:
         return digest in self.suspects
 
     def announce(self) -> None:
--- a/testing/test_config_service.py
+++ b/testing/test_config_service.py
@@ -120,7 +120,7 @@
             "instance", "u-1", True, "anna", "test"
         )
         new.ask(request)
-        cluster.until(lambda: node.draining("u-1", ""))
+        cluster.until(lambda: node.is_draining("u-1", ""))
 
 
 class DateTest(testtools.TestCase):
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -117,7 +117,7 @@
         self.assertTrue(self.last_work("sidecar-1", 5.0) <= 0.7)
         self.assertEqual(12, len(self.names(self.entries[0], "draining")))
         node = self.sidecars[1].node
-        self.assertTrue(node.draining("sidecar-1", "hall-a"))
+        self.assertTrue(node.is_draining("sidecar-1", "hall-a"))
         leader.ask(drain._replace(drain=False))
         self.timers.advance(HEARD)
         self.assertEqual(12, len(self.names(self.entries[0], "ready")))
