--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -299,7 +299,7 @@
 
 def _lead(replica: state.State, now: float) -> None:
     log = replica.log
-    replica.box.told.append(
+    replica.outbox.elections.append(
         outbox.Elected(
             replica.group,
             replica.term,
@@ -319,7 +319,7 @@
     replica.progress = {}
     replicate.track_peers(replica, now)
     replica.term_start = replicate.add(replica, types.NOOP, b"", now)
-    replica.box.beat_soon = True
+    replica.outbox.beat_soon = True
 
 
 def _check_quorum(replica: state.State, now: float) -> None:
--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -68,14 +68,14 @@
         self.me = me
         self.life = life
         self.settings = settings
-        self.box = outbox.Outbox()
+        self.outbox = outbox.Outbox()
         self.replicas = {
             group: replicas.Replica(
                 group,
                 me,
                 settings,
                 jitter,
-                self.box,
+                self.outbox,
                 stored=stored.get(group) or records.Stored(),
                 now=now,
             )
@@ -129,7 +129,9 @@
                     self.hello_due = min(self.hello_due, soon)
                 if message.asks:
                     answer = wire.Known(self.known_groups())
-                    self.box.late.append(outbox.Letter(sender, answer))
+                    self.outbox.messages_after_sync.append(
+                        outbox.OutgoingMessage(sender, answer)
+                    )
                 if not message.members:
                     self._greet_started(sender, now)
             case wire.Known():
@@ -158,12 +160,12 @@
 
     def flush(self, now: float) -> None:
         """Adds what is to be sent; to be called before taking the outbox."""
-        changed, self.box.changed = self.box.changed, set()
+        changed, self.outbox.changed = self.outbox.changed, set()
         for group in sorted(changed):
             self.replicas[group].flush(now)
-        if self.box.beat_soon:
+        if self.outbox.beat_soon:
             self._beat(now)
-        if self.box.told:
+        if self.outbox.elections:
             # Instances outside of the group learn of its leader by a greeting.
             self.hello_due = now
 
@@ -201,7 +203,7 @@
             self.replicas[group].on_synced(ends[group])
 
     def _beat(self, now: float) -> None:
-        self.box.beat_soon = False
+        self.outbox.beat_soon = False
         self.beat_due = now + self.settings.heartbeat
         lists: dict[identities.Incarnation, list[wire.Beat]] = {}
         for group, replica in self.replicas.items():
@@ -232,7 +234,7 @@
         self._learn_voters()
         self.roster.forget_silent(now - _FORGET_PERIODS * period)
         hello = self._hello(bool(founding), now)
-        self.box.early.extend(self.roster.greetings(hello))
+        self.outbox.messages.extend(self.roster.greetings(hello))
         for group in founding:
             founders = self.roster.founders(group, size, now - 2 * period)
             if founders is not None:
@@ -262,7 +264,7 @@
         not know of it, and its nodes would be given no configuration.
         """
         hello = self._hello(False, now)
-        self.box.early.append(outbox.Letter(sender, hello))
+        self.outbox.messages.append(outbox.OutgoingMessage(sender, hello))
 
     def _learn_voters(self) -> None:
         """Keeps the addresses of all peers that the logs name.
@@ -295,7 +297,7 @@
         # An idle list is named by its version instead of being sent again.
         body = None if out.known == out.version else beats
         message = wire.Heartbeat(self.life, out.version, now, body)
-        self.box.early.append(outbox.Letter(follower, message))
+        self.outbox.messages.append(outbox.OutgoingMessage(follower, message))
 
     def _on_heartbeat(
         self,
@@ -331,7 +333,9 @@
         reply = wire.HeartbeatReply(
             message.life, message.version, message.sent, known, refused
         )
-        self.box.late.append(outbox.Letter(sender, reply))
+        self.outbox.messages_after_sync.append(
+            outbox.OutgoingMessage(sender, reply)
+        )
 
     def _on_reply(
         self,
--- a/src/mintcleat/consensus/lease.py
+++ b/src/mintcleat/consensus/lease.py
@@ -54,13 +54,13 @@
     """Asks for a linearizable read; a ReadReady with the token answers."""
     if replica.role != types.LEADER:
         refused = outbox.ReadReady(replica.group, token, False, 0)
-        replica.box.reads.append(refused)
+        replica.outbox.reads.append(refused)
         return
     if held(replica, now):
         _grant(replica, token)
         return
     replica.reads.append((token, now))
-    replica.box.beat_soon = True
+    replica.outbox.beat_soon = True
 
 
 def acknowledge(
@@ -99,7 +99,7 @@
 
 def _grant(replica: state.State, token: int) -> None:
     ready = outbox.ReadReady(replica.group, token, True, replica.commit)
-    replica.box.reads.append(ready)
+    replica.outbox.reads.append(ready)
 
 
 def contact(replica: state.State, voter: identities.Incarnation) -> float:
--- a/src/mintcleat/consensus/outbox.py
+++ b/src/mintcleat/consensus/outbox.py
@@ -7,7 +7,7 @@
 from mintcleat.domain import identities
 
 
-class Letter(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message to a replica."""
 
     to: identities.Incarnation
@@ -26,7 +26,7 @@
     mark: types.SnapshotMark
 
 
-class Installed(NamedTuple):
+class SnapshotReceived(NamedTuple):
     """Store this state and restore the machine from it, before `records`.
 
     `Replica.on_restored` must follow; until then nothing is applied.
@@ -71,27 +71,27 @@
     Attributes:
         installs: To store and restore first.
         records: Then to append to the write-ahead log.
-        early: To send at once; nothing in them promises durability.
-        late: To send only after `records` are synced.
+        messages: To send at once; nothing in them promises durability.
+        messages_after_sync: To send only after `records` are synced.
         stored: Groups that `records` add entries to.
         committed: Groups that have entries to apply.
         changed: Groups whose followers must be sent something.
-        marks: By group, the newest snapshot that `records` name.
-        told: What became of the group, for the operators' log.
+        snapshot_indexes: By group, the newest snapshot that `records` name.
+        elections: Elections won since the outbox was last taken.
     """
 
     def __init__(self) -> None:
-        self.installs: list[Installed] = []
+        self.installs: list[SnapshotReceived] = []
         self.records: list[bytes] = []
-        self.early: list[Letter] = []
-        self.late: list[Letter] = []
+        self.messages: list[OutgoingMessage] = []
+        self.messages_after_sync: list[OutgoingMessage] = []
         self.snapshots: list[SnapshotNeeded] = []
         self.reads: list[ReadReady] = []
         self.stored: set[str] = set()
         self.committed: set[str] = set()
         self.changed: set[str] = set()
-        self.marks: dict[str, int] = {}
-        self.told: list[Elected] = []
+        self.snapshot_indexes: dict[str, int] = {}
+        self.elections: list[Elected] = []
         self.beat_soon = False
 
     def take(self) -> "Outbox":
@@ -100,15 +100,15 @@
         taken.__dict__, self.__dict__ = self.__dict__, taken.__dict__
         return taken
 
-    def idle(self) -> bool:
+    def is_empty(self) -> bool:
         """Tells whether nothing is to be done."""
         return not (
             self.installs
             or self.records
-            or self.early
-            or self.late
+            or self.messages
+            or self.messages_after_sync
             or self.snapshots
             or self.reads
             or self.committed
-            or self.told
+            or self.elections
         )
--- a/src/mintcleat/consensus/replica.py
+++ b/src/mintcleat/consensus/replica.py
@@ -172,7 +172,7 @@
         replica.applied = index
         if replica.restoring == index:
             replica.restoring = 0
-            replica.box.committed.add(replica.group)
+            replica.outbox.committed.add(replica.group)
 
     def snapshot_mark(self) -> types.SnapshotMark:
         """Returns the mark for a snapshot of what is applied now."""
--- a/src/mintcleat/consensus/replicate.py
+++ b/src/mintcleat/consensus/replicate.py
@@ -14,7 +14,7 @@
     """Adds an entry at the leader and returns its index."""
     entry = types.Entry(replica.log.last_index + 1, replica.term, kind, data)
     replica.store([entry])
-    replica.box.changed.add(replica.group)
+    replica.outbox.changed.add(replica.group)
     if kind == types.CONFIGURATION:
         track_peers(replica, now)
     return entry.index
@@ -125,8 +125,8 @@
     mark = message.mark
     if mark.index > replica.commit:
         replica.install(mark)
-        install = outbox.Installed(replica.group, mark, message.state)
-        replica.box.installs.append(install)
+        install = outbox.SnapshotReceived(replica.group, mark, message.state)
+        replica.outbox.installs.append(install)
     last = max(mark.index, replica.commit)
     reply = wire.AppendReply(replica.group, replica.term, True, last)
     replica.send_synced(sender, reply)
@@ -209,7 +209,7 @@
     needed = outbox.SnapshotNeeded(
         follower, replica.group, replica.term, replica.mark
     )
-    replica.box.snapshots.append(needed)
+    replica.outbox.snapshots.append(needed)
 
 
 def _advance(
--- a/src/mintcleat/consensus/roster.py
+++ b/src/mintcleat/consensus/roster.py
@@ -164,10 +164,10 @@
                 answered=now, groups=frozenset(message.groups)
             )
 
-    def greetings(self, hello: wire.Hello) -> list[outbox.Letter]:
+    def greetings(self, hello: wire.Hello) -> list[outbox.OutgoingMessage]:
         """Returns a greeting for every other instance, whoever lives there."""
         return [
-            outbox.Letter(identities.Incarnation(name, 0), hello)
+            outbox.OutgoingMessage(identities.Incarnation(name, 0), hello)
             for name in self.members
             if name != self.me.instance
         ]
--- a/src/mintcleat/consensus/state.py
+++ b/src/mintcleat/consensus/state.py
@@ -67,7 +67,7 @@
         self.me = me
         self.settings = settings
         self.jitter = jitter
-        self.box = box
+        self.outbox = box
         self.term = stored.term
         self.vote = stored.vote
         self.log: entries.EntryLog = stored.log
@@ -130,7 +130,7 @@
 
     def send(self, to: identities.Incarnation, message: Any) -> None:
         """Sends a message that promises nothing about the disk."""
-        self.box.early.append(outbox.Letter(to, message))
+        self.outbox.messages.append(outbox.OutgoingMessage(to, message))
 
     def send_synced(self, to: identities.Incarnation, message: Any) -> None:
         """Sends a message once all records so far are synced.
@@ -140,13 +140,15 @@
         that no quorum holds.
         """
         safe = self.settings.safeguards.sync_first
-        box = self.box.late if safe else self.box.early
-        box.append(outbox.Letter(to, message))
+        box = self.outbox.messages_after_sync if safe else self.outbox.messages
+        box.append(outbox.OutgoingMessage(to, message))
 
     def save_vote(self) -> None:
         """Stores term and vote; who leads in the term is not known yet."""
         self.promised = types.NOBODY
-        self.box.records.append(records.vote(self.group, self.term, self.vote))
+        self.outbox.records.append(
+            records.vote(self.group, self.term, self.vote)
+        )
 
     def save_leader(self, leader: identities.Incarnation) -> None:
         """Stores who leads in this term, once.
@@ -157,21 +159,21 @@
         if self.promised != leader:
             self.promised = leader
             record = records.leader(self.group, self.term, leader)
-            self.box.records.append(record)
+            self.outbox.records.append(record)
 
     def store(self, items: list[types.Entry]) -> None:
         """Adds entries to the log in memory and on disk."""
         for entry in items:
             self.log.append(entry)
             self.note_configuration(entry)
-        self.box.records.append(records.entries(self.group, items))
-        self.box.stored.add(self.group)
+        self.outbox.records.append(records.entries(self.group, items))
+        self.outbox.stored.add(self.group)
 
     def commit_to(self, index: int) -> None:
         """Moves the commit index up; what it covers may be applied."""
         if index > self.commit:
             self.commit = index
-            self.box.committed.add(self.group)
+            self.outbox.committed.add(self.group)
 
     def truncate(self, index: int) -> None:
         """Drops uncommitted entries from `index` on."""
@@ -208,8 +210,8 @@
 
     def _record(self, mark: types.SnapshotMark) -> None:
         self.mark = mark
-        self.box.records.append(records.snapshot(self.group, mark))
-        self.box.marks[self.group] = mark.index
+        self.outbox.records.append(records.snapshot(self.group, mark))
+        self.outbox.snapshot_indexes[self.group] = mark.index
 
     def delay_election(self, now: float) -> None:
         """Draws the next election timeout."""
@@ -237,5 +239,5 @@
         """Refuses every waiting read."""
         for token, _ in self.reads:
             ready = outbox.ReadReady(self.group, token, False, 0)
-            self.box.reads.append(ready)
+            self.outbox.reads.append(ready)
         self.reads = []
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -182,9 +182,9 @@
         with self._stopping_on_failure():
             while self.failed is None:
                 self.core.flush(self.timers.now())
-                if self.core.box.idle():
+                if self.core.outbox.is_empty():
                     break
-                self._take_up(self.core.box.take())
+                self._take_up(self.core.outbox.take())
         self._release_lost()
         if self.failed is None:
             self.worked()
@@ -229,18 +229,20 @@
         Letters that promise durability leave in the order of the records
         before them, also when their own box holds none.
         """
-        for elected in box.told:
+        for elected in box.elections:
             self.teller.elected(elected)
-        self._send(box.early)
-        box.early = []
+        self._send(box.messages)
+        box.messages = []
         if not (box.installs or box.records or self.unsynced):
             self._finish(box)
             return
         if not box.records:
             # They promise not to vote, which a restart keeps by itself. Held
             # back behind a slow disk, they would unseat a healthy leader.
-            beats = [m for m in box.late if _is_beat(m)]
-            box.late = [m for m in box.late if not _is_beat(m)]
+            beats = [m for m in box.messages_after_sync if _is_beat(m)]
+            box.messages_after_sync = [
+                m for m in box.messages_after_sync if not _is_beat(m)
+            ]
             self._send(beats)
         # What a majority holds may be applied before this disk has it.
         self._apply_all(box)
@@ -281,7 +283,7 @@
         for item in taken:
             self.unsynced.popleft()
             self._finish(item.box)
-            marks.update(item.box.marks)
+            marks.update(item.box.snapshot_indexes)
         if marks:
             self.worker.run(self.snapshots.drop_below, marks)
 
@@ -319,7 +321,7 @@
 
     def _finish(self, box: outbox.Outbox) -> None:
         """Carries out what was to follow the sync."""
-        self._send(box.late)
+        self._send(box.messages_after_sync)
         for needed in box.snapshots:
             self.timers.spawn(self._send_snapshot, needed)
         self._apply_all(box)
@@ -333,7 +335,7 @@
             if done is not None:
                 done.send(ready)
 
-    def _send(self, letters: list[outbox.Letter]) -> None:
+    def _send(self, letters: list[outbox.OutgoingMessage]) -> None:
         frames: dict[identities.Incarnation, list[Any]] = {}
         for letter in letters:
             frames.setdefault(letter.to, []).append(letter.message)
@@ -367,7 +369,7 @@
         address = self.core.roster.address(needed.to.instance)
         self.links.send_bulk(address, wire.encode_install(frame), ended)
 
-    def _install(self, item: outbox.Installed) -> None:
+    def _install(self, item: outbox.SnapshotReceived) -> None:
         # Without room it waits, as entries do: a replica that stopped for it
         # would find the disk as full at each start.
         self._run_with_room(
@@ -459,7 +461,7 @@
             self.waiters[group] = kept
 
 
-def _is_beat(letter: outbox.Letter) -> bool:
+def _is_beat(letter: outbox.OutgoingMessage) -> bool:
     return isinstance(letter.message, wire.HeartbeatReply)
 
 
--- a/src/mintcleat/roles/control/replication/telling.py
+++ b/src/mintcleat/roles/control/replication/telling.py
@@ -87,7 +87,7 @@
             control_events.SnapshotSent(group, str(to), index, size, whole)
         )
 
-    def installed(self, item: outbox.Installed) -> None:
+    def installed(self, item: outbox.SnapshotReceived) -> None:
         """Tells that a snapshot replaced this replica's state."""
         self.events.emit(
             control_events.SnapshotInstalled(
--- a/testing/fakes/core_cluster.py
+++ b/testing/fakes/core_cluster.py
@@ -92,9 +92,9 @@
         while self.core is not None:
             core = self.core
             core.flush(self.now())
-            if core.box.idle():
+            if core.outbox.is_empty():
                 return
-            self._store(core.box.take())
+            self._store(core.outbox.take())
 
     def _store(self, box: outbox.Outbox) -> None:
         core = self.core
@@ -102,7 +102,7 @@
             self.snapshots[item.group, item.mark.index] = item.state
             self.machines[item.group] = _restore(item.state)
             core.replicas[item.group].on_restored(item.mark.index)
-        self._send(box.early)
+        self._send(box.messages)
         if self.tear_next and box.records:
             # Power fails in the write: an unsynced prefix may have landed.
             self.tear_next = False
@@ -112,13 +112,13 @@
             return
         self.synced.extend(box.records)
         core.on_synced(box.stored)
-        self._send(box.late)
+        self._send(box.messages_after_sync)
         for needed in box.snapshots:
             state = self.snapshots[needed.group, needed.mark.index]
             message = wire.InstallSnapshot(
                 needed.group, needed.term, needed.mark, state
             )
-            self._send([outbox.Letter(needed.to, message)])
+            self._send([outbox.OutgoingMessage(needed.to, message)])
             replica = core.replicas[needed.group]
             replica.snapshot_ended(needed.to, True, self.now())
         for group in sorted(box.committed):
@@ -140,7 +140,7 @@
             self.snapshots[group, mark.index] = data
             replica.compact(mark, KEEP)
 
-    def _send(self, letters: list[outbox.Letter]) -> None:
+    def _send(self, letters: list[outbox.OutgoingMessage]) -> None:
         for letter in letters:
             frame = wire.Frame(
                 self.identity, self.name, letter.to, [letter.message]
--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -239,14 +239,14 @@
         core, state = leader.core, leader.core.replicas["g"].state
         follower = min(state.progress)
         state.settings = types.Settings()
-        core.box.take()
+        core.outbox.take()
 
         def appends() -> list[wire.Append]:
             core.flush(leader.now())
-            box = core.box.take()
+            box = core.outbox.take()
             return [
                 letter.message
-                for letter in (*box.early, *box.late)
+                for letter in (*box.messages, *box.messages_after_sync)
                 if letter.to == follower
                 and isinstance(letter.message, wire.Append)
             ]
@@ -270,11 +270,11 @@
     def test_idle_groups_share_one_small_heartbeat(self) -> None:
         cluster = settled()
         leader = cluster.leader()
-        leader.core.box.take()
+        leader.core.outbox.take()
         leader.core.tick(leader.now() + 0.2)
         beats = [
             letter
-            for letter in leader.core.box.early
+            for letter in leader.core.outbox.messages
             if isinstance(letter.message, wire.Heartbeat)
         ]
         targets = [letter.to for letter in beats]
@@ -357,4 +357,4 @@
         box = outbox.Outbox()
         box.records.append(b"x")
         self.assertEqual([b"x"], box.take().records)
-        self.assertTrue(box.idle())
+        self.assertTrue(box.is_empty())
--- a/testing/test_consensus_safeguards.py
+++ b/testing/test_consensus_safeguards.py
@@ -328,7 +328,7 @@
 
 def granted(node: core_cluster.Node) -> list[bool]:
     """Takes a node's answers to questions before votes."""
-    letters = node.core.box.take().early
+    letters = node.core.outbox.take().messages
     return [
         letter.message.granted
         for letter in letters
