--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -6,7 +6,7 @@
 from mintcleat.consensus import messages as wire
 from mintcleat.consensus import outbox
 from mintcleat.consensus import placement
-from mintcleat.consensus import replicate
+from mintcleat.consensus import replication
 from mintcleat.consensus import state
 from mintcleat.consensus import types
 from mintcleat.domain import identities
@@ -24,7 +24,7 @@
         return
     configuration = replica.configuration
     alone = len(configuration.voters) == 1
-    if (alone or now >= replica.election_due) and configuration.votes(
+    if (alone or now >= replica.election_due) and configuration.is_voter(
         replica.me
     ):
         _ask_first(replica, now)
@@ -64,7 +64,7 @@
     """Counts a pre-vote; a majority starts the election."""
     if not message.granted:
         if message.term > replica.term:
-            replica.follow(message.term, types.NOBODY, now)
+            replica.follow(message.term, types.NO_REPLICA, now)
         return
     if replica.role != types.PRE_CANDIDATE or message.term != replica.term + 1:
         return
@@ -89,10 +89,10 @@
     if not message.transfer and _hears_leader(replica, now):
         return
     if message.term > replica.term:
-        replica.follow(message.term, types.NOBODY, now)
+        replica.follow(message.term, types.NO_REPLICA, now)
     granted = (
         message.term == replica.term
-        and replica.vote in (types.NOBODY, sender)
+        and replica.vote in (types.NO_REPLICA, sender)
         and _is_current(replica, message.last_index, message.last_term)
     )
     if granted:
@@ -111,7 +111,7 @@
 ) -> None:
     """Counts a vote; a majority makes this replica the leader."""
     if message.term > replica.term:
-        replica.follow(message.term, types.NOBODY, now)
+        replica.follow(message.term, types.NO_REPLICA, now)
     if (
         replica.role == types.CANDIDATE
         and message.term == replica.term
@@ -131,7 +131,7 @@
     if (
         message.term == replica.term
         and replica.role == types.FOLLOWER
-        and replica.configuration.votes(replica.me)
+        and replica.configuration.is_voter(replica.me)
     ):
         _campaign(replica, True, now)
 
@@ -140,7 +140,7 @@
     replica: state.State, to: identities.Incarnation, now: float
 ) -> None:
     """Starts handing the leadership to a voter; proposals stop."""
-    if replica.role != types.LEADER or not replica.configuration.votes(to):
+    if replica.role != types.LEADER or not replica.configuration.is_voter(to):
         return
     replica.transfer_to = to
     replica.transfer_due = now + 2 * replica.settings.election
@@ -175,10 +175,10 @@
         return
     target = placement.preferred(replica.group, replica.configuration).replica
     progress = replica.progress.get(target)
-    if progress is None or replica.transfer_to != types.NOBODY:
+    if progress is None or replica.transfer_to != types.NO_REPLICA:
         return
     settled = now - replica.led_at > after
-    well = now - progress.acked < replica.settings.election
+    well = now - progress.last_contact < replica.settings.election
     if settled and well:
         transfer(replica, target, now)
 
@@ -222,7 +222,7 @@
 
 def _knows_end(replica: state.State) -> bool:
     """Tells whether the leader of this term is known to lead no more."""
-    known = replica.promised != types.NOBODY
+    known = replica.promised != types.NO_REPLICA
     return known and replica.heard_at == -math.inf
 
 
@@ -258,7 +258,7 @@
         _campaign(replica, False, now)
         return
     replica.role = types.PRE_CANDIDATE
-    replica.leader = types.NOBODY
+    replica.leader = types.NO_REPLICA
     replica.grants = {replica.me}
     _ask_again(replica, now)
     if _has_majority(replica):
@@ -278,7 +278,7 @@
     replica.vote = replica.me
     replica.save_vote()
     replica.role = types.CANDIDATE
-    replica.leader = types.NOBODY
+    replica.leader = types.NO_REPLICA
     replica.grants = {replica.me}
     replica.delay_election(now)
     if _has_majority(replica):
@@ -314,11 +314,11 @@
     replica.save_leader(replica.me)
     replica.led_at = now
     replica.lease_given_up = False
-    replica.transfer_to = types.NOBODY
+    replica.transfer_to = types.NO_REPLICA
     replica.transfer_due = math.inf
     replica.progress = {}
-    replicate.track_peers(replica, now)
-    replica.term_start = replicate.add(replica, types.NOOP, b"", now)
+    replication.track_peers(replica, now)
+    replica.term_start = replication.add(replica, types.NOOP, b"", now)
     replica.outbox.beat_soon = True
 
 
@@ -331,7 +331,7 @@
     longest = 2 * replica.settings.election
     contact = max(lease.quorum_contact(replica), replica.led_at)
     if now - contact > longest or now > replica.transfer_due:
-        replica.follow(replica.term, types.NOBODY, now)
+        replica.follow(replica.term, types.NO_REPLICA, now)
 
 
 def _hears_leader(replica: state.State, now: float) -> bool:
--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -12,7 +12,7 @@
 from mintcleat.consensus import records
 from mintcleat.consensus import repair
 from mintcleat.consensus import replica as replicas
-from mintcleat.consensus import replicate
+from mintcleat.consensus import replication
 from mintcleat.consensus import roster as rosters
 from mintcleat.consensus import types
 from mintcleat.domain import identities
@@ -47,7 +47,7 @@
         box: Effects to carry out.
         replicas: By group.
         roster: Who lives on which instance.
-        superseded: Highest epoch that a peer knows of this instance. One
+        highest_epoch_seen: Highest epoch that a peer knows of this instance. One
             above its own means that another process uses the name, or that
             the disk was formatted while the clock was behind.
     """
@@ -86,7 +86,7 @@
         self.beat_due = now
         self.hello_due = now
         self.started = now
-        self.superseded = 0
+        self.highest_epoch_seen = 0
         self.outgoing: dict[identities.Incarnation, _Outgoing] = {}
         self.incoming: dict[
             identities.Incarnation, tuple[int, int, list[wire.Beat]]
@@ -100,7 +100,9 @@
         or count an entry as held by a majority that lost it.
         """
         if frame.to.instance == self.me.instance:
-            self.superseded = max(self.superseded, frame.to.epoch)
+            self.highest_epoch_seen = max(
+                self.highest_epoch_seen, frame.to.epoch
+            )
         anyone = identities.Incarnation(self.me.instance, 0)
         if frame.to not in (self.me, anyone):
             return
@@ -170,7 +172,7 @@
             self.hello_due = now
 
     def leader(self, group: str, now: float) -> identities.Incarnation:
-        """Returns who leads a group, as far as is known here, or NOBODY.
+        """Returns who leads a group, as far as is known here, or NO_REPLICA.
 
         The voters of a group hear its leader. An instance outside of it does
         not, above all one that was voted out while it was down: its log still
@@ -181,13 +183,13 @@
         """
         replica = self.replicas[group].state
         told = self.roster.leaders.get(group)
-        if replica.leader != types.NOBODY or told is None:
+        if replica.leader != types.NO_REPLICA or told is None:
             return replica.leader
         fresh = now - told.at < _LED_PERIODS * self.settings.hello
         later = told.at - replica.heard_at > self.settings.election
         credible = later or replica.heard_none
         known = fresh and credible and told.term >= replica.term
-        return told.leader if known else types.NOBODY
+        return told.leader if known else types.NO_REPLICA
 
     def on_synced(self, groups: Iterable[str]) -> None:
         """Notes that every record so far of these groups is durable."""
@@ -251,7 +253,7 @@
             for group, replica in self.replicas.items()
             if replica.state.role == types.LEADER
         ]
-        known = self.roster.heard_since(oldest)
+        known = self.roster.seen_since(oldest)
         return wire.Hello(asks, self.roster.own, known, leads)
 
     def _greet_started(
@@ -318,7 +320,7 @@
             if replica is None:
                 refused.append(beat._replace(term=0))
                 continue
-            taken = replicate.on_beat(replica.state, sender, beat, now)
+            taken = replication.on_beat(replica.state, sender, beat, now)
             if not taken:
                 refused.append(beat._replace(term=replica.state.term))
         self._reply(sender, message, True, refused)
@@ -356,6 +358,6 @@
             higher = refused.get(beat.group)
             if higher is not None:
                 if higher > replica.term:
-                    replica.follow(higher, types.NOBODY, now)
+                    replica.follow(higher, types.NO_REPLICA, now)
             elif replica.term == beat.term and replica.role == types.LEADER:
                 lease.acknowledge(replica, sender, message.sent, now)
--- a/src/mintcleat/consensus/lease.py
+++ b/src/mintcleat/consensus/lease.py
@@ -79,7 +79,7 @@
     if progress is None:
         return
     margin = replica.settings.safeguards.lease_margin
-    progress.acked = max(progress.acked, sent if margin else now)
+    progress.last_contact = max(progress.last_contact, sent if margin else now)
     answer_reads(replica)
 
 
@@ -107,4 +107,4 @@
     if voter == replica.me:
         return math.inf
     progress = replica.progress.get(voter)
-    return progress.acked if progress else -math.inf
+    return progress.last_contact if progress else -math.inf
--- a/src/mintcleat/consensus/membership.py
+++ b/src/mintcleat/consensus/membership.py
@@ -8,7 +8,7 @@
 
 from mintcleat.consensus import election
 from mintcleat.consensus import records
-from mintcleat.consensus import replicate
+from mintcleat.consensus import replication
 from mintcleat.consensus import state
 from mintcleat.consensus import types
 from mintcleat.domain import identities
@@ -33,7 +33,7 @@
     configuration = replica.configuration
     if not may_change(replica) or configuration.learners:
         return False
-    if any(configuration.votes(p.replaces) for p in configuration.voters):
+    if any(configuration.is_voter(p.replaces) for p in configuration.voters):
         # The replaced one goes first. It may be this very leader, which has
         # to hand over; a second successor would stay as a voter too many.
         return False
@@ -66,7 +66,7 @@
         return
     voters, learners = replica.configuration
     for peer in voters:
-        if replica.configuration.votes(peer.replaces):
+        if replica.configuration.is_voter(peer.replaces):
             _remove(replica, peer, now)
             return
     for peer in learners:
@@ -90,7 +90,7 @@
     waiting = {peer.replica for peer in before.learners}
     for peer in after.learners:
         if peer.replica not in waiting:
-            if peer.replaces == types.NOBODY:
+            if peer.replaces == types.NO_REPLICA:
                 return f"added {peer.replica}"
             return f"added {peer.replica} for {peer.replaces}"
     for peer in before.learners:
@@ -100,7 +100,7 @@
 
 def _remove(replica: state.State, peer: types.Peer, now: float) -> None:
     if peer.replaces == replica.me:
-        if replica.transfer_to == types.NOBODY:
+        if replica.transfer_to == types.NO_REPLICA:
             election.transfer(replica, peer.replica, now)
         return
     voters, learners = replica.configuration
@@ -125,8 +125,8 @@
 def _propose(
     replica: state.State, value: types.Configuration, now: float
 ) -> None:
-    data = records.configuration_data(value)
-    replicate.add(replica, types.CONFIGURATION, data, now)
+    data = records.encode_configuration(value)
+    replication.add(replica, types.CONFIGURATION, data, now)
 
 
 def _forgetting(
@@ -139,7 +139,9 @@
     for ever, and the voter that it came for would never be replaced.
     """
     return [
-        peer._replace(replaces=types.NOBODY) if peer.replaces == gone else peer
+        peer._replace(replaces=types.NO_REPLICA)
+        if peer.replaces == gone
+        else peer
         for peer in peers
     ]
 
--- a/src/mintcleat/consensus/messages.py
+++ b/src/mintcleat/consensus/messages.py
@@ -88,7 +88,7 @@
 
     group: str
     term: int
-    mark: types.SnapshotMark
+    snapshot: types.SnapshotMetadata
     state: bytes
 
 
--- a/src/mintcleat/consensus/outbox.py
+++ b/src/mintcleat/consensus/outbox.py
@@ -17,13 +17,13 @@
 class SnapshotNeeded(NamedTuple):
     """A follower is behind the log: send it the stored snapshot.
 
-    `Replica.snapshot_ended` must follow, whatever comes of it.
+    `Replica.snapshot_transfer_ended` must follow, whatever comes of it.
     """
 
     to: identities.Incarnation
     group: str
     term: int
-    mark: types.SnapshotMark
+    snapshot: types.SnapshotMetadata
 
 
 class SnapshotReceived(NamedTuple):
@@ -33,7 +33,7 @@
     """
 
     group: str
-    mark: types.SnapshotMark
+    snapshot: types.SnapshotMetadata
     state: bytes
 
 
--- a/src/mintcleat/consensus/records.py
+++ b/src/mintcleat/consensus/records.py
@@ -19,16 +19,16 @@
     """What the disk holds of one group.
 
     Attributes:
-        leader: Leader of `term` to which this replica gave its promise; NOBODY
+        leader: Leader of `term` to which this replica gave its promise; NO_REPLICA
             when it heard none, or died before the disk had its name.
     """
 
     def __init__(self) -> None:
         self.term = 0
-        self.vote = types.NOBODY
-        self.leader = types.NOBODY
+        self.vote = types.NO_REPLICA
+        self.leader = types.NO_REPLICA
         self.log = entry_log.EntryLog()
-        self.mark = types.SnapshotMark(0, 0, types.EMPTY)
+        self.snapshot = types.SnapshotMetadata(0, 0, types.EMPTY)
 
 
 def vote(group: str, term: int, replica: identities.Incarnation) -> bytes:
@@ -46,22 +46,22 @@
     return msgpack.packb([_ENTRIES, group, items])
 
 
-def snapshot(group: str, mark: types.SnapshotMark) -> bytes:
+def snapshot(group: str, mark: types.SnapshotMetadata) -> bytes:
     """Returns the record of a stored snapshot."""
     return msgpack.packb([_SNAPSHOT, group, mark])
 
 
-def configuration(data: bytes) -> types.Configuration:
+def decode_configuration(data: bytes) -> types.Configuration:
     """Returns the configuration in an entry of that kind."""
     return msgspec.convert(msgpack.unpackb(data), types.Configuration)
 
 
-def configuration_data(value: types.Configuration) -> bytes:
+def encode_configuration(value: types.Configuration) -> bytes:
     """Returns the data of an entry that carries a configuration."""
     return msgpack.packb(value)
 
 
-def fold(items: Iterable[bytes]) -> dict[str, Stored]:
+def replay(items: Iterable[bytes]) -> dict[str, Stored]:
     """Returns the state of each group after all records."""
     groups: dict[str, Stored] = {}
     for item in items:
@@ -70,14 +70,14 @@
         if kind == _VOTE:
             stored.term = fields[0]
             stored.vote = identities.Incarnation(*fields[1])
-            stored.leader = types.NOBODY
+            stored.leader = types.NO_REPLICA
         elif kind == _LEADER:
             if fields[0] == stored.term:
                 stored.leader = identities.Incarnation(*fields[1])
         elif kind == _ENTRIES:
             _add(stored, [types.Entry(*values) for values in fields[0]])
         else:
-            _mark(stored, msgspec.convert(fields[0], types.SnapshotMark))
+            _mark(stored, msgspec.convert(fields[0], types.SnapshotMetadata))
     return groups
 
 
@@ -89,8 +89,8 @@
         log.append(entry)
 
 
-def _mark(stored: Stored, mark: types.SnapshotMark) -> None:
-    stored.mark = mark
+def _mark(stored: Stored, mark: types.SnapshotMetadata) -> None:
+    stored.snapshot = mark
     if stored.log.term_at(mark.index) == mark.term:
         stored.log.compact(mark.index)
     else:
--- a/src/mintcleat/consensus/repair.py
+++ b/src/mintcleat/consensus/repair.py
@@ -64,7 +64,7 @@
     """
     if voter.replica.instance in roster.retired:
         return _spare(replica, roster, voter, now)
-    resident = roster.residents.get(voter.replica.instance)
+    resident = roster.observed.get(voter.replica.instance)
     if resident and resident.peer.replica.epoch > voter.replica.epoch:
         return resident.peer if _alive(replica, resident, now) else None
     if not _silent(replica, voter.replica, now):
@@ -84,7 +84,7 @@
     used = {_domain(roster, p) for p in peers if p is not voter}
     found = [
         resident.peer
-        for name, resident in roster.residents.items()
+        for name, resident in roster.observed.items()
         if name not in inside
         and name not in roster.retired
         and _alive(replica, resident, now)
@@ -104,7 +104,7 @@
     learner: types.Peer,
     now: float,
 ) -> bool:
-    resident = roster.residents.get(learner.replica.instance)
+    resident = roster.observed.get(learner.replica.instance)
     if resident and resident.peer.replica.epoch > learner.replica.epoch:
         return True
     return _silent(replica, learner.replica, now)
@@ -119,6 +119,6 @@
 
 
 def _alive(
-    replica: state.State, resident: rosters.Resident, now: float
+    replica: state.State, resident: rosters.ObservedPeer, now: float
 ) -> bool:
     return now - resident.seen < _ALIVE_PERIODS * replica.settings.hello
--- a/src/mintcleat/consensus/replica.py
+++ b/src/mintcleat/consensus/replica.py
@@ -9,7 +9,7 @@
 from mintcleat.consensus import messages as wire
 from mintcleat.consensus import outbox
 from mintcleat.consensus import records
-from mintcleat.consensus import replicate
+from mintcleat.consensus import replication
 from mintcleat.consensus import state
 from mintcleat.consensus import types
 from mintcleat.domain import identities
@@ -43,7 +43,7 @@
         replica.term = 1
         replica.vote = replica.me
         replica.save_vote()
-        data = records.configuration_data(configuration)
+        data = records.encode_configuration(configuration)
         replica.store([types.Entry(1, 1, types.CONFIGURATION, data)])
         replica.election_due = 0.0
 
@@ -58,9 +58,9 @@
         replica = self.state
         match message:
             case wire.Append():
-                replicate.on_append(replica, sender, message, now)
+                replication.on_append(replica, sender, message, now)
             case wire.AppendReply():
-                replicate.on_append_reply(replica, sender, message, now)
+                replication.on_append_reply(replica, sender, message, now)
                 election.continue_transfer(replica)
                 membership.advance(replica, now)
             case wire.PreVote():
@@ -72,7 +72,7 @@
             case wire.VoteReply():
                 election.on_vote_reply(replica, sender, message, now)
             case wire.InstallSnapshot():
-                replicate.on_install(replica, sender, message, now)
+                replication.on_install(replica, sender, message, now)
             case wire.TimeoutNow():
                 election.on_timeout_now(replica, message, now)
 
@@ -80,21 +80,21 @@
         """Lets time pass; to be called once per heartbeat or more often."""
         election.tick(self.state, now)
         if self.state.role == types.LEADER:
-            replicate.tick(self.state, now)
+            replication.tick(self.state, now)
             membership.advance(self.state, now)
 
     def propose(self, command: bytes, now: float) -> tuple[int, int] | None:
         """Adds a command; returns its term and index, None if not leader."""
         replica = self.state
-        if not self.takes_proposals():
+        if not self.accepts_proposals():
             return None
-        index = replicate.add(replica, types.COMMAND, command, now)
+        index = replication.add(replica, types.COMMAND, command, now)
         return replica.term, index
 
-    def takes_proposals(self) -> bool:
+    def accepts_proposals(self) -> bool:
         """Tells whether this replica leads and hands nothing over."""
         replica = self.state
-        handing_over = replica.transfer_to != types.NOBODY
+        handing_over = replica.transfer_to != types.NO_REPLICA
         return replica.role == types.LEADER and not handing_over
 
     def read(self, token: int, now: float) -> None:
@@ -117,16 +117,16 @@
         """Gives up a repair whose learner failed."""
         return membership.drop_learner(self.state, learner, now)
 
-    def snapshot_ended(
+    def snapshot_transfer_ended(
         self, follower: identities.Incarnation, sent: bool, now: float
     ) -> None:
         """Notes that a snapshot was wholly sent, or could not be."""
-        replicate.on_snapshot_ended(self.state, follower, sent, now)
+        replication.on_snapshot_ended(self.state, follower, sent, now)
 
     def flush(self, now: float) -> None:
         """Sends followers what was added since the last flush."""
         if self.state.role == types.LEADER:
-            replicate.send_all(self.state, now)
+            replication.send_all(self.state, now)
 
     def log_end(self) -> tuple[int, int]:
         """Returns index and term of the last entry."""
@@ -147,7 +147,7 @@
         if below or replica.log.term_at(index) == term:
             replica.persisted = max(replica.persisted, index)
         if replica.role == types.LEADER:
-            replicate.advance_commit(replica)
+            replication.advance_commit(replica)
 
     def take_committed(self) -> list[types.Entry]:
         """Returns the entries to apply next and counts them as applied.
@@ -174,27 +174,29 @@
             replica.restoring = 0
             replica.outbox.committed.add(replica.group)
 
-    def snapshot_mark(self) -> types.SnapshotMark:
+    def snapshot_metadata(self) -> types.SnapshotMetadata:
         """Returns the mark for a snapshot of what is applied now."""
         replica = self.state
         index = replica.applied
         term = replica.log.term_at(index) or 0
-        return types.SnapshotMark(index, term, replica.configuration_at(index))
+        return types.SnapshotMetadata(
+            index, term, replica.configuration_at(index)
+        )
 
-    def compact(self, mark: types.SnapshotMark, keep: int) -> None:
+    def compact(self, mark: types.SnapshotMetadata, keep: int) -> None:
         """Forgets entries under a stored snapshot, all but the last `keep`."""
         self.state.compact(mark, keep)
 
-    def live_records(self) -> list[bytes]:
+    def checkpoint_records(self) -> list[bytes]:
         """Returns records that stand for the whole state of this group."""
         replica = self.state
         found = [
             records.vote(replica.group, replica.term, replica.vote),
             records.leader(replica.group, replica.term, replica.promised),
         ]
-        if replica.mark.index > 0:
-            found.append(records.snapshot(replica.group, replica.mark))
-        first = replica.mark.index + 1
+        if replica.snapshot.index > 0:
+            found.append(records.snapshot(replica.group, replica.snapshot))
+        first = replica.snapshot.index + 1
         settings = replica.settings
         while first <= replica.log.last_index:
             items = replica.log.batch(
--- a/src/mintcleat/consensus/replicate.py
+++ b/src/mintcleat/consensus/replication.py
@@ -80,7 +80,7 @@
 ) -> None:
     """Takes a follower's answer."""
     if message.term > replica.term:
-        replica.follow(message.term, types.NOBODY, now)
+        replica.follow(message.term, types.NO_REPLICA, now)
         return
     progress = replica.progress.get(sender)
     if progress is None or message.term < replica.term:
@@ -122,7 +122,7 @@
         replica.send(sender, reply)
         return
     _hear(replica, sender, message.term, now)
-    mark = message.mark
+    mark = message.snapshot
     if mark.index > replica.commit:
         replica.install(mark)
         install = outbox.SnapshotReceived(replica.group, mark, message.state)
@@ -203,11 +203,11 @@
     progress: state.Progress,
     now: float,
 ) -> None:
-    if now - progress.acked > 2 * replica.settings.election:
+    if now - progress.last_contact > 2 * replica.settings.election:
         return
     progress.snapshot_until = math.inf
     needed = outbox.SnapshotNeeded(
-        follower, replica.group, replica.term, replica.mark
+        follower, replica.group, replica.term, replica.snapshot
     )
     replica.outbox.snapshots.append(needed)
 
--- a/src/mintcleat/consensus/roster.py
+++ b/src/mintcleat/consensus/roster.py
@@ -11,7 +11,7 @@
 from mintcleat.domain import identities
 
 
-class Resident(NamedTuple):
+class ObservedPeer(NamedTuple):
     """The replica identity last heard from an instance.
 
     Attributes:
@@ -44,7 +44,7 @@
     Attributes:
         founding: The members by settings; only they may start a group.
         members: Those, and the instances that others told of.
-        residents: By instance name; without this instance.
+        observed: By instance name; without this instance.
         retired: Instances that an operator empties; no group is moved there.
         leaders: By group, who said last that it leads there.
     """
@@ -62,7 +62,7 @@
             me.instance, types.Member(me.instance, "", "", "")
         )
         self.members[me.instance] = self.own
-        self.residents: dict[str, Resident] = {}
+        self.observed: dict[str, ObservedPeer] = {}
         self.retired: frozenset[str] = frozenset()
         self.leaders: dict[str, Told] = {}
 
@@ -82,23 +82,23 @@
         own = message.own
         if own.instance == sender.instance:
             self.members[own.instance] = own
-            known = self.residents.get(own.instance)
+            known = self.observed.get(own.instance)
             if known is not None and known.peer.replica == sender:
                 peer = known.peer._replace(
                     failure_domain=own.failure_domain, region=own.region
                 )
-                self.residents[own.instance] = known._replace(peer=peer)
+                self.observed[own.instance] = known._replace(peer=peer)
         self.learn(message.members)
         for group, term in message.leads:
             told = self.leaders.get(group)
             if told is None or term >= told.term:
                 self.leaders[group] = Told(term, sender, now)
 
-    def heard_since(self, oldest: float) -> list[types.Member]:
+    def seen_since(self, oldest: float) -> list[types.Member]:
         """Returns the instances heard since a time, this one not included."""
         return [
             self.members[name]
-            for name, resident in sorted(self.residents.items())
+            for name, resident in sorted(self.observed.items())
             if resident.seen >= oldest and name in self.members
         ]
 
@@ -111,16 +111,16 @@
         kept = {member.instance for member in self.founding}
         kept.add(self.me.instance)
         for name in set(self.members) - kept:
-            resident = self.residents.get(name)
+            resident = self.observed.get(name)
             if resident is None:
                 continue
             if resident.seen < oldest:
                 del self.members[name]
-                del self.residents[name]
+                del self.observed[name]
 
     def address(self, instance: str) -> str:
         """Returns the stream address of an instance, or an empty text."""
-        resident = self.residents.get(instance)
+        resident = self.observed.get(instance)
         if resident is not None:
             return resident.peer.address
         member = self.members.get(instance)
@@ -143,24 +143,24 @@
         Returns:
             Whether this incarnation was not heard before.
         """
-        known = self.residents.get(sender.instance)
+        known = self.observed.get(sender.instance)
         new = known is None or known.peer.replica.epoch < sender.epoch
         if new:
             peer = self.peer(sender)._replace(address=address)
-            known = Resident(peer, now, 0.0, frozenset())
+            known = ObservedPeer(peer, now, 0.0, frozenset())
         elif known.peer.replica != sender:
             return False
         peer = known.peer._replace(address=address)
-        self.residents[sender.instance] = known._replace(peer=peer, seen=now)
+        self.observed[sender.instance] = known._replace(peer=peer, seen=now)
         return new
 
     def on_known(
         self, sender: identities.Incarnation, message: wire.Known, now: float
     ) -> None:
         """Notes what an instance answered to our question."""
-        known = self.residents.get(sender.instance)
+        known = self.observed.get(sender.instance)
         if known is not None and known.peer.replica == sender:
-            self.residents[sender.instance] = known._replace(
+            self.observed[sender.instance] = known._replace(
                 answered=now, groups=frozenset(message.groups)
             )
 
@@ -191,7 +191,7 @@
             return None
         peers = [self.peer(self.me)]
         for name in names[1:]:
-            resident = self.residents.get(name)
+            resident = self.observed.get(name)
             if resident is None or resident.answered <= oldest:
                 return None
             if group in resident.groups:
--- a/src/mintcleat/consensus/state.py
+++ b/src/mintcleat/consensus/state.py
@@ -20,7 +20,7 @@
         probing: Whether only one message may be under way.
         unanswered: Messages under way.
         heard: When its last answer came.
-        acked: When the last heartbeat that it answered was sent.
+        last_contact: When the last heartbeat that it answered was sent.
         snapshot_until: Until when a sent snapshot is waited for.
     """
 
@@ -30,7 +30,7 @@
         self.probing = True
         self.unanswered = 0
         self.heard = now
-        self.acked = -math.inf
+        self.last_contact = -math.inf
         self.snapshot_until = -math.inf
 
 
@@ -45,7 +45,7 @@
         persisted: Last index synced here.
         heard_at: When the leader was last heard; it holds this replica's
             promise of no vote for `election` seconds from then.
-        promised: Leader of this term that got such promises; NOBODY when
+        promised: Leader of this term that got such promises; NO_REPLICA when
             none is known.
         led_at: When this replica last became leader.
         term_start: Index of the leader's own first entry.
@@ -71,15 +71,17 @@
         self.term = stored.term
         self.vote = stored.vote
         self.log: entries.EntryLog = stored.log
-        self.mark = stored.mark
-        self.configurations = [(stored.mark.index, stored.mark.configuration)]
+        self.snapshot = stored.snapshot
+        self.configurations = [
+            (stored.snapshot.index, stored.snapshot.configuration)
+        ]
         for entry in self.log.entries:
             self.note_configuration(entry)
-        self.commit = self.applied = stored.mark.index
+        self.commit = self.applied = stored.snapshot.index
         self.restoring = 0
         self.persisted = self.log.last_index
         self.role = types.FOLLOWER
-        self.leader = types.NOBODY
+        self.leader = types.NO_REPLICA
         self.promised = stored.leader
         # A restarted voter may have answered a heartbeat just before it
         # died; counting its start as contact keeps that leader's lease safe.
@@ -93,7 +95,7 @@
         self.led_at = now
         self.term_start = 0
         self.lease_given_up = False
-        self.transfer_to = types.NOBODY
+        self.transfer_to = types.NO_REPLICA
         self.transfer_due = math.inf
         self.reads: list[tuple[int, float]] = []
         self.started = now
@@ -120,7 +122,7 @@
     def note_configuration(self, entry: types.Entry) -> None:
         """Takes a configuration into force as soon as it is in the log."""
         if entry.kind == types.CONFIGURATION:
-            value = records.configuration(entry.data)
+            value = records.decode_configuration(entry.data)
             self.configurations.append((entry.index, value))
 
     def configuration_at(self, index: int) -> types.Configuration:
@@ -145,7 +147,7 @@
 
     def save_vote(self) -> None:
         """Stores term and vote; who leads in the term is not known yet."""
-        self.promised = types.NOBODY
+        self.promised = types.NO_REPLICA
         self.outbox.records.append(
             records.vote(self.group, self.term, self.vote)
         )
@@ -184,7 +186,7 @@
         while self.configurations[-1][0] >= index:
             self.configurations.pop()
 
-    def install(self, mark: types.SnapshotMark) -> None:
+    def install(self, mark: types.SnapshotMetadata) -> None:
         """Replaces the log up to a snapshot's end."""
         if self.log.term_at(mark.index) == mark.term:
             self.log.compact(mark.index)
@@ -198,7 +200,7 @@
         self.configurations = [(mark.index, mark.configuration), *kept]
         self._record(mark)
 
-    def compact(self, mark: types.SnapshotMark, keep: int) -> None:
+    def compact(self, mark: types.SnapshotMetadata, keep: int) -> None:
         """Forgets entries that a stored snapshot covers, but the last."""
         self._record(mark)
         self.log.compact(mark.index - keep)
@@ -208,8 +210,8 @@
         ):
             self.configurations.pop(0)
 
-    def _record(self, mark: types.SnapshotMark) -> None:
-        self.mark = mark
+    def _record(self, mark: types.SnapshotMetadata) -> None:
+        self.snapshot = mark
         self.outbox.records.append(records.snapshot(self.group, mark))
         self.outbox.snapshot_indexes[self.group] = mark.index
 
@@ -224,7 +226,7 @@
         """Becomes a follower, in a higher term or of a known leader."""
         if term > self.term:
             self.term = term
-            self.vote = types.NOBODY
+            self.vote = types.NO_REPLICA
             self.save_vote()
         if self.role == types.LEADER:
             self.refuse_reads()
@@ -233,7 +235,7 @@
         self.leader = leader
         self.progress = {}
         self.grants = set()
-        self.transfer_to = types.NOBODY
+        self.transfer_to = types.NO_REPLICA
 
     def refuse_reads(self) -> None:
         """Refuses every waiting read."""
--- a/src/mintcleat/consensus/types.py
+++ b/src/mintcleat/consensus/types.py
@@ -4,7 +4,7 @@
 
 from mintcleat.domain import identities
 
-NOBODY = identities.Incarnation("", 0)
+NO_REPLICA = identities.Incarnation("", 0)
 
 # Kinds of entries.
 NOOP = 0
@@ -52,7 +52,7 @@
     address: str
     failure_domain: str
     region: str
-    replaces: identities.Incarnation = NOBODY
+    replaces: identities.Incarnation = NO_REPLICA
 
 
 class Configuration(NamedTuple):
@@ -65,7 +65,7 @@
         """Returns voters and learners."""
         return [*self.voters, *self.learners]
 
-    def votes(self, replica: identities.Incarnation) -> bool:
+    def is_voter(self, replica: identities.Incarnation) -> bool:
         """Tells whether a replica is a voter."""
         return any(peer.replica == replica for peer in self.voters)
 
@@ -77,7 +77,7 @@
 EMPTY = Configuration([], [])
 
 
-class SnapshotMark(NamedTuple):
+class SnapshotMetadata(NamedTuple):
     """Where a snapshot ends, and the configuration there."""
 
     index: int
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -172,7 +172,7 @@
         self.links.heard(frame.address)
         with self._stopping_on_failure():
             self.core.receive(frame, self.timers.now())
-        if self.core.superseded > self.core.me.epoch:
+        if self.core.highest_epoch_seen > self.core.me.epoch:
             self.fail(_superseded(self.core.me.instance))
             return
         self.wake()
@@ -349,9 +349,9 @@
         return wire.encode(frame)
 
     def _send_snapshot(self, needed: outbox.SnapshotNeeded) -> None:
-        # The file of `needed.mark` may be gone: a newer one replaced it.
+        # The file of `needed.snapshot` may be gone: a newer one replaced it.
         group = needed.group
-        mark = self.core.replicas[group].state.mark
+        mark = self.core.replicas[group].state.snapshot
         with self._stopping_on_failure():
             state = self.snapshots.borrow(group, mark.index)
         if self.failed is not None:
@@ -364,7 +364,7 @@
             self.snapshots.give_back(group, mark.index)
             self.teller.sent(group, needed.to, mark.index, size, sent)
             replica = self.core.replicas[group]
-            replica.snapshot_ended(needed.to, sent, self.timers.now())
+            replica.snapshot_transfer_ended(needed.to, sent, self.timers.now())
 
         address = self.core.roster.address(needed.to.instance)
         self.links.send_bulk(address, wire.encode_install(frame), ended)
@@ -373,14 +373,14 @@
         # Without room it waits, as entries do: a replica that stopped for it
         # would find the disk as full at each start.
         self._run_with_room(
-            self.wal.save_snapshot, item.group, item.mark.index, item.state
+            self.wal.save_snapshot, item.group, item.snapshot.index, item.state
         )
         if self.failed is not None:
             return
         machine = self.machines.get(item.group)
         if machine is not None:
             machine.restore(item.state)
-        self.core.replicas[item.group].on_restored(item.mark.index)
+        self.core.replicas[item.group].on_restored(item.snapshot.index)
         self.teller.installed(item)
 
     def _apply(self, group: str, replica: replicas.Replica) -> None:
@@ -408,7 +408,10 @@
         """Snapshots a group now; False when nothing is new since the last."""
         replica = self.core.replicas[group]
         machine = self.machines.get(group)
-        if machine is None or replica.state.applied <= replica.state.mark.index:
+        if (
+            machine is None
+            or replica.state.applied <= replica.state.snapshot.index
+        ):
             return False
         return self.snapshots.take(group, replica, machine)
 
@@ -440,7 +443,7 @@
         live = [
             record
             for replica in self.core.replicas.values()
-            for record in replica.live_records()
+            for record in replica.checkpoint_records()
         ]
         self.worker.run(self.wal.rewrite, live)
         self.rewritten = self.wal.size()
@@ -467,7 +470,7 @@
 
 def _fold(items: Iterable[bytes]) -> dict[str, records.Stored]:
     try:
-        return records.fold(items)
+        return records.replay(items)
     except (ValueError, TypeError) as error:
         raise errors.StorageDamaged(
             f"The log's records contradict each other: {error}."
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -10,7 +10,7 @@
 from mintcleat.consensus import placement
 from mintcleat.consensus import repair
 from mintcleat.consensus import replica as replicas
-from mintcleat.consensus import replicate
+from mintcleat.consensus import replication
 from mintcleat.consensus import types
 from mintcleat.domain import errors
 from mintcleat.domain import identities
@@ -228,7 +228,7 @@
         return [
             str(peer.replica)
             for peer in state.configuration.voters
-            if replicate.match(state, peer.replica) >= index
+            if replication.match(state, peer.replica) >= index
         ]
 
     def groups(self) -> list[str]:
@@ -254,7 +254,7 @@
         period = self.options.core.hello
         oldest = self.timers.now() - _RESIDENT_PERIODS * period
         found = {roster.own.instance: roster.own.label}
-        for member in roster.heard_since(oldest):
+        for member in roster.seen_since(oldest):
             found[member.instance] = member.label
         return found
 
@@ -296,7 +296,7 @@
             errors.BadRequest: `new` was not heard, or `old` is no voter.
         """
         driver = self._running(group or self.names[0])
-        resident = driver.core.roster.residents.get(new)
+        resident = driver.core.roster.observed.get(new)
         if resident is None:
             raise errors.BadRequest(f"Instance {new} was not heard yet.")
         begun = [
@@ -372,12 +372,12 @@
 
     def _transfer(self, replica: replicas.Replica) -> None:
         state = replica.state
-        if state.transfer_to != types.NOBODY:
+        if state.transfer_to != types.NO_REPLICA:
             return
         voters = [
-            (progress.acked, progress.match, follower)
+            (progress.last_contact, progress.match, follower)
             for follower, progress in state.progress.items()
-            if state.configuration.votes(follower)
+            if state.configuration.is_voter(follower)
         ]
         if voters:
             replica.transfer(max(voters)[2], self.timers.now())
--- a/src/mintcleat/roles/control/replication/snapshots.py
+++ b/src/mintcleat/roles/control/replication/snapshots.py
@@ -129,7 +129,7 @@
         growth = self.growth.setdefault(group, Growth())
         if growth.saving:
             return False
-        mark = replica.snapshot_mark()
+        mark = replica.snapshot_metadata()
         state = machine.snapshot()
         growth.saving = True
         growth.bytes = 0
@@ -151,14 +151,17 @@
             self.wal.drop_snapshots(group, index)
 
     def _due(self, replica: replicas.Replica, growth: Growth) -> bool:
-        entries = replica.state.applied - replica.state.mark.index
+        entries = replica.state.applied - replica.state.snapshot.index
         if growth.bytes >= max(self.limits.bytes, growth.snapshot_size):
             return True
         weight = growth.bytes * _SMALL_ENTRIES
         return entries >= self.limits.entries and weight >= growth.snapshot_size
 
     def _save(
-        self, replica: replicas.Replica, mark: types.SnapshotMark, state: bytes
+        self,
+        replica: replicas.Replica,
+        mark: types.SnapshotMetadata,
+        state: bytes,
     ) -> None:
         """Writes the file beside the loop, so that heartbeats go out.
 
@@ -184,8 +187,8 @@
         self.saved()
 
     def _saved(
-        self, replica: replicas.Replica, mark: types.SnapshotMark
+        self, replica: replicas.Replica, mark: types.SnapshotMetadata
     ) -> None:
         # A snapshot of the leader may have been installed meanwhile.
-        if mark.index > replica.state.mark.index:
+        if mark.index > replica.state.snapshot.index:
             replica.compact(mark, self.limits.kept)
--- a/src/mintcleat/roles/control/replication/status.py
+++ b/src/mintcleat/roles/control/replication/status.py
@@ -60,7 +60,7 @@
         state.configuration.voters,
         state.configuration.learners,
         {
-            follower.instance: now - progress.acked
+            follower.instance: now - progress.last_contact
             for follower, progress in state.progress.items()
         },
         state.configuration_index <= state.commit,
--- a/src/mintcleat/roles/control/replication/telling.py
+++ b/src/mintcleat/roles/control/replication/telling.py
@@ -25,7 +25,7 @@
         for group, replica in core.replicas.items():
             index, term = replica.log_end()
             state = replica.state
-            groups[group] = [state.term, index, term, state.mark.index]
+            groups[group] = [state.term, index, term, state.snapshot.index]
         self.events.emit(
             control_events.DiskOpened(
                 str(found.identity),
@@ -62,7 +62,7 @@
         if not newest and state.role != types.LEADER:
             return
         before = state.configuration_at(entry.index - 1)
-        after = records.configuration(entry.data)
+        after = records.decode_configuration(entry.data)
         self.events.emit(
             control_events.VotersChanged(
                 state.group,
@@ -91,7 +91,10 @@
         """Tells that a snapshot replaced this replica's state."""
         self.events.emit(
             control_events.SnapshotInstalled(
-                item.group, item.mark.index, item.mark.term, len(item.state)
+                item.group,
+                item.snapshot.index,
+                item.snapshot.term,
+                len(item.state),
             )
         )
 
--- a/testing/explorer.py
+++ b/testing/explorer.py
@@ -132,7 +132,7 @@
             if not found:
                 return False
             latest = max(found, key=lambda e: e.index)
-            value = records.configuration(latest.data)
+            value = records.decode_configuration(latest.data)
             if len(value.voters) != 3 or value.learners:
                 return False
             for peer in value.voters:
--- a/testing/fakes/core_cluster.py
+++ b/testing/fakes/core_cluster.py
@@ -66,7 +66,7 @@
             self.identity = identities.Incarnation(
                 self.name, self.epoch if fenced else 1
             )
-        stored = records.fold(self.synced)
+        stored = records.replay(self.synced)
         self.core = instance.Instance(
             self.identity,
             self.epoch,
@@ -99,9 +99,9 @@
     def _store(self, box: outbox.Outbox) -> None:
         core = self.core
         for item in box.installs:
-            self.snapshots[item.group, item.mark.index] = item.state
+            self.snapshots[item.group, item.snapshot.index] = item.state
             self.machines[item.group] = _restore(item.state)
-            core.replicas[item.group].on_restored(item.mark.index)
+            core.replicas[item.group].on_restored(item.snapshot.index)
         self._send(box.messages)
         if self.tear_next and box.records:
             # Power fails in the write: an unsynced prefix may have landed.
@@ -114,13 +114,13 @@
         core.on_synced(box.stored)
         self._send(box.messages_after_sync)
         for needed in box.snapshots:
-            state = self.snapshots[needed.group, needed.mark.index]
+            state = self.snapshots[needed.group, needed.snapshot.index]
             message = wire.InstallSnapshot(
-                needed.group, needed.term, needed.mark, state
+                needed.group, needed.term, needed.snapshot, state
             )
             self._send([outbox.OutgoingMessage(needed.to, message)])
             replica = core.replicas[needed.group]
-            replica.snapshot_ended(needed.to, True, self.now())
+            replica.snapshot_transfer_ended(needed.to, True, self.now())
         for group in sorted(box.committed):
             self._apply(group)
         for ready in box.reads:
@@ -134,8 +134,8 @@
                 self.machines[group].append(entry.data)
         self.cluster.check_machine(self, group)
         state = replica.state
-        if state.applied - state.mark.index >= SNAPSHOT_EVERY:
-            mark = replica.snapshot_mark()
+        if state.applied - state.snapshot.index >= SNAPSHOT_EVERY:
+            mark = replica.snapshot_metadata()
             data = b",".join(self.machines[group])
             self.snapshots[group, mark.index] = data
             replica.compact(mark, KEEP)
--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -32,7 +32,7 @@
 class InstallFrameTest(testtools.TestCase):
     def test_head_and_state_are_the_frame(self) -> None:
         one = identities.Incarnation("a", 1)
-        mark = types.SnapshotMark(7, 2, types.EMPTY)
+        mark = types.SnapshotMetadata(7, 2, types.EMPTY)
         for size in (0, 1, 255, 256, 65_535, 65_536, 200_000):
             message = wire.InstallSnapshot("g", 2, mark, bytes(size))
             frame = wire.Frame(one, "a:1", one, [message])
@@ -192,7 +192,7 @@
             types.Peer(identities.Incarnation(name, 1), name, name, "r")
             for name in ("c1", "c2", "c3")
         ]
-        data = records.configuration_data(types.Configuration(voters, []))
+        data = records.encode_configuration(types.Configuration(voters, []))
         entries = [
             types.Entry(1, 1, types.CONFIGURATION, data),
             types.Entry(2, 2, types.COMMAND, b"x"),
@@ -204,7 +204,7 @@
             types.Settings(),
             lambda: 0.0,
             outbox.Outbox(),
-            stored=records.fold(items)["g"],
+            stored=records.replay(items)["g"],
             now=0.0,
         )
         found.tick(10.0)
@@ -300,8 +300,8 @@
     def test_later_entries_replace_from_their_first_index(self) -> None:
         entries = [types.Entry(i, 1, types.COMMAND, b"a") for i in (1, 2, 3)]
         newer = types.Entry(2, 2, types.COMMAND, b"b")
-        mark = types.SnapshotMark(1, 1, types.EMPTY)
-        stored = records.fold(
+        mark = types.SnapshotMetadata(1, 1, types.EMPTY)
+        stored = records.replay(
             [
                 records.entries("g", entries),
                 records.snapshot("g", mark),
--- a/testing/test_control_instances.py
+++ b/testing/test_control_instances.py
@@ -149,7 +149,7 @@
             inside = {peer.replica.instance for peer in voters}
             spare = next(
                 resident.peer
-                for name, resident in core.roster.residents.items()
+                for name, resident in core.roster.observed.items()
                 if name not in inside
             )
             successor = spare._replace(replaces=state.me)
--- a/testing/test_driver.py
+++ b/testing/test_driver.py
@@ -126,7 +126,7 @@
 
 def entry(index: int) -> types.Entry:
     if index == 1:
-        data = records.configuration_data(VOTERS)
+        data = records.encode_configuration(VOTERS)
         return types.Entry(1, 1, types.CONFIGURATION, data)
     return types.Entry(index, 1, types.COMMAND, b"%d" % index)
 
@@ -221,7 +221,7 @@
 
         def play() -> list[int]:
             follower = Follower(folder)
-            data = records.configuration_data(VOTERS)
+            data = records.encode_configuration(VOTERS)
             entries = [
                 types.Entry(index, 1, types.CONFIGURATION, data)
                 for index in range(1, 6)
@@ -263,7 +263,7 @@
             eventlet.sleep(1.0)
             follower.disk.stalled = True
             follower.append(2, 3, 3)
-            mark = types.SnapshotMark(5, 1, VOTERS)
+            mark = types.SnapshotMetadata(5, 1, VOTERS)
             follower.take(wire.InstallSnapshot("g", 1, mark, b"2 3 4 5"))
             follower.append(6, 7, 7)
             eventlet.sleep(1.0)
@@ -342,7 +342,7 @@
             follower.append(1, 3, 3)
             eventlet.sleep(0.1)
             follower.disk.full = True
-            mark = types.SnapshotMark(5, 1, VOTERS)
+            mark = types.SnapshotMetadata(5, 1, VOTERS)
             follower.take(wire.InstallSnapshot("g", 1, mark, b"2 3 4 5"))
             eventlet.sleep(1.0)
             follower.disk.full = False
--- a/testing/test_replication.py
+++ b/testing/test_replication.py
@@ -139,7 +139,7 @@
             lambda n: log.propose("g", command, 5.0), range(1200)
         ):
             pass
-        mark = log.driver.core.replicas["g"].state.mark
+        mark = log.driver.core.replicas["g"].state.snapshot
         self.assertGreater(mark.index, 1000)
         self.assertLess(log.wal.size(), 4 * 1024 * 1024)
 
--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -329,7 +329,7 @@
                 entries.append(
                     types.Entry(index, 1, types.COMMAND, bytes(2000))
                 )
-            mark = types.SnapshotMark(index, 1, types.EMPTY)
+            mark = types.SnapshotMetadata(index, 1, types.EMPTY)
             log.append(
                 [records.entries("g", entries), records.snapshot("g", mark)]
             )
@@ -340,7 +340,7 @@
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
         found = again.open(NODE)
-        stored = records.fold(found.records)
+        stored = records.replay(found.records)
         _, peak = tracemalloc.get_traced_memory()
         self.assertEqual(index, stored["g"].log.last_index)
         self.assertThat(found.size, matchers.GreaterThan(24_000_000))
@@ -365,7 +365,7 @@
             saved=lambda: None,
             worker=wal_port.InlineWorker(lambda: None),
         )
-        mark = types.SnapshotMark(5, 1, types.EMPTY)
+        mark = types.SnapshotMetadata(5, 1, types.EMPTY)
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
         sent = []
