--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -61,7 +61,7 @@
         groups: Iterable[str],
         *,
         members: Sequence[types.Member],
-        stored: dict[str, records.Stored],
+        stored: dict[str, records.StoredState],
         now: float,
         own: types.Member | None = None,
     ) -> None:
@@ -76,7 +76,7 @@
                 settings,
                 jitter,
                 self.outbox,
-                stored=stored.get(group) or records.Stored(),
+                stored=stored.get(group) or records.StoredState(),
                 now=now,
             )
             for group in sorted({*groups, *stored})
--- a/src/mintcleat/consensus/records.py
+++ b/src/mintcleat/consensus/records.py
@@ -15,7 +15,7 @@
 _LEADER = 3
 
 
-class Stored:
+class StoredState:
     """What the disk holds of one group.
 
     Attributes:
@@ -61,12 +61,12 @@
     return msgpack.packb(value)
 
 
-def replay(items: Iterable[bytes]) -> dict[str, Stored]:
+def replay(items: Iterable[bytes]) -> dict[str, StoredState]:
     """Returns the state of each group after all records."""
-    groups: dict[str, Stored] = {}
+    groups: dict[str, StoredState] = {}
     for item in items:
         kind, group, *fields = msgpack.unpackb(item)
-        stored = groups.setdefault(group, Stored())
+        stored = groups.setdefault(group, StoredState())
         if kind == _VOTE:
             stored.term = fields[0]
             stored.vote = identities.Incarnation(*fields[1])
@@ -81,7 +81,7 @@
     return groups
 
 
-def _add(stored: Stored, items: list[types.Entry]) -> None:
+def _add(stored: StoredState, items: list[types.Entry]) -> None:
     log = stored.log
     if items[0].index <= log.last_index:
         log.truncate(items[0].index)
@@ -89,7 +89,7 @@
         log.append(entry)
 
 
-def _mark(stored: Stored, mark: types.SnapshotMetadata) -> None:
+def _mark(stored: StoredState, mark: types.SnapshotMetadata) -> None:
     stored.snapshot = mark
     if stored.log.term_at(mark.index) == mark.term:
         stored.log.compact(mark.index)
--- a/src/mintcleat/consensus/replica.py
+++ b/src/mintcleat/consensus/replica.py
@@ -30,7 +30,7 @@
         jitter: Callable[[], float],
         box: outbox.Outbox,
         *,
-        stored: records.Stored,
+        stored: records.StoredState,
         now: float,
     ) -> None:
         self.state = state.State(
--- a/src/mintcleat/consensus/state.py
+++ b/src/mintcleat/consensus/state.py
@@ -60,7 +60,7 @@
         jitter: Callable[[], float],
         box: outbox.Outbox,
         *,
-        stored: records.Stored,
+        stored: records.StoredState,
         now: float,
     ) -> None:
         self.group = group
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -468,7 +468,7 @@
     return isinstance(letter.message, wire.HeartbeatReply)
 
 
-def _fold(items: Iterable[bytes]) -> dict[str, records.Stored]:
+def _fold(items: Iterable[bytes]) -> dict[str, records.StoredState]:
     try:
         return records.replay(items)
     except (ValueError, TypeError) as error:
