--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -14,7 +14,7 @@
 # For so many election timeouts after its start a replica that knows that
 # nobody leads asks for votes every heartbeat or two. Processes that end
 # together are back within two seconds of each other.
-_STARTING = 6
+_STARTUP_TIMEOUTS = 6
 
 
 def tick(replica: state.State, now: float) -> None:
@@ -27,13 +27,13 @@
     if (alone or now >= replica.election_due) and configuration.is_voter(
         replica.me
     ):
-        _ask_first(replica, now)
+        _start_pre_vote(replica, now)
 
 
 def on_pre_vote(
     replica: state.State,
     sender: identities.Incarnation,
-    message: wire.PreVote,
+    message: wire.PreVoteRequest,
     now: float,
 ) -> None:
     """Answers whether a vote would be granted.
@@ -42,15 +42,21 @@
     has more then asks for votes in its place, and soon: it knows from the
     question that nobody leads.
     """
-    _notice_end(replica, sender, message.term)
-    current = _is_current(replica, message.last_index, message.last_term)
+    _check_abdication(replica, sender, message.term)
+    current = _is_up_to_date(replica, message.last_index, message.last_term)
     granted = (
         message.term > replica.term
         and current
-        and not _hears_leader(replica, now)
+        and not _has_live_leader(replica, now)
     )
-    if _knows_end(replica) and not current and _is_young(replica, now):
-        replica.election_due = min(replica.election_due, _soon(replica, now))
+    if (
+        _knows_leaderless(replica)
+        and not current
+        and _recently_started(replica, now)
+    ):
+        replica.election_due = min(
+            replica.election_due, _early_retry_time(replica, now)
+        )
     term = message.term if granted else replica.term
     replica.send(sender, wire.PreVoteReply(replica.group, term, granted))
 
@@ -64,19 +70,19 @@
     """Counts a pre-vote; a majority starts the election."""
     if not message.granted:
         if message.term > replica.term:
-            replica.follow(message.term, types.NO_REPLICA, now)
+            replica.become_follower(message.term, types.NO_REPLICA, now)
         return
     if replica.role != types.PRE_CANDIDATE or message.term != replica.term + 1:
         return
     replica.grants.add(sender)
     if _has_majority(replica):
-        _campaign(replica, False, now)
+        _start_election(replica, False, now)
 
 
 def on_vote(
     replica: state.State,
     sender: identities.Incarnation,
-    message: wire.Vote,
+    message: wire.VoteRequest,
     now: float,
 ) -> None:
     """Grants or refuses a vote.
@@ -85,20 +91,20 @@
     leader's lease rests on it, and a replica that cannot hear the leader
     must not unseat it.
     """
-    _notice_end(replica, sender, message.term)
-    if not message.transfer and _hears_leader(replica, now):
+    _check_abdication(replica, sender, message.term)
+    if not message.transfer and _has_live_leader(replica, now):
         return
     if message.term > replica.term:
-        replica.follow(message.term, types.NO_REPLICA, now)
+        replica.become_follower(message.term, types.NO_REPLICA, now)
     granted = (
         message.term == replica.term
         and replica.vote in (types.NO_REPLICA, sender)
-        and _is_current(replica, message.last_index, message.last_term)
+        and _is_up_to_date(replica, message.last_index, message.last_term)
     )
     if granted:
         replica.vote = sender
-        replica.save_vote()
-        replica.delay_election(now)
+        replica.persist_vote()
+        replica.reset_election_timer(now)
     reply = wire.VoteReply(replica.group, replica.term, granted)
     replica.send_synced(sender, reply)
 
@@ -111,7 +117,7 @@
 ) -> None:
     """Counts a vote; a majority makes this replica the leader."""
     if message.term > replica.term:
-        replica.follow(message.term, types.NO_REPLICA, now)
+        replica.become_follower(message.term, types.NO_REPLICA, now)
     if (
         replica.role == types.CANDIDATE
         and message.term == replica.term
@@ -119,7 +125,7 @@
     ):
         replica.grants.add(sender)
         if _has_majority(replica):
-            _lead(replica, now)
+            _become_leader(replica, now)
 
 
 def on_timeout_now(
@@ -133,7 +139,7 @@
         and replica.role == types.FOLLOWER
         and replica.configuration.is_voter(replica.me)
     ):
-        _campaign(replica, True, now)
+        _start_election(replica, True, now)
 
 
 def transfer(
@@ -164,7 +170,7 @@
         replica.send(replica.transfer_to, order)
 
 
-def balance(replica: state.State, now: float) -> None:
+def balance_leaders(replica: state.State, now: float) -> None:
     """Hands a group to the voter that should lead it, when that is well.
 
     After failovers one instance would else go on leading most groups, and
@@ -173,17 +179,19 @@
     after = replica.settings.balance_after
     if not replica.configuration.voters or after <= 0:
         return
-    target = placement.preferred(replica.group, replica.configuration).replica
+    target = placement.preferred_leader(
+        replica.group, replica.configuration
+    ).replica
     progress = replica.progress.get(target)
     if progress is None or replica.transfer_to != types.NO_REPLICA:
         return
-    settled = now - replica.led_at > after
+    settled = now - replica.elected_at > after
     well = now - progress.last_contact < replica.settings.election
     if settled and well:
         transfer(replica, target, now)
 
 
-def _notice_end(
+def _check_abdication(
     replica: state.State, sender: identities.Incarnation, term: int
 ) -> None:
     """Gives a promise back whose leader asks for votes in a later term.
@@ -194,11 +202,11 @@
     no late answer makes it lead there again. A question from before it led
     names no later term, so it ends no promise.
     """
-    if sender == replica.promised and term > replica.term:
-        replica.heard_at = -math.inf
+    if sender == replica.promised_to and term > replica.term:
+        replica.leader_heard_at = -math.inf
 
 
-def notice_life(
+def on_new_incarnation(
     replica: state.State, sender: identities.Incarnation, now: float
 ) -> None:
     """Gives a promise back when its leader is back without its disk.
@@ -209,63 +217,69 @@
     no leader since its own start goes by this; its promise is one of its
     earlier life, kept because it does not know better.
     """
-    promised = replica.promised
+    promised = replica.promised_to
     emptied = (
         sender.instance == promised.instance and sender.epoch > promised.epoch
     )
-    if not emptied or not replica.heard_none or replica.role == types.LEADER:
+    if (
+        not emptied
+        or not replica.no_leader_heard
+        or replica.role == types.LEADER
+    ):
         return
-    if replica.heard_at != -math.inf:
-        replica.heard_at = -math.inf
-        replica.election_due = min(replica.election_due, _soon(replica, now))
+    if replica.leader_heard_at != -math.inf:
+        replica.leader_heard_at = -math.inf
+        replica.election_due = min(
+            replica.election_due, _early_retry_time(replica, now)
+        )
 
 
-def _knows_end(replica: state.State) -> bool:
+def _knows_leaderless(replica: state.State) -> bool:
     """Tells whether the leader of this term is known to lead no more."""
-    known = replica.promised != types.NO_REPLICA
-    return known and replica.heard_at == -math.inf
+    known = replica.promised_to != types.NO_REPLICA
+    return known and replica.leader_heard_at == -math.inf
 
 
-def _is_young(replica: state.State, now: float) -> bool:
-    return now - replica.started < _STARTING * replica.settings.election
+def _recently_started(replica: state.State, now: float) -> bool:
+    return now - replica.started < _STARTUP_TIMEOUTS * replica.settings.election
 
 
-def _soon(replica: state.State, now: float) -> float:
+def _early_retry_time(replica: state.State, now: float) -> float:
     """Returns when to ask next; one that others may ask beside waits more."""
     beat = replica.settings.heartbeat
-    if replica.promised == replica.me:
+    if replica.promised_to == replica.me:
         return now + beat
     return now + beat * (0.5 + 3.0 * replica.jitter())
 
 
-def _ask_again(replica: state.State, now: float) -> None:
+def _schedule_retry(replica: state.State, now: float) -> None:
     """Sets when votes are asked for again if this election comes to nothing.
 
     Who knows that nobody leads starts beside the other voters and does not
     know which of them are up yet. Questions leave no trace at a voter, so
     they are repeated often while processes start; afterwards as by any other.
     """
-    if _knows_end(replica) and _is_young(replica, now):
-        replica.election_due = _soon(replica, now)
+    if _knows_leaderless(replica) and _recently_started(replica, now):
+        replica.election_due = _early_retry_time(replica, now)
         return
-    replica.delay_election(now)
+    replica.reset_election_timer(now)
 
 
-def _ask_first(replica: state.State, now: float) -> None:
+def _start_pre_vote(replica: state.State, now: float) -> None:
     # A replica behind a partition asks in vain and keeps its term; had it
     # raised the term, its return would unseat a healthy leader.
     if not replica.settings.safeguards.pre_vote:
-        _campaign(replica, False, now)
+        _start_election(replica, False, now)
         return
     replica.role = types.PRE_CANDIDATE
     replica.leader = types.NO_REPLICA
     replica.grants = {replica.me}
-    _ask_again(replica, now)
+    _schedule_retry(replica, now)
     if _has_majority(replica):
-        _campaign(replica, False, now)
+        _start_election(replica, False, now)
         return
     log = replica.log
-    message = wire.PreVote(
+    message = wire.PreVoteRequest(
         replica.group, replica.term + 1, log.last_index, log.last_term
     )
     for peer in replica.configuration.voters:
@@ -273,19 +287,21 @@
             replica.send(peer.replica, message)
 
 
-def _campaign(replica: state.State, transfer_order: bool, now: float) -> None:
+def _start_election(
+    replica: state.State, transfer_order: bool, now: float
+) -> None:
     replica.term += 1
     replica.vote = replica.me
-    replica.save_vote()
+    replica.persist_vote()
     replica.role = types.CANDIDATE
     replica.leader = types.NO_REPLICA
     replica.grants = {replica.me}
-    replica.delay_election(now)
+    replica.reset_election_timer(now)
     if _has_majority(replica):
-        _lead(replica, now)
+        _become_leader(replica, now)
         return
     log = replica.log
-    message = wire.Vote(
+    message = wire.VoteRequest(
         replica.group,
         replica.term,
         log.last_index,
@@ -297,7 +313,7 @@
             replica.send_synced(peer.replica, message)
 
 
-def _lead(replica: state.State, now: float) -> None:
+def _become_leader(replica: state.State, now: float) -> None:
     log = replica.log
     replica.outbox.elections.append(
         outbox.Elected(
@@ -311,15 +327,15 @@
     )
     replica.role = types.LEADER
     replica.leader = replica.me
-    replica.save_leader(replica.me)
-    replica.led_at = now
+    replica.persist_leader(replica.me)
+    replica.elected_at = now
     replica.lease_given_up = False
     replica.transfer_to = types.NO_REPLICA
     replica.transfer_due = math.inf
     replica.progress = {}
     replication.track_peers(replica, now)
-    replica.term_start = replication.add(replica, types.NOOP, b"", now)
-    replica.outbox.beat_soon = True
+    replica.term_start = replication.append(replica, types.NOOP, b"", now)
+    replica.outbox.heartbeat_requested = True
 
 
 def _check_quorum(replica: state.State, now: float) -> None:
@@ -329,18 +345,18 @@
     commits that cannot come; stepping down sends them elsewhere.
     """
     longest = 2 * replica.settings.election
-    contact = max(lease.quorum_contact(replica), replica.led_at)
+    contact = max(lease.quorum_contact(replica), replica.elected_at)
     if now - contact > longest or now > replica.transfer_due:
-        replica.follow(replica.term, types.NO_REPLICA, now)
+        replica.become_follower(replica.term, types.NO_REPLICA, now)
 
 
-def _hears_leader(replica: state.State, now: float) -> bool:
+def _has_live_leader(replica: state.State, now: float) -> bool:
     if replica.role == types.LEADER:
         return now - lease.quorum_contact(replica) < replica.settings.election
-    return now - replica.heard_at < replica.settings.election
+    return now - replica.leader_heard_at < replica.settings.election
 
 
-def _is_current(replica: state.State, index: int, term: int) -> bool:
+def _is_up_to_date(replica: state.State, index: int, term: int) -> bool:
     log = replica.log
     return (term, index) >= (log.last_term, log.last_index)
 
--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -20,24 +20,24 @@
 # Versions of a heartbeat list that an answer may still refer to.
 _KEPT_VERSIONS = 32
 # A tick that comes a little early sends the heartbeat that is nearly due.
-_BEAT_SLACK = 0.25
+_HEARTBEAT_SLACK = 0.25
 # A founder greets often at first, so that new groups start soon.
-_YOUNG_PERIODS = 5
+_STARTUP_PERIODS = 5
 # Instances heard within so many greeting periods are told to others; one that
-# was silent for much longer is greeted no more, if it was not configured.
-_TOLD_PERIODS = 3
+# was silent for much longer is on_hello no more, if it was not configured.
+_RECENT_PERIODS = 3
 _FORGET_PERIODS = 60
 # A leader greets once a period; one greeting may be lost.
-_LED_PERIODS = 2.5
+_CLAIM_PERIODS = 2.5
 
 
-class _Outgoing:
+class _SentLists:
     """The heartbeats that go to one peer."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.known = 0
-        self.lists: dict[int, list[wire.Beat]] = {0: []}
+        self.acked_version = 0
+        self.lists: dict[int, list[wire.GroupHeartbeat]] = {0: []}
 
 
 class Instance:
@@ -55,7 +55,7 @@
     def __init__(
         self,
         me: identities.Incarnation,
-        life: int,
+        process_epoch: int,
         settings: types.Settings,
         jitter: Callable[[], float],
         groups: Iterable[str],
@@ -66,7 +66,7 @@
         own: types.Member | None = None,
     ) -> None:
         self.me = me
-        self.life = life
+        self.process_epoch = process_epoch
         self.settings = settings
         self.outbox = outbox.Outbox()
         self.replicas = {
@@ -82,18 +82,18 @@
             for group in sorted({*groups, *stored})
         }
         self.roster = rosters.Roster(me, members, own)
-        self._learn_voters()
-        self.beat_due = now
+        self._add_logged_peers()
+        self.heartbeat_due = now
         self.hello_due = now
         self.started = now
         self.highest_epoch_seen = 0
-        self.outgoing: dict[identities.Incarnation, _Outgoing] = {}
+        self.outgoing: dict[identities.Incarnation, _SentLists] = {}
         self.incoming: dict[
-            identities.Incarnation, tuple[int, int, list[wire.Beat]]
+            identities.Incarnation, tuple[int, int, list[wire.GroupHeartbeat]]
         ] = {}
 
     def receive(self, frame: wire.Frame, now: float) -> None:
-        """Takes a frame; one for an earlier life of this disk is dropped.
+        """Takes a frame; one for an earlier process_epoch of this disk is dropped.
 
         An emptied disk has forgotten its votes and entries. Answering for
         the replica that it held before could elect two leaders in one term
@@ -106,9 +106,9 @@
         anyone = identities.Incarnation(self.me.instance, 0)
         if frame.to not in (self.me, anyone):
             return
-        if self.roster.heard(frame.sender, frame.address, now):
+        if self.roster.on_frame(frame.sender, frame.address, now):
             for replica in self.replicas.values():
-                election.notice_life(replica.state, frame.sender, now)
+                election.on_new_incarnation(replica.state, frame.sender, now)
         for message in frame.messages:
             if frame.to == self.me or isinstance(message, wire.Hello):
                 self.step(frame.sender, message, now)
@@ -121,23 +121,23 @@
             case wire.Heartbeat():
                 self._on_heartbeat(sender, message, now)
             case wire.HeartbeatReply():
-                self._on_reply(sender, message, now)
+                self._on_heartbeat_reply(sender, message, now)
             case wire.Hello():
                 known = len(self.roster.members)
-                self.roster.greeted(sender, message, now)
+                self.roster.on_hello(sender, message, now)
                 if len(self.roster.members) > known:
                     # They may lead, or look for who does.
                     soon = now + self.settings.heartbeat
                     self.hello_due = min(self.hello_due, soon)
                 if message.asks:
-                    answer = wire.Known(self.known_groups())
+                    answer = wire.KnownGroups(self.known_groups())
                     self.outbox.messages_after_sync.append(
                         outbox.OutgoingMessage(sender, answer)
                     )
                 if not message.members:
-                    self._greet_started(sender, now)
-            case wire.Known():
-                self.roster.on_known(sender, message, now)
+                    self._reply_hello(sender, now)
+            case wire.KnownGroups():
+                self.roster.on_known_groups(sender, message, now)
             case _:
                 replica = self.replicas.get(message.group)
                 if replica is not None:
@@ -150,23 +150,31 @@
             # Most groups most of the time follow a leader that was heard.
             if state.role != types.FOLLOWER or now >= state.election_due:
                 replica.tick(now)
-        if now >= self.beat_due - _BEAT_SLACK * self.settings.heartbeat:
-            self._beat(now)
+        if (
+            now
+            >= self.heartbeat_due - _HEARTBEAT_SLACK * self.settings.heartbeat
+        ):
+            self._send_heartbeats(now)
         if now >= self.hello_due:
-            self._care(now)
+            self._maintain_groups(now)
 
     def known_groups(self) -> list[str]:
         """Returns the groups in which this disk holds a vote or entries."""
         found = self.replicas.items()
-        return [group for group, replica in found if not replica.is_fresh()]
+        return [
+            group for group, replica in found if not replica.is_uninitialized()
+        ]
 
     def flush(self, now: float) -> None:
         """Adds what is to be sent; to be called before taking the outbox."""
-        changed, self.outbox.changed = self.outbox.changed, set()
+        changed, self.outbox.groups_to_replicate = (
+            self.outbox.groups_to_replicate,
+            set(),
+        )
         for group in sorted(changed):
             self.replicas[group].flush(now)
-        if self.outbox.beat_soon:
-            self._beat(now)
+        if self.outbox.heartbeat_requested:
+            self._send_heartbeats(now)
         if self.outbox.elections:
             # Instances outside of the group learn of its leader by a greeting.
             self.hello_due = now
@@ -182,14 +190,16 @@
         heard none since its start has nothing to weigh that word against.
         """
         replica = self.replicas[group].state
-        told = self.roster.leaders.get(group)
-        if replica.leader != types.NO_REPLICA or told is None:
+        claim = self.roster.leader_claims.get(group)
+        if replica.leader != types.NO_REPLICA or claim is None:
             return replica.leader
-        fresh = now - told.at < _LED_PERIODS * self.settings.hello
-        later = told.at - replica.heard_at > self.settings.election
-        credible = later or replica.heard_none
-        known = fresh and credible and told.term >= replica.term
-        return told.leader if known else types.NO_REPLICA
+        fresh = now - claim.received_at < _CLAIM_PERIODS * self.settings.hello
+        later = (
+            claim.received_at - replica.leader_heard_at > self.settings.election
+        )
+        credible = later or replica.no_leader_heard
+        known = fresh and credible and claim.term >= replica.term
+        return claim.leader if known else types.NO_REPLICA
 
     def on_synced(self, groups: Iterable[str]) -> None:
         """Notes that every record so far of these groups is durable."""
@@ -204,78 +214,78 @@
         for group in sorted(ends):
             self.replicas[group].on_synced(ends[group])
 
-    def _beat(self, now: float) -> None:
-        self.outbox.beat_soon = False
-        self.beat_due = now + self.settings.heartbeat
-        lists: dict[identities.Incarnation, list[wire.Beat]] = {}
+    def _send_heartbeats(self, now: float) -> None:
+        self.outbox.heartbeat_requested = False
+        self.heartbeat_due = now + self.settings.heartbeat
+        lists: dict[identities.Incarnation, list[wire.GroupHeartbeat]] = {}
         for group, replica in self.replicas.items():
             state = replica.state
             if state.role != types.LEADER:
                 continue
             for follower, progress in state.progress.items():
                 commit = min(progress.match, state.commit)
-                beat = wire.Beat(group, state.term, commit)
+                beat = wire.GroupHeartbeat(group, state.term, commit)
                 lists.setdefault(follower, []).append(beat)
         for follower, beats in lists.items():
-            self._send_beat(follower, beats, now)
+            self._send_heartbeat(follower, beats, now)
 
-    def _care(self, now: float) -> None:
+    def _maintain_groups(self, now: float) -> None:
         """Greets everyone, starts new groups and repairs those led here."""
         size = self.settings.group_size
         founding = [
             group
             for group, replica in self.replicas.items()
             if self.settings.founder
-            and replica.is_fresh()
-            and self.roster.may_found(group, size)
+            and replica.is_uninitialized()
+            and self.roster.is_founder(group, size)
         ]
         period = self.settings.hello
-        young = now - self.started < _YOUNG_PERIODS * period
+        young = now - self.started < _STARTUP_PERIODS * period
         hurry = bool(founding) and young
         self.hello_due = now + (self.settings.heartbeat if hurry else period)
-        self._learn_voters()
-        self.roster.forget_silent(now - _FORGET_PERIODS * period)
-        hello = self._hello(bool(founding), now)
-        self.outbox.messages.extend(self.roster.greetings(hello))
+        self._add_logged_peers()
+        self.roster.remove_silent(now - _FORGET_PERIODS * period)
+        hello = self._make_hello(bool(founding), now)
+        self.outbox.messages.extend(self.roster.hellos(hello))
         for group in founding:
-            founders = self.roster.founders(group, size, now - 2 * period)
+            founders = self.roster.initial_configuration(
+                group, size, now - 2 * period
+            )
             if founders is not None:
                 self.replicas[group].bootstrap(founders)
         for replica in self.replicas.values():
             if replica.state.role == types.LEADER:
                 repair.tick(replica.state, self.roster, now)
-                election.balance(replica.state, now)
+                election.balance_leaders(replica.state, now)
 
-    def _hello(self, asks: bool, now: float) -> wire.Hello:
-        oldest = now - _TOLD_PERIODS * self.settings.hello
+    def _make_hello(self, asks: bool, now: float) -> wire.Hello:
+        oldest = now - _RECENT_PERIODS * self.settings.hello
         leads = [
-            wire.Led(group, replica.state.term)
+            wire.LedGroup(group, replica.state.term)
             for group, replica in self.replicas.items()
             if replica.state.role == types.LEADER
         ]
         known = self.roster.seen_since(oldest)
         return wire.Hello(asks, self.roster.own, known, leads)
 
-    def _greet_started(
-        self, sender: identities.Incarnation, now: float
-    ) -> None:
+    def _reply_hello(self, sender: identities.Incarnation, now: float) -> None:
         """Tells an instance that has just started what is known here.
 
         Whoever greets without naming anybody has heard nobody yet. Up to the
         next round of greetings it would know no leader, or the leader would
         not know of it, and its nodes would be given no configuration.
         """
-        hello = self._hello(False, now)
+        hello = self._make_hello(False, now)
         self.outbox.messages.append(outbox.OutgoingMessage(sender, hello))
 
-    def _learn_voters(self) -> None:
+    def _add_logged_peers(self) -> None:
         """Keeps the addresses of all peers that the logs name.
 
         After a restart the settings may name other members than those that
         hold the groups; the log knows where those were.
         """
         for replica in self.replicas.values():
-            self.roster.learn(
+            self.roster.add_members(
                 types.Member(
                     peer.replica.instance,
                     peer.address,
@@ -285,20 +295,20 @@
                 for peer in replica.state.configuration.peers()
             )
 
-    def _send_beat(
+    def _send_heartbeat(
         self,
         follower: identities.Incarnation,
-        beats: list[wire.Beat],
+        beats: list[wire.GroupHeartbeat],
         now: float,
     ) -> None:
-        out = self.outgoing.setdefault(follower, _Outgoing())
+        out = self.outgoing.setdefault(follower, _SentLists())
         if out.lists.get(out.version) != beats:
             out.version += 1
             out.lists[out.version] = beats
             out.lists.pop(out.version - _KEPT_VERSIONS, None)
         # An idle list is named by its version instead of being sent again.
-        body = None if out.known == out.version else beats
-        message = wire.Heartbeat(self.life, out.version, now, body)
+        body = None if out.acked_version == out.version else beats
+        message = wire.Heartbeat(self.process_epoch, out.version, now, body)
         self.outbox.messages.append(outbox.OutgoingMessage(follower, message))
 
     def _on_heartbeat(
@@ -307,12 +317,19 @@
         message: wire.Heartbeat,
         now: float,
     ) -> None:
-        life, version, beats = self.incoming.get(sender, (0, 0, []))
+        process_epoch, version, beats = self.incoming.get(sender, (0, 0, []))
         if message.beats is not None:
             beats = message.beats
-            self.incoming[sender] = (message.life, message.version, beats)
-        elif (life, version) != (message.life, message.version):
-            self._reply(sender, message, False, [])
+            self.incoming[sender] = (
+                message.process_epoch,
+                message.version,
+                beats,
+            )
+        elif (process_epoch, version) != (
+            message.process_epoch,
+            message.version,
+        ):
+            self._send_heartbeat_reply(sender, message, False, [])
             return
         refused = []
         for beat in beats:
@@ -320,35 +337,37 @@
             if replica is None:
                 refused.append(beat._replace(term=0))
                 continue
-            taken = replication.on_beat(replica.state, sender, beat, now)
+            taken = replication.on_group_heartbeat(
+                replica.state, sender, beat, now
+            )
             if not taken:
                 refused.append(beat._replace(term=replica.state.term))
-        self._reply(sender, message, True, refused)
+        self._send_heartbeat_reply(sender, message, True, refused)
 
-    def _reply(
+    def _send_heartbeat_reply(
         self,
         sender: identities.Incarnation,
         message: wire.Heartbeat,
         known: bool,
-        refused: list[wire.Beat],
+        refused: list[wire.GroupHeartbeat],
     ) -> None:
         reply = wire.HeartbeatReply(
-            message.life, message.version, message.sent, known, refused
+            message.process_epoch, message.version, message.sent, known, refused
         )
         self.outbox.messages_after_sync.append(
             outbox.OutgoingMessage(sender, reply)
         )
 
-    def _on_reply(
+    def _on_heartbeat_reply(
         self,
         sender: identities.Incarnation,
         message: wire.HeartbeatReply,
         now: float,
     ) -> None:
         out = self.outgoing.get(sender)
-        if out is None or message.life != self.life:
+        if out is None or message.process_epoch != self.process_epoch:
             return
-        out.known = message.version if message.known else 0
+        out.acked_version = message.version if message.known else 0
         beats = out.lists.get(message.version)
         if not message.known or beats is None:
             return
@@ -358,6 +377,6 @@
             higher = refused.get(beat.group)
             if higher is not None:
                 if higher > replica.term:
-                    replica.follow(higher, types.NO_REPLICA, now)
+                    replica.become_follower(higher, types.NO_REPLICA, now)
             elif replica.term == beat.term and replica.role == types.LEADER:
                 lease.acknowledge(replica, sender, message.sent, now)
--- a/src/mintcleat/consensus/lease.py
+++ b/src/mintcleat/consensus/lease.py
@@ -60,7 +60,7 @@
         _grant(replica, token)
         return
     replica.reads.append((token, now))
-    replica.outbox.beat_soon = True
+    replica.outbox.heartbeat_requested = True
 
 
 def acknowledge(
--- a/src/mintcleat/consensus/membership.py
+++ b/src/mintcleat/consensus/membership.py
@@ -28,7 +28,7 @@
     )
 
 
-def add(replica: state.State, peer: types.Peer, now: float) -> bool:
+def add_learner(replica: state.State, peer: types.Peer, now: float) -> bool:
     """Adds a learner; False when a change or a repair is under way."""
     configuration = replica.configuration
     if not may_change(replica) or configuration.learners:
@@ -39,7 +39,7 @@
         return False
     if any(p.replica == peer.replica for p in configuration.peers()):
         return False
-    voters = _forgetting(configuration.voters, peer.replica)
+    voters = _clear_replaces(configuration.voters, peer.replica)
     if not replica.settings.safeguards.add_before_remove:
         voters = _without(voters, peer.replaces)
     _propose(replica, types.Configuration(voters, [peer]), now)
@@ -104,7 +104,7 @@
             election.transfer(replica, peer.replica, now)
         return
     voters, learners = replica.configuration
-    kept = _forgetting(_without(voters, peer.replaces), peer.replaces)
+    kept = _clear_replaces(_without(voters, peer.replaces), peer.replaces)
     _propose(replica, types.Configuration(kept, learners), now)
 
 
@@ -126,10 +126,10 @@
     replica: state.State, value: types.Configuration, now: float
 ) -> None:
     data = records.encode_configuration(value)
-    replication.add(replica, types.CONFIGURATION, data, now)
+    replication.append(replica, types.CONFIGURATION, data, now)
 
 
-def _forgetting(
+def _clear_replaces(
     peers: list[types.Peer], gone: identities.Incarnation
 ) -> list[types.Peer]:
     """Returns the peers without the note that one of them replaced `gone`.
--- a/src/mintcleat/consensus/messages.py
+++ b/src/mintcleat/consensus/messages.py
@@ -16,7 +16,7 @@
 from mintcleat.domain import identities
 
 
-class PreVote(NamedTuple):
+class PreVoteRequest(NamedTuple):
     """Asks whether a vote for `term` would be granted; changes nothing."""
 
     group: str
@@ -33,7 +33,7 @@
     granted: bool
 
 
-class Vote(NamedTuple):
+class VoteRequest(NamedTuple):
     """Asks for a vote.
 
     Attributes:
@@ -99,7 +99,7 @@
     term: int
 
 
-class Beat(NamedTuple):
+class GroupHeartbeat(NamedTuple):
     """Heartbeat of one group, inside Heartbeat."""
 
     group: str
@@ -117,10 +117,10 @@
         beats: The list, or None for the one that `version` named before.
     """
 
-    life: int
+    process_epoch: int
     version: int
     sent: float
-    beats: list[Beat] | None
+    beats: list[GroupHeartbeat] | None
 
 
 class HeartbeatReply(NamedTuple):
@@ -131,14 +131,14 @@
         refused: Groups whose term is higher here, with that term.
     """
 
-    life: int
+    process_epoch: int
     version: int
     sent: float
     known: bool
-    refused: list[Beat]
+    refused: list[GroupHeartbeat]
 
 
-class Led(NamedTuple):
+class LedGroup(NamedTuple):
     """A group that the sender of a greeting leads, and its term."""
 
     group: str
@@ -159,10 +159,10 @@
     asks: bool
     own: types.Member = types.Member("", "", "", "")
     members: list[types.Member] = []
-    leads: list[Led] = []
+    leads: list[LedGroup] = []
 
 
-class Known(NamedTuple):
+class KnownGroups(NamedTuple):
     """Groups in which the sender has voted or holds entries.
 
     It goes to the very incarnation that asked, so it is a statement made
@@ -182,9 +182,9 @@
 
 
 _KINDS: tuple[type, ...] = (
-    PreVote,
+    PreVoteRequest,
     PreVoteReply,
-    Vote,
+    VoteRequest,
     VoteReply,
     Append,
     AppendReply,
@@ -193,7 +193,7 @@
     Heartbeat,
     HeartbeatReply,
     Hello,
-    Known,
+    KnownGroups,
 )
 _TAGS = {kind: tag for tag, kind in enumerate(_KINDS)}
 
--- a/src/mintcleat/consensus/outbox.py
+++ b/src/mintcleat/consensus/outbox.py
@@ -89,10 +89,10 @@
         self.reads: list[ReadReady] = []
         self.stored: set[str] = set()
         self.committed: set[str] = set()
-        self.changed: set[str] = set()
+        self.groups_to_replicate: set[str] = set()
         self.snapshot_indexes: dict[str, int] = {}
         self.elections: list[Elected] = []
-        self.beat_soon = False
+        self.heartbeat_requested = False
 
     def take(self) -> "Outbox":
         """Empties this outbox and returns what it held."""
--- a/src/mintcleat/consensus/placement.py
+++ b/src/mintcleat/consensus/placement.py
@@ -28,7 +28,9 @@
     return chosen
 
 
-def preferred(group: str, configuration: types.Configuration) -> types.Peer:
+def preferred_leader(
+    group: str, configuration: types.Configuration
+) -> types.Peer:
     """Returns the voter that should lead, so that leaders are spread."""
     return min(
         configuration.voters, key=lambda p: _rank(group, p.replica.instance)
--- a/src/mintcleat/consensus/repair.py
+++ b/src/mintcleat/consensus/repair.py
@@ -21,7 +21,7 @@
         return
     configuration = replica.configuration
     for learner in configuration.learners:
-        if _lost(replica, roster, learner, now):
+        if _is_lost(replica, roster, learner, now):
             membership.drop_learner(replica, learner.replica, now)
         return
     for voter in configuration.voters:
@@ -30,27 +30,29 @@
             and voter.replica.instance not in roster.retired
         ):
             continue
-        newcomer = _newcomer(replica, roster, voter, now)
-        if newcomer is not None:
-            replace(replica, voter.replica, newcomer, now)
+        successor = _find_successor(replica, roster, voter, now)
+        if successor is not None:
+            replace(replica, voter.replica, successor, now)
             return
     if len(configuration.voters) < replica.settings.group_size:
-        spare = _spare(replica, roster, None, now)
+        spare = _find_spare(replica, roster, None, now)
         if spare is not None:
-            membership.add(replica, spare, now)
+            membership.add_learner(replica, spare, now)
 
 
 def replace(
     replica: state.State,
     old: identities.Incarnation,
-    newcomer: types.Peer,
+    successor: types.Peer,
     now: float,
 ) -> bool:
     """Starts replacing a voter; False when another change is under way."""
-    return membership.add(replica, newcomer._replace(replaces=old), now)
+    return membership.add_learner(
+        replica, successor._replace(replaces=old), now
+    )
 
 
-def _newcomer(
+def _find_successor(
     replica: state.State,
     roster: rosters.Roster,
     voter: types.Peer,
@@ -63,16 +65,16 @@
     spare comes only after `replace_after`, so that a restart moves no data.
     """
     if voter.replica.instance in roster.retired:
-        return _spare(replica, roster, voter, now)
+        return _find_spare(replica, roster, voter, now)
     resident = roster.observed.get(voter.replica.instance)
     if resident and resident.peer.replica.epoch > voter.replica.epoch:
-        return resident.peer if _alive(replica, resident, now) else None
-    if not _silent(replica, voter.replica, now):
+        return resident.peer if _is_alive(replica, resident, now) else None
+    if not _is_silent(replica, voter.replica, now):
         return None
-    return _spare(replica, roster, voter, now)
+    return _find_spare(replica, roster, voter, now)
 
 
-def _spare(
+def _find_spare(
     replica: state.State,
     roster: rosters.Roster,
     voter: types.Peer | None,
@@ -81,24 +83,24 @@
     """Returns a live instance outside the group, best in a free domain."""
     peers = replica.configuration.peers()
     inside = {peer.replica.instance for peer in peers}
-    used = {_domain(roster, p) for p in peers if p is not voter}
+    used = {_failure_domain(roster, p) for p in peers if p is not voter}
     found = [
         resident.peer
         for name, resident in roster.observed.items()
         if name not in inside
         and name not in roster.retired
-        and _alive(replica, resident, now)
+        and _is_alive(replica, resident, now)
     ]
     found.sort(key=lambda p: (p.failure_domain in used, p.replica))
     return found[0] if found else None
 
 
-def _domain(roster: rosters.Roster, peer: types.Peer) -> str:
+def _failure_domain(roster: rosters.Roster, peer: types.Peer) -> str:
     """Returns a peer's domain; a founder may have been known without it."""
     return roster.peer(peer.replica).failure_domain or peer.failure_domain
 
 
-def _lost(
+def _is_lost(
     replica: state.State,
     roster: rosters.Roster,
     learner: types.Peer,
@@ -107,18 +109,18 @@
     resident = roster.observed.get(learner.replica.instance)
     if resident and resident.peer.replica.epoch > learner.replica.epoch:
         return True
-    return _silent(replica, learner.replica, now)
+    return _is_silent(replica, learner.replica, now)
 
 
-def _silent(
+def _is_silent(
     replica: state.State, follower: identities.Incarnation, now: float
 ) -> bool:
     after = replica.settings.replace_after
-    contact = max(lease.contact(replica, follower), replica.led_at)
+    contact = max(lease.contact(replica, follower), replica.elected_at)
     return after > 0 and now - contact > after
 
 
-def _alive(
+def _is_alive(
     replica: state.State, resident: rosters.ObservedPeer, now: float
 ) -> bool:
-    return now - resident.seen < _ALIVE_PERIODS * replica.settings.hello
+    return now - resident.last_seen < _ALIVE_PERIODS * replica.settings.hello
--- a/src/mintcleat/consensus/replica.py
+++ b/src/mintcleat/consensus/replica.py
@@ -42,12 +42,12 @@
         replica = self.state
         replica.term = 1
         replica.vote = replica.me
-        replica.save_vote()
+        replica.persist_vote()
         data = records.encode_configuration(configuration)
-        replica.store([types.Entry(1, 1, types.CONFIGURATION, data)])
+        replica.append([types.Entry(1, 1, types.CONFIGURATION, data)])
         replica.election_due = 0.0
 
-    def is_fresh(self) -> bool:
+    def is_uninitialized(self) -> bool:
         """Tells whether this replica never voted nor held an entry."""
         return self.state.term == 0 and self.state.log.last_index == 0
 
@@ -63,11 +63,11 @@
                 replication.on_append_reply(replica, sender, message, now)
                 election.continue_transfer(replica)
                 membership.advance(replica, now)
-            case wire.PreVote():
+            case wire.PreVoteRequest():
                 election.on_pre_vote(replica, sender, message, now)
             case wire.PreVoteReply():
                 election.on_pre_vote_reply(replica, sender, message, now)
-            case wire.Vote():
+            case wire.VoteRequest():
                 election.on_vote(replica, sender, message, now)
             case wire.VoteReply():
                 election.on_vote_reply(replica, sender, message, now)
@@ -88,7 +88,7 @@
         replica = self.state
         if not self.accepts_proposals():
             return None
-        index = replication.add(replica, types.COMMAND, command, now)
+        index = replication.append(replica, types.COMMAND, command, now)
         return replica.term, index
 
     def accepts_proposals(self) -> bool:
@@ -111,7 +111,7 @@
 
     def add_learner(self, peer: types.Peer, now: float) -> bool:
         """Starts a repair; see `membership`."""
-        return membership.add(self.state, peer, now)
+        return membership.add_learner(self.state, peer, now)
 
     def drop_learner(self, learner: identities.Incarnation, now: float) -> bool:
         """Gives up a repair whose learner failed."""
@@ -160,7 +160,7 @@
         """
         replica = self.state
         last = replica.commit
-        if replica.restoring or last <= replica.applied:
+        if replica.restoring_index or last <= replica.applied:
             return []
         found = replica.log.between(replica.applied + 1, last)
         replica.applied = last
@@ -170,8 +170,8 @@
         """Notes that the machine holds an installed snapshot."""
         replica = self.state
         replica.applied = index
-        if replica.restoring == index:
-            replica.restoring = 0
+        if replica.restoring_index == index:
+            replica.restoring_index = 0
             replica.outbox.committed.add(replica.group)
 
     def snapshot_metadata(self) -> types.SnapshotMetadata:
@@ -192,7 +192,7 @@
         replica = self.state
         found = [
             records.vote(replica.group, replica.term, replica.vote),
-            records.leader(replica.group, replica.term, replica.promised),
+            records.leader(replica.group, replica.term, replica.promised_to),
         ]
         if replica.snapshot.index > 0:
             found.append(records.snapshot(replica.group, replica.snapshot))
--- a/src/mintcleat/consensus/replication.py
+++ b/src/mintcleat/consensus/replication.py
@@ -10,11 +10,11 @@
 from mintcleat.domain import identities
 
 
-def add(replica: state.State, kind: int, data: bytes, now: float) -> int:
+def append(replica: state.State, kind: int, data: bytes, now: float) -> int:
     """Adds an entry at the leader and returns its index."""
     entry = types.Entry(replica.log.last_index + 1, replica.term, kind, data)
-    replica.store([entry])
-    replica.outbox.changed.add(replica.group)
+    replica.append([entry])
+    replica.outbox.groups_to_replicate.add(replica.group)
     if kind == types.CONFIGURATION:
         track_peers(replica, now)
     return entry.index
@@ -41,12 +41,12 @@
     """Sends again to followers that have been silent too long."""
     for follower, progress in replica.progress.items():
         behind = progress.match < replica.log.last_index
-        silent = now - progress.heard > replica.settings.resend
+        silent = now - progress.last_reply > replica.settings.resend
         if behind and silent and now > progress.snapshot_until:
             progress.next = progress.match + 1
-            progress.unanswered = 0
+            progress.in_flight = 0
             progress.probing = True
-            progress.heard = now
+            progress.last_reply = now
             _send(replica, follower, progress, now)
 
 
@@ -60,12 +60,12 @@
     if message.term < replica.term:
         _refuse(replica, sender, message, 0)
         return
-    _hear(replica, sender, message.term, now)
-    hint = _mismatch(replica, message)
+    _accept_leader(replica, sender, message.term, now)
+    hint = _conflict_hint(replica, message)
     if hint is not None:
         _refuse(replica, sender, message, hint)
         return
-    _merge(replica, message.entries)
+    _append_missing(replica, message.entries)
     last = message.previous_index + len(message.entries)
     replica.commit_to(min(message.commit, last))
     reply = wire.AppendReply(replica.group, replica.term, True, last)
@@ -80,32 +80,32 @@
 ) -> None:
     """Takes a follower's answer."""
     if message.term > replica.term:
-        replica.follow(message.term, types.NO_REPLICA, now)
+        replica.become_follower(message.term, types.NO_REPLICA, now)
         return
     progress = replica.progress.get(sender)
     if progress is None or message.term < replica.term:
         return
-    progress.heard = now
+    progress.last_reply = now
     if message.accepted:
-        _advance(replica, progress, message.index)
+        _record_match(replica, progress, message.index)
     elif message.previous_index > progress.match:
         retry = min(message.previous_index, message.index + 1)
         progress.next = max(progress.match + 1, retry)
         progress.probing = True
-        progress.unanswered = 0
+        progress.in_flight = 0
     _send(replica, sender, progress, now)
 
 
-def on_beat(
+def on_group_heartbeat(
     replica: state.State,
     sender: identities.Incarnation,
-    beat: wire.Beat,
+    beat: wire.GroupHeartbeat,
     now: float,
 ) -> bool:
     """Takes a heartbeat; returns False when it is of an old term."""
     if beat.term < replica.term:
         return False
-    _hear(replica, sender, beat.term, now)
+    _accept_leader(replica, sender, beat.term, now)
     replica.commit_to(min(beat.commit, replica.log.last_index))
     return True
 
@@ -121,7 +121,7 @@
         reply = wire.AppendReply(replica.group, replica.term, False, 0)
         replica.send(sender, reply)
         return
-    _hear(replica, sender, message.term, now)
+    _accept_leader(replica, sender, message.term, now)
     mark = message.snapshot
     if mark.index > replica.commit:
         replica.install(mark)
@@ -172,8 +172,8 @@
     log = replica.log
     settings = replica.settings
     while progress.next <= log.last_index:
-        limit = 1 if progress.probing else settings.window
-        if progress.unanswered >= limit or now <= progress.snapshot_until:
+        limit = 1 if progress.probing else settings.max_in_flight
+        if progress.in_flight >= limit or now <= progress.snapshot_until:
             return
         if progress.next <= log.base_index:
             _send_snapshot(replica, follower, progress, now)
@@ -191,9 +191,9 @@
             replica.commit,
         )
         replica.send(follower, message)
-        if progress.unanswered == 0:
-            progress.heard = now
-        progress.unanswered += 1
+        if progress.in_flight == 0:
+            progress.last_reply = now
+        progress.in_flight += 1
         progress.next += len(items)
 
 
@@ -212,29 +212,29 @@
     replica.outbox.snapshots.append(needed)
 
 
-def _advance(
+def _record_match(
     replica: state.State, progress: state.Progress, index: int
 ) -> None:
     progress.match = max(progress.match, index)
     progress.next = max(progress.next, progress.match + 1)
     progress.probing = False
-    progress.unanswered = max(0, progress.unanswered - 1)
+    progress.in_flight = max(0, progress.in_flight - 1)
     progress.snapshot_until = -math.inf
     advance_commit(replica)
 
 
-def _hear(
+def _accept_leader(
     replica: state.State, sender: identities.Incarnation, term: int, now: float
 ) -> None:
     if term > replica.term or replica.leader != sender:
-        replica.follow(term, sender, now)
+        replica.become_follower(term, sender, now)
     replica.role = types.FOLLOWER
-    replica.save_leader(sender)
-    replica.heard_at = now
-    replica.delay_election(now)
+    replica.persist_leader(sender)
+    replica.leader_heard_at = now
+    replica.reset_election_timer(now)
 
 
-def _mismatch(replica: state.State, message: wire.Append) -> int | None:
+def _conflict_hint(replica: state.State, message: wire.Append) -> int | None:
     """Returns the last index that may match, or None when all is well."""
     log = replica.log
     previous = message.previous_index
@@ -250,7 +250,7 @@
     return previous
 
 
-def _merge(replica: state.State, items: list[types.Entry]) -> None:
+def _append_missing(replica: state.State, items: list[types.Entry]) -> None:
     for number, entry in enumerate(items):
         if entry.index <= replica.log.base_index:
             continue
@@ -259,7 +259,7 @@
             continue
         if found is not None:
             replica.truncate(entry.index)
-        replica.store(items[number:])
+        replica.append(items[number:])
         return
 
 
--- a/src/mintcleat/consensus/roster.py
+++ b/src/mintcleat/consensus/roster.py
@@ -21,13 +21,13 @@
     """
 
     peer: types.Peer
-    seen: float
-    answered: float
+    last_seen: float
+    answered_at: float
     groups: frozenset[str]
 
 
-class Told(NamedTuple):
-    """Who greeted as the leader of a group.
+class LeaderClaim(NamedTuple):
+    """Who on_hello as the leader of a group.
 
     Attributes:
         at: When the greeting came.
@@ -35,7 +35,7 @@
 
     term: int
     leader: identities.Incarnation
-    at: float
+    received_at: float
 
 
 class Roster:
@@ -56,7 +56,7 @@
         own: types.Member | None = None,
     ) -> None:
         self.me = me
-        self.founding = list(members)
+        self.configured_members = list(members)
         self.members = {member.instance: member for member in members}
         self.own = own or self.members.get(
             me.instance, types.Member(me.instance, "", "", "")
@@ -64,14 +64,14 @@
         self.members[me.instance] = self.own
         self.observed: dict[str, ObservedPeer] = {}
         self.retired: frozenset[str] = frozenset()
-        self.leaders: dict[str, Told] = {}
+        self.leader_claims: dict[str, LeaderClaim] = {}
 
-    def learn(self, members: Iterable[types.Member]) -> None:
-        """Takes instances that were not known; they are greeted from now on."""
+    def add_members(self, members: Iterable[types.Member]) -> None:
+        """Takes instances that were not known; they are on_hello from now on."""
         for member in members:
             self.members.setdefault(member.instance, member)
 
-    def greeted(
+    def on_hello(
         self, sender: identities.Incarnation, message: wire.Hello, now: float
     ) -> None:
         """Takes what a greeting says of its sender and of others.
@@ -88,33 +88,33 @@
                     failure_domain=own.failure_domain, region=own.region
                 )
                 self.observed[own.instance] = known._replace(peer=peer)
-        self.learn(message.members)
+        self.add_members(message.members)
         for group, term in message.leads:
-            told = self.leaders.get(group)
+            told = self.leader_claims.get(group)
             if told is None or term >= told.term:
-                self.leaders[group] = Told(term, sender, now)
+                self.leader_claims[group] = LeaderClaim(term, sender, now)
 
     def seen_since(self, oldest: float) -> list[types.Member]:
         """Returns the instances heard since a time, this one not included."""
         return [
             self.members[name]
             for name, resident in sorted(self.observed.items())
-            if resident.seen >= oldest and name in self.members
+            if resident.last_seen >= oldest and name in self.members
         ]
 
-    def forget_silent(self, oldest: float) -> None:
+    def remove_silent(self, oldest: float) -> None:
         """Drops learned instances that have been silent for long.
 
         Machines are replaced under new addresses; greeting each one that
         ever was would go on for good.
         """
-        kept = {member.instance for member in self.founding}
+        kept = {member.instance for member in self.configured_members}
         kept.add(self.me.instance)
         for name in set(self.members) - kept:
             resident = self.observed.get(name)
             if resident is None:
                 continue
-            if resident.seen < oldest:
+            if resident.last_seen < oldest:
                 del self.members[name]
                 del self.observed[name]
 
@@ -135,7 +135,7 @@
             replica, member.address, member.failure_domain, member.region
         )
 
-    def heard(
+    def on_frame(
         self, sender: identities.Incarnation, address: str, now: float
     ) -> bool:
         """Notes that a frame came; an older incarnation is ignored.
@@ -151,20 +151,25 @@
         elif known.peer.replica != sender:
             return False
         peer = known.peer._replace(address=address)
-        self.observed[sender.instance] = known._replace(peer=peer, seen=now)
+        self.observed[sender.instance] = known._replace(
+            peer=peer, last_seen=now
+        )
         return new
 
-    def on_known(
-        self, sender: identities.Incarnation, message: wire.Known, now: float
+    def on_known_groups(
+        self,
+        sender: identities.Incarnation,
+        message: wire.KnownGroups,
+        now: float,
     ) -> None:
         """Notes what an instance answered to our question."""
         known = self.observed.get(sender.instance)
         if known is not None and known.peer.replica == sender:
             self.observed[sender.instance] = known._replace(
-                answered=now, groups=frozenset(message.groups)
+                answered_at=now, groups=frozenset(message.groups)
             )
 
-    def greetings(self, hello: wire.Hello) -> list[outbox.OutgoingMessage]:
+    def hellos(self, hello: wire.Hello) -> list[outbox.OutgoingMessage]:
         """Returns a greeting for every other instance, whoever lives there."""
         return [
             outbox.OutgoingMessage(identities.Incarnation(name, 0), hello)
@@ -172,11 +177,11 @@
             if name != self.me.instance
         ]
 
-    def may_found(self, group: str, size: int) -> bool:
+    def is_founder(self, group: str, size: int) -> bool:
         """Tells whether this instance starts the group if nobody knows it."""
         return self._founder_names(group, size)[:1] == [self.me.instance]
 
-    def founders(
+    def initial_configuration(
         self, group: str, size: int, oldest: float
     ) -> types.Configuration | None:
         """Returns the first configuration, if this instance must start it.
@@ -192,7 +197,7 @@
         peers = [self.peer(self.me)]
         for name in names[1:]:
             resident = self.observed.get(name)
-            if resident is None or resident.answered <= oldest:
+            if resident is None or resident.answered_at <= oldest:
                 return None
             if group in resident.groups:
                 return None
@@ -200,5 +205,5 @@
         return types.Configuration(peers, [])
 
     def _founder_names(self, group: str, size: int) -> list[str]:
-        chosen = placement.voters(group, self.founding, size)
+        chosen = placement.voters(group, self.configured_members, size)
         return [member.instance for member in chosen]
--- a/src/mintcleat/consensus/state.py
+++ b/src/mintcleat/consensus/state.py
@@ -28,8 +28,8 @@
         self.match = 0
         self.next = next_index
         self.probing = True
-        self.unanswered = 0
-        self.heard = now
+        self.in_flight = 0
+        self.last_reply = now
         self.last_contact = -math.inf
         self.snapshot_until = -math.inf
 
@@ -43,11 +43,11 @@
         restoring: Index of a snapshot that waits to be restored into the
             machine; 0 for none.
         persisted: Last index synced here.
-        heard_at: When the leader was last heard; it holds this replica's
+        leader_heard_at: When the leader was last heard; it holds this replica's
             promise of no vote for `election` seconds from then.
         promised: Leader of this term that got such promises; NO_REPLICA when
             none is known.
-        led_at: When this replica last became leader.
+        elected_at: When this replica last became leader.
         term_start: Index of the leader's own first entry.
         lease_given_up: Set once a transfer was ordered in this term.
     """
@@ -76,23 +76,23 @@
             (stored.snapshot.index, stored.snapshot.configuration)
         ]
         for entry in self.log.entries:
-            self.note_configuration(entry)
+            self.adopt_configuration(entry)
         self.commit = self.applied = stored.snapshot.index
-        self.restoring = 0
+        self.restoring_index = 0
         self.persisted = self.log.last_index
         self.role = types.FOLLOWER
         self.leader = types.NO_REPLICA
-        self.promised = stored.leader
+        self.promised_to = stored.leader
         # A restarted voter may have answered a heartbeat just before it
         # died; counting its start as contact keeps that leader's lease safe.
-        self.heard_at = now
-        if self.promised == me:
+        self.leader_heard_at = now
+        if self.promised_to == me:
             # Its own lease ended with the process that held it.
-            self.heard_at = -math.inf
+            self.leader_heard_at = -math.inf
         self.election_due = 0.0
         self.grants: set[identities.Incarnation] = set()
         self.progress: dict[identities.Incarnation, Progress] = {}
-        self.led_at = now
+        self.elected_at = now
         self.term_start = 0
         self.lease_given_up = False
         self.transfer_to = types.NO_REPLICA
@@ -101,13 +101,13 @@
         self.started = now
         # The only voter of a group waits for nobody, nor does the leader of
         # before.
-        if len(self.configuration.voters) != 1 and self.promised != me:
-            self.delay_election(now)
+        if len(self.configuration.voters) != 1 and self.promised_to != me:
+            self.reset_election_timer(now)
 
     @property
-    def heard_none(self) -> bool:
+    def no_leader_heard(self) -> bool:
         """Whether no leader was heard since this replica's start."""
-        return self.heard_at <= self.started
+        return self.leader_heard_at <= self.started
 
     @property
     def configuration(self) -> types.Configuration:
@@ -119,7 +119,7 @@
         """Index of the entry that carries `configuration`."""
         return self.configurations[-1][0]
 
-    def note_configuration(self, entry: types.Entry) -> None:
+    def adopt_configuration(self, entry: types.Entry) -> None:
         """Takes a configuration into force as soon as it is in the log."""
         if entry.kind == types.CONFIGURATION:
             value = records.decode_configuration(entry.data)
@@ -145,29 +145,29 @@
         box = self.outbox.messages_after_sync if safe else self.outbox.messages
         box.append(outbox.OutgoingMessage(to, message))
 
-    def save_vote(self) -> None:
+    def persist_vote(self) -> None:
         """Stores term and vote; who leads in the term is not known yet."""
-        self.promised = types.NO_REPLICA
+        self.promised_to = types.NO_REPLICA
         self.outbox.records.append(
             records.vote(self.group, self.term, self.vote)
         )
 
-    def save_leader(self, leader: identities.Incarnation) -> None:
+    def persist_leader(self, leader: identities.Incarnation) -> None:
         """Stores who leads in this term, once.
 
         Nothing waits for its sync: without it, a restarted voter knows no
         leader and keeps its promise to whomever it was given.
         """
-        if self.promised != leader:
-            self.promised = leader
+        if self.promised_to != leader:
+            self.promised_to = leader
             record = records.leader(self.group, self.term, leader)
             self.outbox.records.append(record)
 
-    def store(self, items: list[types.Entry]) -> None:
+    def append(self, items: list[types.Entry]) -> None:
         """Adds entries to the log in memory and on disk."""
         for entry in items:
             self.log.append(entry)
-            self.note_configuration(entry)
+            self.adopt_configuration(entry)
         self.outbox.records.append(records.entries(self.group, items))
         self.outbox.stored.add(self.group)
 
@@ -193,16 +193,16 @@
         else:
             self.log.reset(mark.index, mark.term)
             self.persisted = mark.index
-        self.commit = self.restoring = mark.index
+        self.commit = self.restoring_index = mark.index
         self.persisted = max(self.persisted, mark.index)
         later = [c for c in self.configurations if c[0] > mark.index]
         kept = [c for c in later if c[0] <= self.log.last_index]
         self.configurations = [(mark.index, mark.configuration), *kept]
-        self._record(mark)
+        self._record_snapshot(mark)
 
     def compact(self, mark: types.SnapshotMetadata, keep: int) -> None:
         """Forgets entries that a stored snapshot covers, but the last."""
-        self._record(mark)
+        self._record_snapshot(mark)
         self.log.compact(mark.index - keep)
         base = self.log.base_index
         while (
@@ -210,27 +210,27 @@
         ):
             self.configurations.pop(0)
 
-    def _record(self, mark: types.SnapshotMetadata) -> None:
+    def _record_snapshot(self, mark: types.SnapshotMetadata) -> None:
         self.snapshot = mark
         self.outbox.records.append(records.snapshot(self.group, mark))
         self.outbox.snapshot_indexes[self.group] = mark.index
 
-    def delay_election(self, now: float) -> None:
+    def reset_election_timer(self, now: float) -> None:
         """Draws the next election timeout."""
         shortest = self.settings.election
         self.election_due = now + shortest * (1.0 + self.jitter())
 
-    def follow(
+    def become_follower(
         self, term: int, leader: identities.Incarnation, now: float
     ) -> None:
         """Becomes a follower, in a higher term or of a known leader."""
         if term > self.term:
             self.term = term
             self.vote = types.NO_REPLICA
-            self.save_vote()
+            self.persist_vote()
         if self.role == types.LEADER:
             self.refuse_reads()
-            self.delay_election(now)
+            self.reset_election_timer(now)
         self.role = types.FOLLOWER
         self.leader = leader
         self.progress = {}
--- a/src/mintcleat/consensus/types.py
+++ b/src/mintcleat/consensus/types.py
@@ -112,7 +112,7 @@
         clock_drift: Bound on how far a clock's rate is from true, as a share.
         batch_entries: Most entries in one message.
         batch_bytes: Bytes after which a message takes no more entries.
-        window: Messages to one follower that may be unanswered.
+        max_in_flight: Messages to one follower that may be unanswered.
         resend: Seconds of silence after which a follower is probed again.
         snapshot_resend: The same after a snapshot was wholly sent.
         promote_lag: Entries by which a learner may trail when it is promoted.
@@ -133,7 +133,7 @@
     clock_drift: float = 0.01
     batch_entries: int = 512
     batch_bytes: int = 256 * 1024
-    window: int = 2
+    max_in_flight: int = 2
     resend: float = 0.4
     snapshot_resend: float = 10.0
     promote_lag: int = 1000
--- a/testing/fakes/core_cluster.py
+++ b/testing/fakes/core_cluster.py
@@ -23,7 +23,7 @@
     balance_after=4.0,
     promote_lag=20,
     batch_entries=4,
-    window=4,
+    max_in_flight=4,
 )
 SNAPSHOT_EVERY = 12
 KEEP = 4
--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -285,7 +285,7 @@
         cluster = settled()
         node = cluster.leader()
         earlier = node.identity._replace(epoch=99)
-        vote = wire.Vote("g", 1000, 1000, 1000, True)
+        vote = wire.VoteRequest("g", 1000, 1000, 1000, True)
         other = identities.Incarnation("c9", 1)
         frame = wire.Frame(other, "c9", earlier, [vote])
         node.core.receive(frame, node.now())
@@ -344,12 +344,14 @@
         found = roster.Roster(me, members)
         for name, groups in ((second.instance, ["g"]), (third.instance, [])):
             sender = identities.Incarnation(name, 1)
-            found.heard(sender, name, 5.0)
-            found.on_known(sender, wire.Known(groups), 5.0)
-        self.assertIsNone(found.founders("g", 3, 0.0))
-        known = wire.Known([])
-        found.on_known(identities.Incarnation(second.instance, 1), known, 5.0)
-        self.assertIsNotNone(found.founders("g", 3, 0.0))
+            found.on_frame(sender, name, 5.0)
+            found.on_known_groups(sender, wire.KnownGroups(groups), 5.0)
+        self.assertIsNone(found.initial_configuration("g", 3, 0.0))
+        known = wire.KnownGroups([])
+        found.on_known_groups(
+            identities.Incarnation(second.instance, 1), known, 5.0
+        )
+        self.assertIsNotNone(found.initial_configuration("g", 3, 0.0))
 
 
 class OutboxTest(testtools.TestCase):
--- a/testing/test_consensus_safeguards.py
+++ b/testing/test_consensus_safeguards.py
@@ -215,7 +215,7 @@
 
         def forgetful(self: state.State, *given: Any, **named: Any) -> None:
             usual(self, *given, **named)
-            self.heard_at = -math.inf
+            self.leader_heard_at = -math.inf
 
         broken = settled(ALL, True)
         self.patch(state.State, "__init__", forgetful)
@@ -287,20 +287,20 @@
         _, leader, (voter, _) = settled(ALL, True)
         state = voter.core.replicas["g"].state
         other = leader.identity._replace(epoch=leader.identity.epoch + 1)
-        before = state.heard_at
+        before = state.leader_heard_at
         self.assertTrue(before > state.started)
         frame = wire.Frame(
             other, leader.name, voter.identity, [wire.Hello(False)]
         )
         voter.core.receive(frame, voter.now())
-        self.assertEqual(before, state.heard_at)
+        self.assertEqual(before, state.leader_heard_at)
 
     def test_question_from_another_candidate_ends_no_promise(self) -> None:
         _, leader, (voter, candidate) = settled(ALL, True)
         voter.crash()
         voter.start()
         state = voter.core.replicas["g"].state
-        question = wire.PreVote("g", state.term + 1, 10**6, state.term)
+        question = wire.PreVoteRequest("g", state.term + 1, 10**6, state.term)
         voter.core.step(candidate.identity, question, voter.now())
         self.assertEqual([False], granted(voter))
         voter.core.step(leader.identity, question, voter.now())
@@ -310,10 +310,10 @@
         """A candidate's question arrives after it won the election."""
         _, leader, (voter, _) = settled(ALL, True)
         state = voter.core.replicas["g"].state
-        question = wire.PreVote("g", state.term, 10**6, state.term)
-        before = state.heard_at
+        question = wire.PreVoteRequest("g", state.term, 10**6, state.term)
+        before = state.leader_heard_at
         voter.core.step(leader.identity, question, voter.now())
-        self.assertEqual(before, state.heard_at)
+        self.assertEqual(before, state.leader_heard_at)
 
     def test_voter_that_died_before_its_note_keeps_its_promise(self) -> None:
         _, leader, (voter, _) = settled(ALL, True)
@@ -321,7 +321,7 @@
         voter.synced = [r for r in voter.synced if msgpack.unpackb(r)[0] != 3]
         voter.start()
         state = voter.core.replicas["g"].state
-        question = wire.PreVote("g", state.term + 1, 10**6, state.term)
+        question = wire.PreVoteRequest("g", state.term + 1, 10**6, state.term)
         voter.core.step(leader.identity, question, voter.now())
         self.assertEqual([False], granted(voter))
 
