--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -11,14 +11,14 @@
 from mintcleat.consensus import types
 from mintcleat.domain import identities
 
-# For so many election timeouts after its start a replica that knows that
-# nobody leads asks for votes every heartbeat or two. Processes that end
-# together are back within two seconds of each other.
+# Number of election timeouts after its start for which a replica that knows
+# that its group has no leader retries about once per heartbeat. Processes
+# that stop together restart within about 2 s of each other.
 _STARTUP_TIMEOUTS = 6
 
 
 def tick(replica: state.State, now: float) -> None:
-    """Starts an election that is due, or ends a leadership without quorum."""
+    """Starts an election that is due, or steps down without a quorum."""
     if replica.role == types.LEADER:
         _check_quorum(replica, now)
         return
@@ -36,11 +36,12 @@
     message: wire.PreVoteRequest,
     now: float,
 ) -> None:
-    """Answers whether a vote would be granted.
+    """Replies whether this replica would grant a vote.
 
-    A leader of before may have lost what it had not synced. The voter that
-    has more then asks for votes in its place, and soon: it knows from the
-    question that nobody leads.
+    After a restart the former leader may lack entries that it had not
+    synced. Its request shows that the group has no leader, so a voter whose
+    log is more up to date runs for election itself, without waiting for its
+    timeout.
     """
     _check_abdication(replica, sender, message.term)
     current = _is_up_to_date(replica, message.last_index, message.last_term)
@@ -67,7 +68,7 @@
     message: wire.PreVoteReply,
     now: float,
 ) -> None:
-    """Counts a pre-vote; a majority starts the election."""
+    """Counts a pre-vote; a majority of them starts an election."""
     if not message.granted:
         if message.term > replica.term:
             replica.become_follower(message.term, types.NO_REPLICA, now)
@@ -87,9 +88,9 @@
 ) -> None:
     """Grants or refuses a vote.
 
-    A voter that hears a leader ignores the request, term and all: the
-    leader's lease rests on it, and a replica that cannot hear the leader
-    must not unseat it.
+    A voter that has a live leader ignores the request and does not adopt its
+    term. The leader's lease relies on this, and a replica that has lost its
+    connection to the leader must not depose it.
     """
     _check_abdication(replica, sender, message.term)
     if not message.transfer and _has_live_leader(replica, now):
@@ -115,7 +116,7 @@
     message: wire.VoteReply,
     now: float,
 ) -> None:
-    """Counts a vote; a majority makes this replica the leader."""
+    """Counts a vote; a majority of them makes this replica the leader."""
     if message.term > replica.term:
         replica.become_follower(message.term, types.NO_REPLICA, now)
     if (
@@ -133,7 +134,7 @@
     message: wire.TimeoutNow,
     now: float,
 ) -> None:
-    """Holds the election that the leader asked for."""
+    """Starts the election that the leader requested by a transfer."""
     if (
         message.term == replica.term
         and replica.role == types.FOLLOWER
@@ -145,7 +146,10 @@
 def transfer(
     replica: state.State, to: identities.Incarnation, now: float
 ) -> None:
-    """Starts handing the leadership to a voter; proposals stop."""
+    """Starts a leadership transfer; proposals are refused until it ends.
+
+    Does nothing if this replica does not lead or `to` is not a voter.
+    """
     if replica.role != types.LEADER or not replica.configuration.is_voter(to):
         return
     replica.transfer_to = to
@@ -154,11 +158,12 @@
 
 
 def continue_transfer(replica: state.State) -> None:
-    """Orders the election once the chosen voter holds the whole log.
+    """Sends TimeoutNow once the target holds the whole log.
 
-    All of it is committed by then, so that no proposer is left in doubt. The
-    order may arrive at any later time and lets voters pass over their
-    promise to this leader, so the lease is given up for the whole term.
+    It waits until the whole log is committed, so that every proposer knows
+    the outcome. TimeoutNow may arrive at any later time, and voters then
+    vote in spite of their promise to this leader, so the lease is given up
+    for the rest of the term.
     """
     progress = replica.progress.get(replica.transfer_to)
     if progress is None or replica.lease_given_up:
@@ -171,10 +176,10 @@
 
 
 def balance_leaders(replica: state.State, now: float) -> None:
-    """Hands a group to the voter that should lead it, when that is well.
+    """Transfers leadership to the preferred voter, if that one is healthy.
 
-    After failovers one instance would else go on leading most groups, and
-    its one core would set the pace for all of them.
+    Otherwise one instance could lead most groups after a few failovers, and
+    its single core would limit the throughput of all of them.
     """
     after = replica.settings.balance_after
     if not replica.configuration.voters or after <= 0:
@@ -186,21 +191,22 @@
     if progress is None or replica.transfer_to != types.NO_REPLICA:
         return
     settled = now - replica.elected_at > after
-    well = now - progress.last_contact < replica.settings.election
-    if settled and well:
+    healthy = now - progress.last_contact < replica.settings.election
+    if settled and healthy:
         transfer(replica, target, now)
 
 
 def _check_abdication(
     replica: state.State, sender: identities.Incarnation, term: int
 ) -> None:
-    """Gives a promise back whose leader asks for votes in a later term.
-
-    After the loss of all processes, every voter would wait out an election
-    timeout for a leader that leads no more, and all callers with it. Who
-    asks for votes in a later term has left its own, and with it the lease:
-    no late answer makes it lead there again. A question from before it led
-    names no later term, so it ends no promise.
+    """Releases the promise to a leader that asks for votes in a later term.
+
+    A leader that campaigns in a later term has given up its own term and the
+    lease with it, and no delayed reply can restore them. Without this rule,
+    after a restart of all processes every voter, and so every caller, would
+    wait a whole election timeout for a leader that no longer exists. A
+    delayed request from the election that the leader won does not name a
+    later term, so it does not release the promise.
     """
     if sender == replica.promised_to and term > replica.term:
         replica.leader_heard_at = -math.inf
@@ -209,13 +215,17 @@
 def on_new_incarnation(
     replica: state.State, sender: identities.Incarnation, now: float
 ) -> None:
-    """Gives a promise back when its leader is back without its disk.
+    """Releases the promise to a leader that came back with an empty disk.
 
-    After a loss of all power that took the leader's disk too, nobody could
-    ask in its place before the lease is over that it can't hold any more: one
-    process has an instance's name and address. Only a replica that has heard
-    no leader since its own start goes by this; its promise is one of its
-    earlier life, kept because it does not know better.
+    Only one process can have an instance's name and address, so a newer
+    incarnation proves that the leader's process has ended and its lease with
+    it. Without this rule, after a power loss that also destroyed the
+    leader's disk, no other replica could be elected until that lease had
+    expired.
+
+    It applies only to a replica that has not heard from a leader since its
+    own start: its promise dates from before the restart and is kept merely
+    as a precaution.
     """
     promised = replica.promised_to
     emptied = (
@@ -235,7 +245,7 @@
 
 
 def _knows_leaderless(replica: state.State) -> bool:
-    """Tells whether the leader of this term is known to lead no more."""
+    """Returns whether this term's leader is known to have stopped leading."""
     known = replica.promised_to != types.NO_REPLICA
     return known and replica.leader_heard_at == -math.inf
 
@@ -245,7 +255,11 @@
 
 
 def _early_retry_time(replica: state.State, now: float) -> float:
-    """Returns when to ask next; one that others may ask beside waits more."""
+    """Returns when to retry without waiting for the election timeout.
+
+    The former leader retries first. The others add a random delay, since
+    several of them may start an election at the same time.
+    """
     beat = replica.settings.heartbeat
     if replica.promised_to == replica.me:
         return now + beat
@@ -253,11 +267,12 @@
 
 
 def _schedule_retry(replica: state.State, now: float) -> None:
-    """Sets when votes are asked for again if this election comes to nothing.
+    """Sets when to retry the pre-vote if it fails.
 
-    Who knows that nobody leads starts beside the other voters and does not
-    know which of them are up yet. Questions leave no trace at a voter, so
-    they are repeated often while processes start; afterwards as by any other.
+    While processes restart, a replica that knows that there is no leader
+    cannot know which voters are already up. A pre-vote changes no state at a
+    voter, so it is repeated often then, and at the normal election timeout
+    later on.
     """
     if _knows_leaderless(replica) and _recently_started(replica, now):
         replica.election_due = _early_retry_time(replica, now)
@@ -266,8 +281,8 @@
 
 
 def _start_pre_vote(replica: state.State, now: float) -> None:
-    # A replica behind a partition asks in vain and keeps its term; had it
-    # raised the term, its return would unseat a healthy leader.
+    # A partitioned replica fails the pre-vote and keeps its term. If it raised
+    # the term, it would depose a healthy leader when the partition heals.
     if not replica.settings.safeguards.pre_vote:
         _start_election(replica, False, now)
         return
@@ -339,10 +354,10 @@
 
 
 def _check_quorum(replica: state.State, now: float) -> None:
-    """Ends a leadership that no quorum answers.
+    """Steps down if no quorum replies, or if a transfer takes too long.
 
-    Behind a silent partition a leader would keep its callers waiting for
-    commits that cannot come; stepping down sends them elsewhere.
+    A partitioned leader would keep its callers waiting for commits that
+    cannot happen; after it steps down, they turn to another instance.
     """
     longest = 2 * replica.settings.election
     contact = max(lease.quorum_contact(replica), replica.elected_at)
--- a/src/mintcleat/consensus/entries.py
+++ b/src/mintcleat/consensus/entries.py
@@ -1,13 +1,15 @@
-"""The part of a group's log that lies in memory, after its snapshot."""
+"""The in-memory part of a group's log, after its last compaction."""
 
 from mintcleat.consensus import types
 
 
 class EntryLog:
-    """Entries after a base.
+    """A sequence of log entries without gaps, after a compacted prefix.
 
     Attributes:
-        base_index: Index before the first entry; all up to it is committed.
+        base_index: Index of the last compacted entry; 0 for none. Entries up
+            to it are committed.
+        base_term: Term of that entry.
     """
 
     def __init__(self) -> None:
@@ -17,16 +19,19 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or of the base."""
+        """Index of the last entry, or `base_index` if there is none."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry, or of the base."""
+        """Term of the last entry, or `base_term` if there is none."""
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term at an index, or None outside of the log."""
+        """Returns the term at an index; None before the base or past the end.
+
+        The term at the base itself is known.
+        """
         if index == self.base_index:
             return self.base_term
         if index < self.base_index or index > self.last_index:
@@ -34,17 +39,27 @@
         return self.entries[index - self.base_index - 1].term
 
     def append(self, entry: types.Entry) -> None:
-        """Adds the next entry."""
+        """Adds the next entry.
+
+        Raises:
+            ValueError: The index does not follow the last one.
+        """
         if entry.index != self.last_index + 1:
-            raise ValueError(f"Entry {entry.index} after {self.last_index}.")
+            raise ValueError(
+                f"Expected entry {self.last_index + 1} next, got entry"
+                f" {entry.index}."
+            )
         self.entries.append(entry)
 
     def truncate(self, index: int) -> None:
-        """Drops the entry at `index` and all after it."""
+        """Removes the entry at `index` and all after it."""
         del self.entries[index - self.base_index - 1 :]
 
     def compact(self, index: int) -> None:
-        """Moves the base up to `index`."""
+        """Removes the entries up to `index`, which becomes the base.
+
+        Does nothing if `index` is not after the base or not in the log.
+        """
         term = self.term_at(index)
         if term is None or index <= self.base_index:
             return
@@ -52,7 +67,7 @@
         self.base_index, self.base_term = index, term
 
     def reset(self, index: int, term: int) -> None:
-        """Empties the log behind an installed snapshot."""
+        """Removes all entries; an installed snapshot sets the new base."""
         self.entries.clear()
         self.base_index, self.base_term = index, term
 
@@ -60,18 +75,28 @@
         """Returns the entries from `first` to `last`, both included.
 
         Raises:
-            ValueError: They begin below the base. A slice from there would
-                count from the end and give others, which would be applied.
+            ValueError: `first` is not after the base. Its negative offset
+                would count from the end of the list and return the wrong
+                entries.
         """
         if last < first:
             return []
         start = first - self.base_index - 1
         if start < 0:
-            raise ValueError(f"Entry {first} is not after {self.base_index}.")
+            raise ValueError(
+                f"Entry {first} is compacted; the log starts at entry"
+                f" {self.base_index + 1}."
+            )
         return self.entries[start : last - self.base_index]
 
     def batch(self, first: int, count: int, size: int) -> list[types.Entry]:
-        """Returns entries from `first` until a limit is reached."""
+        """Returns entries from `first` until a limit is reached.
+
+        Args:
+            first: Index of the first entry.
+            count: Maximum number of entries.
+            size: Bytes of data; the entry that reaches it is the last one.
+        """
         found = self.between(first, first + count - 1)
         total = 0
         for number, entry in enumerate(found):
--- a/src/mintcleat/consensus/lease.py
+++ b/src/mintcleat/consensus/lease.py
@@ -29,10 +29,10 @@
 
 
 def held(replica: state.State, now: float) -> bool:
-    """Tells whether this leader may answer reads without asking.
+    """Returns whether this leader may answer reads without a quorum.
 
-    It needs an entry of its own term committed: only then does it know all
-    that earlier leaders committed.
+    It needs a committed entry of its own term: only then does it know
+    everything that earlier leaders committed.
     """
     return (
         replica.role == types.LEADER
@@ -51,7 +51,7 @@
 
 
 def read(replica: state.State, token: int, now: float) -> None:
-    """Asks for a linearizable read; a ReadReady with the token answers."""
+    """Requests a linearizable read; a ReadReady with the token follows."""
     if replica.role != types.LEADER:
         refused = outbox.ReadReady(replica.group, token, False, 0)
         replica.outbox.reads.append(refused)
--- a/src/mintcleat/consensus/outbox.py
+++ b/src/mintcleat/consensus/outbox.py
@@ -1,4 +1,4 @@
-"""What the core wants done: store, send, restore, answer."""
+"""Effects that the core asks its driver for: store, send, restore, reply."""
 
 from typing import Any
 from typing import NamedTuple
@@ -8,16 +8,21 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message to a replica."""
+    """A message and its receiver.
+
+    Attributes:
+        message: One of the kinds in `messages`.
+    """
 
     to: identities.Incarnation
     message: Any
 
 
 class SnapshotNeeded(NamedTuple):
-    """A follower is behind the log: send it the stored snapshot.
+    """A follower needs compacted entries: send it the stored snapshot.
 
-    `Replica.snapshot_transfer_ended` must follow, whatever comes of it.
+    The driver must call `Replica.snapshot_transfer_ended` whether or not the
+    transfer succeeds.
     """
 
     to: identities.Incarnation
@@ -27,9 +32,10 @@
 
 
 class SnapshotReceived(NamedTuple):
-    """Store this state and restore the machine from it, before `records`.
+    """Store this state and restore the state machine from it.
 
-    `Replica.on_restored` must follow; until then nothing is applied.
+    This comes before `Outbox.records`. The driver must call
+    `Replica.on_restored` afterwards; until then no entry is applied.
     """
 
     group: str
@@ -38,10 +44,13 @@
 
 
 class ReadReady(NamedTuple):
-    """A read may be answered, or (not `granted`) was refused.
+    """The result of a read request.
 
     Attributes:
-        index: The machine must have applied up to it first.
+        token: The caller's token for the request.
+        granted: Whether the read may be answered; if not, this replica
+            doesn't lead.
+        index: Index that the state machine must have applied first.
     """
 
     group: str
@@ -51,10 +60,12 @@
 
 
 class Elected(NamedTuple):
-    """This replica became leader; `grants` are the voters that chose it.
+    """This replica became leader.
 
     Attributes:
-        last_index: Last entry that it held when it was elected.
+        last_index: Index of its last entry when it was elected.
+        last_term: Term of that entry.
+        grants: Replicas that voted for it.
     """
 
     group: str
@@ -66,18 +77,21 @@
 
 
 class Outbox:
-    """Effects of all groups of an instance, in the order to carry them out.
+    """Effects of all groups of an instance.
 
     Attributes:
-        installs: To store and restore first.
-        records: Then to append to the write-ahead log.
-        messages: To send at once; nothing in them promises durability.
-        messages_after_sync: To send only after `records` are synced.
-        stored: Groups that `records` add entries to.
+        installs: Received snapshots, to store and restore first.
+        records: Records to append to the write-ahead log next.
+        messages: Messages to send at once; none depends on `records`.
+        messages_after_sync: Messages to send after `records` are synced.
+        snapshots: Snapshots to send to followers.
+        reads: Results of read requests.
+        stored: Groups for which `records` has new entries.
         committed: Groups that have entries to apply.
-        changed: Groups whose followers must be sent something.
-        snapshot_indexes: By group, the newest snapshot that `records` name.
+        groups_to_replicate: Groups whose leader here has entries to send.
+        snapshot_indexes: By group, index of the newest snapshot in `records`.
         elections: Elections won since the outbox was last taken.
+        heartbeat_requested: Whether to send heartbeats before they are due.
     """
 
     def __init__(self) -> None:
@@ -101,7 +115,7 @@
         return taken
 
     def is_empty(self) -> bool:
-        """Tells whether nothing is to be done."""
+        """Returns whether there is no effect for the driver to carry out."""
         return not (
             self.installs
             or self.records
--- a/src/mintcleat/consensus/placement.py
+++ b/src/mintcleat/consensus/placement.py
@@ -1,4 +1,4 @@
-"""Which instances hold a new group."""
+"""Placement of a group's voters and of its leader."""
 
 from collections.abc import Sequence
 
@@ -10,11 +10,14 @@
 def voters(
     group: str, members: Sequence[types.Member], size: int
 ) -> list[types.Member]:
-    """Returns the members that hold a group, by rendezvous hash.
+    """Returns the members that should hold a group, by rendezvous hashing.
 
-    Each failure domain is used once before any is used twice, so that losing
-    one takes at most one replica where there are enough of them. The hash
-    spreads groups evenly and moves few when a member is added.
+    Each failure domain is used once before any is used twice, so that with
+    enough of them the loss of one takes at most one replica. The hash spreads
+    groups evenly and moves few of them when a member is added.
+
+    Returns:
+        `size` members in order of rank, or all of them if there are fewer.
     """
     ranked = sorted(members, key=lambda m: _rank(group, m.instance))
     chosen: list[types.Member] = []
@@ -31,7 +34,7 @@
 def preferred_leader(
     group: str, configuration: types.Configuration
 ) -> types.Peer:
-    """Returns the voter that should lead, so that leaders are spread."""
+    """Returns the voter that should lead, to spread leaders evenly."""
     return min(
         configuration.voters, key=lambda p: _rank(group, p.replica.instance)
     )
--- a/src/mintcleat/consensus/records.py
+++ b/src/mintcleat/consensus/records.py
@@ -1,4 +1,4 @@
-"""Records of the write-ahead log, and the state that they add up to."""
+"""Records of the write-ahead log, and the state that replaying them gives."""
 
 from collections.abc import Iterable
 
@@ -16,11 +16,16 @@
 
 
 class StoredState:
-    """What the disk holds of one group.
+    """Persistent state of one group.
 
     Attributes:
-        leader: Leader of `term` to which this replica gave its promise; NO_REPLICA
-            when it heard none, or died before the disk had its name.
+        term: Current term.
+        vote: Candidate that received the vote in `term`; NO_REPLICA for none.
+        leader: Leader of `term`, to which this replica gave its promise;
+            NO_REPLICA if it heard from none, or stopped before the record
+            was synced.
+        log: Entries after the snapshot.
+        snapshot: Newest stored snapshot; index 0 for none.
     """
 
     def __init__(self) -> None:
@@ -32,37 +37,40 @@
 
 
 def vote(group: str, term: int, replica: identities.Incarnation) -> bytes:
-    """Returns the record of a term and the vote in it."""
+    """Returns the record of a new term or of a vote in it."""
     return msgpack.packb([_VOTE, group, term, replica])
 
 
 def leader(group: str, term: int, replica: identities.Incarnation) -> bytes:
-    """Returns the record of who leads in a term."""
+    """Returns the record of a term's leader."""
     return msgpack.packb([_LEADER, group, term, replica])
 
 
 def entries(group: str, items: list[types.Entry]) -> bytes:
-    """Returns the record of entries; they replace any from the first on."""
+    """Returns the record of appended entries.
+
+    On replay they replace all entries from the index of the first one on.
+    """
     return msgpack.packb([_ENTRIES, group, items])
 
 
-def snapshot(group: str, mark: types.SnapshotMetadata) -> bytes:
+def snapshot(group: str, snapshot: types.SnapshotMetadata) -> bytes:
     """Returns the record of a stored snapshot."""
-    return msgpack.packb([_SNAPSHOT, group, mark])
+    return msgpack.packb([_SNAPSHOT, group, snapshot])
 
 
 def decode_configuration(data: bytes) -> types.Configuration:
-    """Returns the configuration in an entry of that kind."""
+    """Returns the configuration in the data of a CONFIGURATION entry."""
     return msgspec.convert(msgpack.unpackb(data), types.Configuration)
 
 
 def encode_configuration(value: types.Configuration) -> bytes:
-    """Returns the data of an entry that carries a configuration."""
+    """Returns the data of a CONFIGURATION entry."""
     return msgpack.packb(value)
 
 
 def replay(items: Iterable[bytes]) -> dict[str, StoredState]:
-    """Returns the state of each group after all records."""
+    """Returns the state of each group after all records, in log order."""
     groups: dict[str, StoredState] = {}
     for item in items:
         kind, group, *fields = msgpack.unpackb(item)
@@ -77,7 +85,9 @@
         elif kind == _ENTRIES:
             _add(stored, [types.Entry(*values) for values in fields[0]])
         else:
-            _mark(stored, msgspec.convert(fields[0], types.SnapshotMetadata))
+            _apply_snapshot(
+                stored, msgspec.convert(fields[0], types.SnapshotMetadata)
+            )
     return groups
 
 
@@ -89,9 +99,11 @@
         log.append(entry)
 
 
-def _mark(stored: StoredState, mark: types.SnapshotMetadata) -> None:
-    stored.snapshot = mark
-    if stored.log.term_at(mark.index) == mark.term:
-        stored.log.compact(mark.index)
+def _apply_snapshot(
+    stored: StoredState, snapshot: types.SnapshotMetadata
+) -> None:
+    stored.snapshot = snapshot
+    if stored.log.term_at(snapshot.index) == snapshot.term:
+        stored.log.compact(snapshot.index)
     else:
-        stored.log.reset(mark.index, mark.term)
+        stored.log.reset(snapshot.index, snapshot.term)
--- a/src/mintcleat/consensus/replica.py
+++ b/src/mintcleat/consensus/replica.py
@@ -175,7 +175,7 @@
             replica.outbox.committed.add(replica.group)
 
     def snapshot_metadata(self) -> types.SnapshotMetadata:
-        """Returns the mark for a snapshot of what is applied now."""
+        """Returns the snapshot for a snapshot of what is applied now."""
         replica = self.state
         index = replica.applied
         term = replica.log.term_at(index) or 0
@@ -183,9 +183,9 @@
             index, term, replica.configuration_at(index)
         )
 
-    def compact(self, mark: types.SnapshotMetadata, keep: int) -> None:
+    def compact(self, snapshot: types.SnapshotMetadata, keep: int) -> None:
         """Forgets entries under a stored snapshot, all but the last `keep`."""
-        self.state.compact(mark, keep)
+        self.state.compact(snapshot, keep)
 
     def checkpoint_records(self) -> list[bytes]:
         """Returns records that stand for the whole state of this group."""
--- a/src/mintcleat/consensus/replication.py
+++ b/src/mintcleat/consensus/replication.py
@@ -122,12 +122,14 @@
         replica.send(sender, reply)
         return
     _accept_leader(replica, sender, message.term, now)
-    mark = message.snapshot
-    if mark.index > replica.commit:
-        replica.install(mark)
-        install = outbox.SnapshotReceived(replica.group, mark, message.state)
+    snapshot = message.snapshot
+    if snapshot.index > replica.commit:
+        replica.install(snapshot)
+        install = outbox.SnapshotReceived(
+            replica.group, snapshot, message.state
+        )
         replica.outbox.installs.append(install)
-    last = max(mark.index, replica.commit)
+    last = max(snapshot.index, replica.commit)
     reply = wire.AppendReply(replica.group, replica.term, True, last)
     replica.send_synced(sender, reply)
 
--- a/src/mintcleat/consensus/state.py
+++ b/src/mintcleat/consensus/state.py
@@ -1,4 +1,4 @@
-"""The state of one replica of one group, and steps that all parts share."""
+"""The state of one replica of one group, and its basic transitions."""
 
 from collections.abc import Callable
 import math
@@ -12,16 +12,19 @@
 
 
 class Progress:
-    """What a leader knows of one follower.
+    """What a leader knows about one follower.
 
     Attributes:
-        match: Last index known to be durable there.
+        match: Last index known to be durable on the follower.
         next: Next index to send.
-        probing: Whether only one message may be under way.
-        unanswered: Messages under way.
-        heard: When its last answer came.
+        probing: Whether only one Append may be in flight, since `next` is
+            not confirmed yet.
+        in_flight: Append messages without a reply.
+        last_reply: When its last reply arrived; also when messages to it
+            were first sent after a pause.
         last_contact: When the last heartbeat that it answered was sent.
-        snapshot_until: Until when a sent snapshot is waited for.
+        snapshot_until: No entries are sent before this time, because a
+            snapshot transfer is running or unconfirmed.
     """
 
     def __init__(self, next_index: int, now: float) -> None:
@@ -35,21 +38,24 @@
 
 
 class State:
-    """Fields of a replica; the modules of this package act on them.
+    """Fields of a replica, on which the modules of this package act.
 
     Attributes:
         commit: Last index known to be committed.
-        applied: Last index that the machine has.
-        restoring: Index of a snapshot that waits to be restored into the
-            machine; 0 for none.
-        persisted: Last index synced here.
-        leader_heard_at: When the leader was last heard; it holds this replica's
-            promise of no vote for `election` seconds from then.
-        promised: Leader of this term that got such promises; NO_REPLICA when
-            none is known.
+        applied: Last index applied to the state machine.
+        restoring_index: Index of an installed snapshot that is not restored
+            into the state machine yet; 0 for none.
+        persisted: Last index synced to this replica's disk.
+        leader_heard_at: When the leader was last heard from. This replica
+            promises to grant no vote for `election` seconds from then;
+            -inf releases the promise.
+        promised_to: Leader of this term that received such promises;
+            NO_REPLICA if none is known.
         elected_at: When this replica last became leader.
-        term_start: Index of the leader's own first entry.
-        lease_given_up: Set once a transfer was ordered in this term.
+        term_start: Index of the first entry of this leader's term.
+        lease_given_up: Set once a leadership transfer was requested in this
+            term.
+        reads: Token and arrival time of reads that wait for a quorum.
     """
 
     def __init__(
@@ -84,10 +90,11 @@
         self.leader = types.NO_REPLICA
         self.promised_to = stored.leader
         # A restarted voter may have answered a heartbeat just before it
-        # died; counting its start as contact keeps that leader's lease safe.
+        # stopped. Counting its start as contact keeps that leader's lease
+        # valid.
         self.leader_heard_at = now
         if self.promised_to == me:
-            # Its own lease ended with the process that held it.
+            # This replica led before, and its lease ended with its process.
             self.leader_heard_at = -math.inf
         self.election_due = 0.0
         self.grants: set[identities.Incarnation] = set()
@@ -99,14 +106,13 @@
         self.transfer_due = math.inf
         self.reads: list[tuple[int, float]] = []
         self.started = now
-        # The only voter of a group waits for nobody, nor does the leader of
-        # before.
+        # A single voter and a former leader start an election at once.
         if len(self.configuration.voters) != 1 and self.promised_to != me:
             self.reset_election_timer(now)
 
     @property
     def no_leader_heard(self) -> bool:
-        """Whether no leader was heard since this replica's start."""
+        """Whether no leader was heard from since this replica's start."""
         return self.leader_heard_at <= self.started
 
     @property
@@ -120,7 +126,7 @@
         return self.configurations[-1][0]
 
     def adopt_configuration(self, entry: types.Entry) -> None:
-        """Takes a configuration into force as soon as it is in the log."""
+        """Puts a configuration in force as soon as it is in the log."""
         if entry.kind == types.CONFIGURATION:
             value = records.decode_configuration(entry.data)
             self.configurations.append((entry.index, value))
@@ -131,14 +137,14 @@
         return found[-1]
 
     def send(self, to: identities.Incarnation, message: Any) -> None:
-        """Sends a message that promises nothing about the disk."""
+        """Sends a message that doesn't depend on unsynced records."""
         self.outbox.messages.append(outbox.OutgoingMessage(to, message))
 
     def send_synced(self, to: identities.Incarnation, message: Any) -> None:
-        """Sends a message once all records so far are synced.
+        """Sends a message after all records so far are synced.
 
-        A vote or acknowledgement that leaves before the sync can be
-        forgotten in a crash: two leaders in one term, or a committed entry
+        A vote or acknowledgement sent before the sync can be forgotten in a
+        crash, which allows two leaders in one term, or a committed entry
         that no quorum holds.
         """
         safe = self.settings.safeguards.sync_first
@@ -146,17 +152,18 @@
         box.append(outbox.OutgoingMessage(to, message))
 
     def persist_vote(self) -> None:
-        """Stores term and vote; who leads in the term is not known yet."""
+        """Stores the term and the vote; the term has no known leader yet."""
         self.promised_to = types.NO_REPLICA
         self.outbox.records.append(
             records.vote(self.group, self.term, self.vote)
         )
 
     def persist_leader(self, leader: identities.Incarnation) -> None:
-        """Stores who leads in this term, once.
+        """Stores the leader of this term, once per term.
 
-        Nothing waits for its sync: without it, a restarted voter knows no
-        leader and keeps its promise to whomever it was given.
+        No message waits for the sync of this record. If it is lost, the
+        restarted voter knows no leader and so never releases its promise
+        early, which is safe.
         """
         if self.promised_to != leader:
             self.promised_to = leader
@@ -164,7 +171,7 @@
             self.outbox.records.append(record)
 
     def append(self, items: list[types.Entry]) -> None:
-        """Adds entries to the log in memory and on disk."""
+        """Appends entries to the log in memory and to the outbox."""
         for entry in items:
             self.log.append(entry)
             self.adopt_configuration(entry)
@@ -172,58 +179,77 @@
         self.outbox.stored.add(self.group)
 
     def commit_to(self, index: int) -> None:
-        """Moves the commit index up; what it covers may be applied."""
+        """Advances the commit index; entries up to it may be applied."""
         if index > self.commit:
             self.commit = index
             self.outbox.committed.add(self.group)
 
     def truncate(self, index: int) -> None:
-        """Drops uncommitted entries from `index` on."""
+        """Removes uncommitted entries from `index` on.
+
+        Raises:
+            ValueError: The entry at `index` is committed.
+        """
         if index <= self.commit:
-            raise ValueError(f"{self.group}: {index} is committed.")
+            raise ValueError(
+                f"Group {self.group}: cannot truncate the log at entry {index},"
+                f" because entries up to {self.commit} are committed."
+            )
         self.log.truncate(index)
         self.persisted = min(self.persisted, index - 1)
         while self.configurations[-1][0] >= index:
             self.configurations.pop()
 
-    def install(self, mark: types.SnapshotMetadata) -> None:
-        """Replaces the log up to a snapshot's end."""
-        if self.log.term_at(mark.index) == mark.term:
-            self.log.compact(mark.index)
+    def install(self, snapshot: types.SnapshotMetadata) -> None:
+        """Replaces the log up to the last entry of a received snapshot."""
+        if self.log.term_at(snapshot.index) == snapshot.term:
+            self.log.compact(snapshot.index)
         else:
-            self.log.reset(mark.index, mark.term)
-            self.persisted = mark.index
-        self.commit = self.restoring_index = mark.index
-        self.persisted = max(self.persisted, mark.index)
-        later = [c for c in self.configurations if c[0] > mark.index]
+            self.log.reset(snapshot.index, snapshot.term)
+            self.persisted = snapshot.index
+        self.commit = self.restoring_index = snapshot.index
+        self.persisted = max(self.persisted, snapshot.index)
+        later = [c for c in self.configurations if c[0] > snapshot.index]
         kept = [c for c in later if c[0] <= self.log.last_index]
-        self.configurations = [(mark.index, mark.configuration), *kept]
-        self._record_snapshot(mark)
+        self.configurations = [(snapshot.index, snapshot.configuration), *kept]
+        self._record_snapshot(snapshot)
+
+    def compact(self, snapshot: types.SnapshotMetadata, keep: int) -> None:
+        """Removes entries that a stored snapshot covers.
 
-    def compact(self, mark: types.SnapshotMetadata, keep: int) -> None:
-        """Forgets entries that a stored snapshot covers, but the last."""
-        self._record_snapshot(mark)
-        self.log.compact(mark.index - keep)
+        Args:
+            snapshot: Metadata of the snapshot.
+            keep: Newest covered entries to retain, so that a follower that
+                is only a little behind needs no snapshot.
+        """
+        self._record_snapshot(snapshot)
+        self.log.compact(snapshot.index - keep)
         base = self.log.base_index
         while (
             len(self.configurations) > 1 and self.configurations[1][0] <= base
         ):
             self.configurations.pop(0)
 
-    def _record_snapshot(self, mark: types.SnapshotMetadata) -> None:
-        self.snapshot = mark
-        self.outbox.records.append(records.snapshot(self.group, mark))
-        self.outbox.snapshot_indexes[self.group] = mark.index
+    def _record_snapshot(self, snapshot: types.SnapshotMetadata) -> None:
+        self.snapshot = snapshot
+        self.outbox.records.append(records.snapshot(self.group, snapshot))
+        self.outbox.snapshot_indexes[self.group] = snapshot.index
 
     def reset_election_timer(self, now: float) -> None:
-        """Draws the next election timeout."""
+        """Restarts the election timer with a random timeout."""
         shortest = self.settings.election
         self.election_due = now + shortest * (1.0 + self.jitter())
 
     def become_follower(
         self, term: int, leader: identities.Incarnation, now: float
     ) -> None:
-        """Becomes a follower, in a higher term or of a known leader."""
+        """Becomes a follower, in a higher term or of a known leader.
+
+        Args:
+            term: Term of the message that caused it.
+            leader: Leader of that term; NO_REPLICA if it is not known.
+            now: Current time.
+        """
         if term > self.term:
             self.term = term
             self.vote = types.NO_REPLICA
@@ -238,7 +264,7 @@
         self.transfer_to = types.NO_REPLICA
 
     def refuse_reads(self) -> None:
-        """Refuses every waiting read."""
+        """Refuses all pending reads."""
         for token, _ in self.reads:
             ready = outbox.ReadReady(self.group, token, False, 0)
             self.outbox.reads.append(ready)
--- a/src/mintcleat/consensus/types.py
+++ b/src/mintcleat/consensus/types.py
@@ -1,12 +1,16 @@
-"""Data of the consensus core. Times are seconds of a monotonic clock."""
+"""Data types of the consensus core.
+
+All times are in seconds on a monotonic clock.
+"""
 
 from typing import NamedTuple
 
 from mintcleat.domain import identities
 
+# Stands for no replica: no vote, no known leader, no transfer.
 NO_REPLICA = identities.Incarnation("", 0)
 
-# Kinds of entries.
+# Kinds of log entries, as they are stored and sent.
 NOOP = 0
 COMMAND = 1
 CONFIGURATION = 2
@@ -31,7 +35,8 @@
     """A control instance as the settings or another instance describe it.
 
     Attributes:
-        label: Name that operators use for it, where that is another one.
+        address: Stream address, as `host:port`.
+        label: Name that operators use for it, if it differs from `instance`.
     """
 
     instance: str
@@ -42,10 +47,12 @@
 
 
 class Peer(NamedTuple):
-    """A replica of a group and where it is reached.
+    """A replica of a group and its address.
 
     Attributes:
-        replaces: The replica that goes once this one is a voter.
+        address: Stream address, as `host:port`.
+        replaces: Replica to remove once this one is a voter; NO_REPLICA for
+            none.
     """
 
     replica: identities.Incarnation
@@ -56,17 +63,17 @@
 
 
 class Configuration(NamedTuple):
-    """Who votes in a group, and who only receives its log."""
+    """The voters of a group, and the learners, which only receive its log."""
 
     voters: list[Peer]
     learners: list[Peer]
 
     def peers(self) -> list[Peer]:
-        """Returns voters and learners."""
+        """Returns the voters, then the learners."""
         return [*self.voters, *self.learners]
 
     def is_voter(self, replica: identities.Incarnation) -> bool:
-        """Tells whether a replica is a voter."""
+        """Returns whether a replica is a voter."""
         return any(peer.replica == replica for peer in self.voters)
 
     def quorum(self) -> int:
@@ -78,7 +85,7 @@
 
 
 class SnapshotMetadata(NamedTuple):
-    """Where a snapshot ends, and the configuration there."""
+    """The last entry that a snapshot covers, and the configuration there."""
 
     index: int
     term: int
@@ -86,15 +93,17 @@
 
 
 class Safeguards(NamedTuple):
-    """Switches for the tests that show what each safeguard prevents.
+    """Switches with which tests show what each safeguard prevents.
 
-    Turning one off breaks a guarantee; no setting reaches them.
+    Turning one off breaks a guarantee, so no setting controls them.
 
     Attributes:
-        pre_vote: Ask before raising the term.
-        lease_margin: Time the lease from the sending of the heartbeat.
-        sync_first: Sync before votes and acknowledgements leave.
-        add_before_remove: Remove a replaced voter only after its successor.
+        pre_vote: Hold a pre-vote before raising the term.
+        lease_margin: Start the lease when the heartbeat is sent, not when
+            its reply arrives.
+        sync_first: Sync the disk before sending votes and acknowledgements.
+        add_before_remove: Remove a replaced voter only after its successor
+            became a voter.
     """
 
     pre_vote: bool = True
@@ -104,28 +113,36 @@
 
 
 class Settings(NamedTuple):
-    """Limits and times of the core.
+    """Limits and timing of the core.
 
     Attributes:
         heartbeat: Seconds between heartbeats.
-        election: Shortest election timeout; the longest is twice this.
-        clock_drift: Bound on how far a clock's rate is from true, as a share.
-        batch_entries: Most entries in one message.
-        batch_bytes: Bytes after which a message takes no more entries.
-        max_in_flight: Messages to one follower that may be unanswered.
-        resend: Seconds of silence after which a follower is probed again.
-        snapshot_resend: The same after a snapshot was wholly sent.
-        promote_lag: Entries by which a learner may trail when it is promoted.
-        group_size: Voters of a group, where there are enough instances.
-        hello: Seconds between greetings among all instances.
-        replace_after: Seconds of silence after which a spare replaces a
-            voter, or a silent learner is given up; 0 for never.
-        balance_after: Seconds of leading after which a group goes to the
-            voter that should lead it, so that leaders are spread; 0 for
-            never.
-        founder: Whether this instance may start groups that nobody knows.
-            An instance that joins a running system must not: the members
-            that it was told of may all be down or cut off.
+        election: Minimum election timeout in seconds; the maximum is twice
+            as long.
+        clock_drift: Bound on the error of a clock's rate, as a fraction.
+        batch_entries: Maximum number of entries in one Append.
+        batch_bytes: Bytes of data after which an Append takes no more
+            entries.
+        max_in_flight: Maximum number of Append messages to one follower
+            without a reply.
+        resend: Seconds without a reply after which a follower is probed
+            again.
+        snapshot_resend: Seconds to wait for the reply after a snapshot was
+            sent completely.
+        promote_lag: Maximum number of committed entries that a learner may
+            lack when it is promoted.
+        group_size: Target number of voters per group; smaller if there are
+            too few instances.
+        hello: Seconds between Hello messages to all instances.
+        replace_after: Seconds without contact after which a spare instance
+            replaces a voter, or a learner is removed; 0 for never.
+        balance_after: Seconds of leading a group after which leadership is
+            transferred to the voter that placement prefers, so that leaders
+            are spread over the instances; 0 for never.
+        founder: Whether this instance may bootstrap groups that no instance
+            knows. An instance that joins a running system must not, because
+            all the members that it was configured with may be down or
+            partitioned.
     """
 
     heartbeat: float = 0.1
