--- a/src/mintcleat/consensus/__init__.py
+++ b/src/mintcleat/consensus/__init__.py
@@ -1,7 +1,7 @@
-"""A replicated log core, free of I/O, usable on its own.
+"""The core of a Raft-like replicated log, without I/O.
 
-`instance.Instance` joins the groups of one instance. Its caller passes in
-messages and the time, and takes out of the `outbox` what to store, what to
-send and, from each replica, what to apply. docs/reference/consensus.md
-states the contract.
+`instance.Instance` holds the replicas of all groups on one instance. Its
+driver passes in messages and the current time. It takes from the `outbox`
+what to store and to send, and from each replica the entries to apply.
+docs/reference/consensus.md states the contract.
 """
--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -1,4 +1,8 @@
-"""All groups of one instance, with one heartbeat per pair of instances."""
+"""All groups of one instance, with shared heartbeats and Hello messages.
+
+Heartbeats of all groups between two instances share one message, and a list
+of groups that has not changed is referred to by its version.
+"""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -17,22 +21,31 @@
 from mintcleat.consensus import types
 from mintcleat.domain import identities
 
-# Versions of a heartbeat list that an answer may still refer to.
+# Number of sent versions of a list that are kept, for replies to them.
 _KEPT_VERSIONS = 32
-# A tick that comes a little early sends the heartbeat that is nearly due.
-_HEARTBEAT_SLACK = 0.25
-# A founder greets often at first, so that new groups start soon.
-_STARTUP_PERIODS = 5
-# Instances heard within so many greeting periods are told to others; one that
-# was silent for much longer is on_hello no more, if it was not configured.
-_RECENT_PERIODS = 3
-_FORGET_PERIODS = 60
-# A leader greets once a period; one greeting may be lost.
-_CLAIM_PERIODS = 2.5
-
+# A tick sends heartbeats that are due within this fraction of the interval;
+# otherwise a tick that is a little early would delay them to the next one.
+_EARLY_FRACTION = 0.25
+# The periods below are in hello intervals.
+# After its start an instance with groups to bootstrap sends Hellos at the
+# heartbeat interval for this long, so that new groups start without delay.
+_STARTUP_HELLOS = 5
+# Instances heard from within this period are named in Hellos.
+_RECENT_HELLOS = 3
+# Discovered instances not heard from for this long are removed.
+_FORGET_HELLOS = 60
+# A leader sends a Hello once per interval, and one may be lost.
+_CLAIM_HELLOS = 2.5
+
+
+class _SentHeartbeats:
+    """Heartbeats sent to one peer.
 
-class _SentLists:
-    """The heartbeats that go to one peer."""
+    Attributes:
+        version: Version of the newest list.
+        acked_version: Version that the peer last confirmed; 0 for none.
+        lists: By version, the groups in it.
+    """
 
     def __init__(self) -> None:
         self.version = 0
@@ -44,12 +57,17 @@
     """The replicas of one instance; see the package's documentation.
 
     Attributes:
-        box: Effects to carry out.
+        process_epoch: Number of this process start. Unlike the epoch of `me`,
+            which belongs to the disk, it differs after each restart.
+        outbox: Effects for the driver to carry out.
         replicas: By group.
-        roster: Who lives on which instance.
-        highest_epoch_seen: Highest epoch that a peer knows of this instance. One
-            above its own means that another process uses the name, or that
-            the disk was formatted while the clock was behind.
+        roster: The known instances.
+        highest_epoch_seen: Highest epoch of this instance in a received
+            frame. If it is above the epoch of `me`, another process uses the
+            name, or the disk was formatted while the clock was behind.
+        outgoing: By receiver, the heartbeats sent to it.
+        incoming: By sender, the process epoch, the version and the groups of
+            its newest heartbeat list.
     """
 
     def __init__(
@@ -87,24 +105,24 @@
         self.hello_due = now
         self.started = now
         self.highest_epoch_seen = 0
-        self.outgoing: dict[identities.Incarnation, _SentLists] = {}
+        self.outgoing: dict[identities.Incarnation, _SentHeartbeats] = {}
         self.incoming: dict[
             identities.Incarnation, tuple[int, int, list[wire.GroupHeartbeat]]
         ] = {}
 
     def receive(self, frame: wire.Frame, now: float) -> None:
-        """Takes a frame; one for an earlier process_epoch of this disk is dropped.
+        """Processes a frame; one for another incarnation is dropped.
 
-        An emptied disk has forgotten its votes and entries. Answering for
-        the replica that it held before could elect two leaders in one term
-        or count an entry as held by a majority that lost it.
+        An emptied disk has lost its votes and entries. A reply in place of
+        the replica that it held before could elect two leaders in one term,
+        or commit an entry that no majority holds.
         """
         if frame.to.instance == self.me.instance:
             self.highest_epoch_seen = max(
                 self.highest_epoch_seen, frame.to.epoch
             )
-        anyone = identities.Incarnation(self.me.instance, 0)
-        if frame.to not in (self.me, anyone):
+        any_incarnation = identities.Incarnation(self.me.instance, 0)
+        if frame.to not in (self.me, any_incarnation):
             return
         if self.roster.on_frame(frame.sender, frame.address, now):
             for replica in self.replicas.values():
@@ -116,7 +134,7 @@
     def step(
         self, sender: identities.Incarnation, message: Any, now: float
     ) -> None:
-        """Takes a message from a peer."""
+        """Processes a message from a peer."""
         match message:
             case wire.Heartbeat():
                 self._on_heartbeat(sender, message, now)
@@ -126,7 +144,7 @@
                 known = len(self.roster.members)
                 self.roster.on_hello(sender, message, now)
                 if len(self.roster.members) > known:
-                    # They may lead, or look for who does.
+                    # The new instances may lead a group, or look for a leader.
                     soon = now + self.settings.heartbeat
                     self.hello_due = min(self.hello_due, soon)
                 if message.asks:
@@ -144,15 +162,16 @@
                     replica.step(sender, message, now)
 
     def tick(self, now: float) -> None:
-        """Lets time pass for every group."""
+        """Handles timeouts; called at least once per heartbeat interval."""
         for replica in self.replicas.values():
             state = replica.state
-            # Most groups most of the time follow a leader that was heard.
+            # Saves the call for followers of a live leader, which most
+            # replicas are most of the time.
             if state.role != types.FOLLOWER or now >= state.election_due:
                 replica.tick(now)
         if (
             now
-            >= self.heartbeat_due - _HEARTBEAT_SLACK * self.settings.heartbeat
+            >= self.heartbeat_due - _EARLY_FRACTION * self.settings.heartbeat
         ):
             self._send_heartbeats(now)
         if now >= self.hello_due:
@@ -166,7 +185,7 @@
         ]
 
     def flush(self, now: float) -> None:
-        """Adds what is to be sent; to be called before taking the outbox."""
+        """Adds pending messages to the outbox; call it before taking that."""
         changed, self.outbox.groups_to_replicate = (
             self.outbox.groups_to_replicate,
             set(),
@@ -176,24 +195,28 @@
         if self.outbox.heartbeat_requested:
             self._send_heartbeats(now)
         if self.outbox.elections:
-            # Instances outside of the group learn of its leader by a greeting.
+            # Instances outside the group learn its leader from a Hello.
             self.hello_due = now
 
     def leader(self, group: str, now: float) -> identities.Incarnation:
-        """Returns who leads a group, as far as is known here, or NO_REPLICA.
-
-        The voters of a group hear its leader. An instance outside of it does
-        not, above all one that was voted out while it was down: its log still
-        lists it, so it waits for a heartbeat that never comes, and could not
-        pass any request on. It takes the word of a leader that greets it well
-        after the last heartbeat; one that is just lost does not. One that has
-        heard none since its start has nothing to weigh that word against.
+        """Returns the leader of a group, or NO_REPLICA if it is not known.
+
+        The voters know the leader from its heartbeats. Other instances rely
+        on its Hellos. One of them may be an instance that was removed from
+        the group while it was down: its log still lists it as a voter, but it
+        receives no heartbeats, and without a leader it could not forward any
+        request.
+
+        A leader's Hello counts if it arrived more than an election timeout
+        after the last heartbeat; an earlier one may be from the leader that
+        was just lost. It also counts if this replica has received no
+        heartbeat since its start.
         """
         replica = self.replicas[group].state
         claim = self.roster.leader_claims.get(group)
         if replica.leader != types.NO_REPLICA or claim is None:
             return replica.leader
-        fresh = now - claim.received_at < _CLAIM_PERIODS * self.settings.hello
+        fresh = now - claim.received_at < _CLAIM_HELLOS * self.settings.hello
         later = (
             claim.received_at - replica.leader_heard_at > self.settings.election
         )
@@ -202,35 +225,35 @@
         return claim.leader if known else types.NO_REPLICA
 
     def on_synced(self, groups: Iterable[str]) -> None:
-        """Notes that every record so far of these groups is durable."""
+        """Marks all entries of these groups so far as durable."""
         self.on_synced_to(self.log_ends(groups))
 
     def log_ends(self, groups: Iterable[str]) -> dict[str, tuple[int, int]]:
-        """Returns index and term of the last entry of each group."""
+        """Returns the index and the term of the last entry of each group."""
         return {group: self.replicas[group].log_end() for group in groups}
 
     def on_synced_to(self, ends: dict[str, tuple[int, int]]) -> None:
-        """Notes that the entries up to what `log_ends` gave are durable."""
+        """Marks the entries up to a result of `log_ends` as durable."""
         for group in sorted(ends):
             self.replicas[group].on_synced(ends[group])
 
     def _send_heartbeats(self, now: float) -> None:
         self.outbox.heartbeat_requested = False
         self.heartbeat_due = now + self.settings.heartbeat
-        lists: dict[identities.Incarnation, list[wire.GroupHeartbeat]] = {}
+        pending: dict[identities.Incarnation, list[wire.GroupHeartbeat]] = {}
         for group, replica in self.replicas.items():
             state = replica.state
             if state.role != types.LEADER:
                 continue
             for follower, progress in state.progress.items():
                 commit = min(progress.match, state.commit)
-                beat = wire.GroupHeartbeat(group, state.term, commit)
-                lists.setdefault(follower, []).append(beat)
-        for follower, beats in lists.items():
-            self._send_heartbeat(follower, beats, now)
+                heartbeat = wire.GroupHeartbeat(group, state.term, commit)
+                pending.setdefault(follower, []).append(heartbeat)
+        for follower, heartbeats in pending.items():
+            self._send_heartbeat(follower, heartbeats, now)
 
     def _maintain_groups(self, now: float) -> None:
-        """Greets everyone, starts new groups and repairs those led here."""
+        """Sends Hellos, bootstraps new groups and repairs those led here."""
         size = self.settings.group_size
         founding = [
             group
@@ -240,26 +263,26 @@
             and self.roster.is_founder(group, size)
         ]
         period = self.settings.hello
-        young = now - self.started < _STARTUP_PERIODS * period
-        hurry = bool(founding) and young
-        self.hello_due = now + (self.settings.heartbeat if hurry else period)
+        starting = now - self.started < _STARTUP_HELLOS * period
+        soon = bool(founding) and starting
+        self.hello_due = now + (self.settings.heartbeat if soon else period)
         self._add_logged_peers()
-        self.roster.remove_silent(now - _FORGET_PERIODS * period)
+        self.roster.remove_silent(now - _FORGET_HELLOS * period)
         hello = self._make_hello(bool(founding), now)
         self.outbox.messages.extend(self.roster.hellos(hello))
         for group in founding:
-            founders = self.roster.initial_configuration(
+            initial = self.roster.initial_configuration(
                 group, size, now - 2 * period
             )
-            if founders is not None:
-                self.replicas[group].bootstrap(founders)
+            if initial is not None:
+                self.replicas[group].bootstrap(initial)
         for replica in self.replicas.values():
             if replica.state.role == types.LEADER:
                 repair.tick(replica.state, self.roster, now)
                 election.balance_leaders(replica.state, now)
 
     def _make_hello(self, asks: bool, now: float) -> wire.Hello:
-        oldest = now - _RECENT_PERIODS * self.settings.hello
+        oldest = now - _RECENT_HELLOS * self.settings.hello
         leads = [
             wire.LedGroup(group, replica.state.term)
             for group, replica in self.replicas.items()
@@ -269,20 +292,21 @@
         return wire.Hello(asks, self.roster.own, known, leads)
 
     def _reply_hello(self, sender: identities.Incarnation, now: float) -> None:
-        """Tells an instance that has just started what is known here.
+        """Sends a Hello to an instance that has just started.
 
-        Whoever greets without naming anybody has heard nobody yet. Up to the
-        next round of greetings it would know no leader, or the leader would
-        not know of it, and its nodes would be given no configuration.
+        A Hello without members is from an instance that has not heard from
+        any other yet. Without a reply it would not know the leader, or the
+        leader would not know it, until the next hello interval, and its nodes
+        would get no configuration meanwhile.
         """
         hello = self._make_hello(False, now)
         self.outbox.messages.append(outbox.OutgoingMessage(sender, hello))
 
     def _add_logged_peers(self) -> None:
-        """Keeps the addresses of all peers that the logs name.
+        """Adds the peers in the groups' configurations to the roster.
 
         After a restart the settings may name other members than those that
-        hold the groups; the log knows where those were.
+        hold the groups. The logs still have the addresses of the latter.
         """
         for replica in self.replicas.values():
             self.roster.add_members(
@@ -298,17 +322,17 @@
     def _send_heartbeat(
         self,
         follower: identities.Incarnation,
-        beats: list[wire.GroupHeartbeat],
+        heartbeats: list[wire.GroupHeartbeat],
         now: float,
     ) -> None:
-        out = self.outgoing.setdefault(follower, _SentLists())
-        if out.lists.get(out.version) != beats:
-            out.version += 1
-            out.lists[out.version] = beats
-            out.lists.pop(out.version - _KEPT_VERSIONS, None)
-        # An idle list is named by its version instead of being sent again.
-        body = None if out.acked_version == out.version else beats
-        message = wire.Heartbeat(self.process_epoch, out.version, now, body)
+        sent = self.outgoing.setdefault(follower, _SentHeartbeats())
+        if sent.lists.get(sent.version) != heartbeats:
+            sent.version += 1
+            sent.lists[sent.version] = heartbeats
+            sent.lists.pop(sent.version - _KEPT_VERSIONS, None)
+        # An unchanged list is referred to by its version, not sent again.
+        body = None if sent.acked_version == sent.version else heartbeats
+        message = wire.Heartbeat(self.process_epoch, sent.version, now, body)
         self.outbox.messages.append(outbox.OutgoingMessage(follower, message))
 
     def _on_heartbeat(
@@ -317,13 +341,15 @@
         message: wire.Heartbeat,
         now: float,
     ) -> None:
-        process_epoch, version, beats = self.incoming.get(sender, (0, 0, []))
-        if message.beats is not None:
-            beats = message.beats
+        process_epoch, version, heartbeats = self.incoming.get(
+            sender, (0, 0, [])
+        )
+        if message.groups is not None:
+            heartbeats = message.groups
             self.incoming[sender] = (
                 message.process_epoch,
                 message.version,
-                beats,
+                heartbeats,
             )
         elif (process_epoch, version) != (
             message.process_epoch,
@@ -332,16 +358,16 @@
             self._send_heartbeat_reply(sender, message, False, [])
             return
         refused = []
-        for beat in beats:
-            replica = self.replicas.get(beat.group)
+        for heartbeat in heartbeats:
+            replica = self.replicas.get(heartbeat.group)
             if replica is None:
-                refused.append(beat._replace(term=0))
+                refused.append(heartbeat._replace(term=0))
                 continue
-            taken = replication.on_group_heartbeat(
-                replica.state, sender, beat, now
+            accepted = replication.on_group_heartbeat(
+                replica.state, sender, heartbeat, now
             )
-            if not taken:
-                refused.append(beat._replace(term=replica.state.term))
+            if not accepted:
+                refused.append(heartbeat._replace(term=replica.state.term))
         self._send_heartbeat_reply(sender, message, True, refused)
 
     def _send_heartbeat_reply(
@@ -364,19 +390,23 @@
         message: wire.HeartbeatReply,
         now: float,
     ) -> None:
-        out = self.outgoing.get(sender)
-        if out is None or message.process_epoch != self.process_epoch:
+        sent = self.outgoing.get(sender)
+        if sent is None or message.process_epoch != self.process_epoch:
             return
-        out.acked_version = message.version if message.known else 0
-        beats = out.lists.get(message.version)
-        if not message.known or beats is None:
+        sent.acked_version = message.version if message.known else 0
+        heartbeats = sent.lists.get(message.version)
+        if not message.known or heartbeats is None:
             return
-        refused = {beat.group: beat.term for beat in message.refused}
-        for beat in beats:
-            replica = self.replicas[beat.group].state
-            higher = refused.get(beat.group)
+        refused = {
+            heartbeat.group: heartbeat.term for heartbeat in message.refused
+        }
+        for heartbeat in heartbeats:
+            replica = self.replicas[heartbeat.group].state
+            higher = refused.get(heartbeat.group)
             if higher is not None:
                 if higher > replica.term:
                     replica.become_follower(higher, types.NO_REPLICA, now)
-            elif replica.term == beat.term and replica.role == types.LEADER:
+            elif (
+                replica.term == heartbeat.term and replica.role == types.LEADER
+            ):
                 lease.acknowledge(replica, sender, message.sent, now)
--- a/src/mintcleat/consensus/membership.py
+++ b/src/mintcleat/consensus/membership.py
@@ -1,9 +1,10 @@
-"""Changes of a group's configuration, one replica at a time.
+"""Changes to a group's configuration, one replica at a time.
 
-A repair adds the new replica as a learner, promotes it once it holds the
-log up to an entry that was committed after it joined, and only then removes
-the old one. Each step is read off the configuration in the log, so a new
-leader goes on where the last one stopped.
+A repair replaces one replica by another in three steps. It adds the new
+replica as a learner, promotes it to a voter once it holds the log up to the
+entry that added it, and only then removes the old replica. The next step
+follows from the configuration in the log, so a new leader continues where the
+previous one stopped.
 """
 
 from mintcleat.consensus import election
@@ -15,11 +16,11 @@
 
 
 def may_change(replica: state.State) -> bool:
-    """Tells whether a configuration may be proposed now.
+    """Returns whether this replica may propose a configuration now.
 
-    One at a time, and only after an entry of the leader's own term is
-    committed: else two configurations without a common majority could be in
-    force at once.
+    The last one must be committed, and so must an entry of the leader's own
+    term. Otherwise two configurations whose majorities don't overlap could
+    be in force at the same time.
     """
     return (
         replica.role == types.LEADER
@@ -29,13 +30,19 @@
 
 
 def add_learner(replica: state.State, peer: types.Peer, now: float) -> bool:
-    """Adds a learner; False when a change or a repair is under way."""
+    """Proposes a learner, the first step of a repair.
+
+    Returns:
+        Whether it was proposed. It is not if this replica does not lead,
+        another change or repair is in progress, or the peer is in the group.
+    """
     configuration = replica.configuration
     if not may_change(replica) or configuration.learners:
         return False
     if any(configuration.is_voter(p.replaces) for p in configuration.voters):
-        # The replaced one goes first. It may be this very leader, which has
-        # to hand over; a second successor would stay as a voter too many.
+        # A replaced voter must be removed first. If it is this leader, its
+        # removal waits for the transfer of leadership; a second successor
+        # added meanwhile would remain as a surplus voter.
         return False
     if any(p.replica == peer.replica for p in configuration.peers()):
         return False
@@ -49,7 +56,11 @@
 def drop_learner(
     replica: state.State, learner: identities.Incarnation, now: float
 ) -> bool:
-    """Removes a learner that failed before it was promoted."""
+    """Proposes to remove a learner that failed before its promotion.
+
+    Returns:
+        Whether it was proposed.
+    """
     if not may_change(replica):
         return False
     voters, learners = replica.configuration
@@ -61,7 +72,7 @@
 
 
 def advance(replica: state.State, now: float) -> None:
-    """Takes the next step of a repair, when it is due."""
+    """Proposes the next step of a repair once its condition holds."""
     if not may_change(replica):
         return
     voters, learners = replica.configuration
@@ -78,7 +89,7 @@
 
 
 def describe(before: types.Configuration, after: types.Configuration) -> str:
-    """Returns what a change of the voters and learners did, for the log."""
+    """Returns a description of a configuration change for the event log."""
     old = {peer.replica for peer in before.voters}
     new = {peer.replica for peer in after.voters}
     for peer in after.voters:
@@ -109,11 +120,11 @@
 
 
 def _caught_up(replica: state.State, learner: identities.Incarnation) -> bool:
-    """Tells whether a learner may vote.
+    """Returns whether a learner may be promoted.
 
-    The entry that added it was committed after it joined. A learner that
-    holds that entry holds all that was committed before, so that losing
-    another voter right after the promotion loses nothing.
+    A learner that holds the entry that added it also holds everything that
+    was committed before. Losing another voter right after the promotion
+    therefore loses no committed entry.
     """
     progress = replica.progress.get(learner)
     if progress is None or progress.match < replica.configuration_index:
@@ -132,11 +143,11 @@
 def _clear_replaces(
     peers: list[types.Peer], gone: identities.Incarnation
 ) -> list[types.Peer]:
-    """Returns the peers without the note that one of them replaced `gone`.
+    """Clears the `replaces` field of the peer that replaced `gone`.
 
-    A replaced replica may come back with its disk and take another's place.
-    The note that was carried out long ago would remove it again, at once and
-    for ever, and the voter that it came for would never be replaced.
+    A replaced replica may come back with its disk and replace another voter.
+    If the old field remained, it would remove the returned replica again
+    right after each promotion, and that other voter would never be replaced.
     """
     return [
         peer._replace(replaces=types.NO_REPLICA)
--- a/src/mintcleat/consensus/messages.py
+++ b/src/mintcleat/consensus/messages.py
@@ -1,8 +1,9 @@
-"""Messages between the replicas, and the frame that carries them.
+"""Messages between replicas, and the frame that carries them.
 
-A frame is a msgpack array: sender, its address, receiver, and messages as
-`[tag, fields...]`. A receiver drops a frame for another incarnation, so that
-a replica on an emptied disk never answers for the one before it.
+A frame is a msgpack array of the sender, its address, the receiver, and a
+list of messages as `[tag, fields...]`. A receiver drops frames for another
+incarnation, so that a replica on an emptied disk never replies in place of
+the replica that the disk held before.
 """
 
 from typing import Any
@@ -17,7 +18,14 @@
 
 
 class PreVoteRequest(NamedTuple):
-    """Asks whether a vote for `term` would be granted; changes nothing."""
+    """Asks whether the receiver would grant a vote in `term`.
+
+    It changes no state at the receiver.
+
+    Attributes:
+        last_index: Index of the sender's last entry.
+        last_term: Term of that entry.
+    """
 
     group: str
     term: int
@@ -26,7 +34,11 @@
 
 
 class PreVoteReply(NamedTuple):
-    """`term` is the one asked for when granted, else the voter's own."""
+    """Reply to PreVoteRequest.
+
+    Attributes:
+        term: The requested term if granted, else the receiver's own.
+    """
 
     group: str
     term: int
@@ -34,11 +46,13 @@
 
 
 class VoteRequest(NamedTuple):
-    """Asks for a vote.
+    """Asks for a vote in `term`.
 
     Attributes:
-        transfer: The leader itself asked for this election, and has given up
-            its lease.
+        last_index: Index of the sender's last entry.
+        last_term: Term of that entry.
+        transfer: Whether the leader itself requested this election and has
+            given up its lease.
     """
 
     group: str
@@ -49,7 +63,7 @@
 
 
 class VoteReply(NamedTuple):
-    """Answer to Vote; sent once the vote is durable."""
+    """Reply to VoteRequest, sent once the vote is durable."""
 
     group: str
     term: int
@@ -57,7 +71,12 @@
 
 
 class Append(NamedTuple):
-    """Entries that follow `previous_index`."""
+    """Entries to append after `previous_index` (AppendEntries in Raft).
+
+    Attributes:
+        previous_term: Term of the entry at `previous_index`.
+        commit: The leader's commit index.
+    """
 
     group: str
     term: int
@@ -68,12 +87,12 @@
 
 
 class AppendReply(NamedTuple):
-    """Answer to Append or InstallSnapshot, once the entries are durable.
+    """Reply to Append or InstallSnapshot, sent once the entries are durable.
 
     Attributes:
-        index: The last matching index, or when refused the last index that
-            may match.
-        previous_index: Repeats that of a refused Append.
+        index: Last matching index; if refused, the last index that may
+            match.
+        previous_index: `previous_index` of the refused Append.
     """
 
     group: str
@@ -84,7 +103,11 @@
 
 
 class InstallSnapshot(NamedTuple):
-    """Replaces a follower's log; `state` is the machine's snapshot."""
+    """Replaces a follower's log up to the end of a snapshot.
+
+    Attributes:
+        state: The serialized state machine.
+    """
 
     group: str
     term: int
@@ -93,14 +116,19 @@
 
 
 class TimeoutNow(NamedTuple):
-    """Tells a follower to hold an election at once."""
+    """Asks a follower to start an election at once."""
 
     group: str
     term: int
 
 
 class GroupHeartbeat(NamedTuple):
-    """Heartbeat of one group, inside Heartbeat."""
+    """Heartbeat of one group, part of a Heartbeat.
+
+    Attributes:
+        commit: Commit index, limited to what the receiver is known to hold.
+            In a HeartbeatReply it is as received.
+    """
 
     group: str
     term: int
@@ -108,27 +136,31 @@
 
 
 class Heartbeat(NamedTuple):
-    """Heartbeats of all groups that the sender leads on the receiver.
+    """Heartbeats of all groups that the sender leads and the receiver holds.
 
     Attributes:
-        life: Start of the sender's process; the reply repeats it.
-        version: Number of the list; it grows when the list changes.
-        sent: Sender's clock at sending; the lease counts from it.
-        beats: The list, or None for the one that `version` named before.
+        process_epoch: Number of the sender's process start; the reply
+            repeats it.
+        version: Version of the list of groups; it grows with each change.
+        sent: Time of sending by the sender's clock; the lease starts there.
+        groups: The list, or None if it is the one sent as `version` before.
     """
 
     process_epoch: int
     version: int
     sent: float
-    beats: list[GroupHeartbeat] | None
+    groups: list[GroupHeartbeat] | None
 
 
 class HeartbeatReply(NamedTuple):
-    """Answer to Heartbeat.
+    """Reply to Heartbeat.
 
     Attributes:
-        known: Whether the receiver has the list; False asks for it.
-        refused: Groups whose term is higher here, with that term.
+        process_epoch: That of the Heartbeat, as are `version` and `sent`.
+        known: Whether this instance has the list of that version; False
+            requests it.
+        refused: Groups whose term here is higher, with that term; a group
+            that is unknown here has term 0.
     """
 
     process_epoch: int
@@ -139,20 +171,23 @@
 
 
 class LedGroup(NamedTuple):
-    """A group that the sender of a greeting leads, and its term."""
+    """A group that the sender of a Hello leads, and its term."""
 
     group: str
     term: int
 
 
 class Hello(NamedTuple):
-    """Greets an instance; the frame says who lives at which address.
+    """Announces the sender to an instance.
+
+    The frame around it carries the sender's incarnation and address.
 
     Attributes:
-        asks: Whether the sender may have to start a group and wants Known.
-        own: What the sender says of itself.
-        members: Instances that the sender heard lately, so that one that was
-            told of a few gets to know all.
+        asks: Whether the sender requests KnownGroups, because it may have to
+            bootstrap a group.
+        own: How the sender describes itself.
+        members: Instances that the sender has heard from recently, so that an
+            instance configured with a few of them discovers the others.
         leads: Groups that the sender leads.
     """
 
@@ -165,15 +200,21 @@
 class KnownGroups(NamedTuple):
     """Groups in which the sender has voted or holds entries.
 
-    It goes to the very incarnation that asked, so it is a statement made
-    after the asker's disk was new.
+    It is addressed to the incarnation that requested it, so it was sent after
+    the requester's disk was formatted.
     """
 
     groups: list[str]
 
 
 class Frame(NamedTuple):
-    """Messages from one replica's instance to another's."""
+    """Messages from one instance to another.
+
+    Attributes:
+        address: Stream address of the sender.
+        to: Receiver; epoch 0 stands for any incarnation of the instance.
+        messages: Messages of the kinds above.
+    """
 
     sender: identities.Incarnation
     address: str
@@ -181,6 +222,7 @@
     messages: list[Any]
 
 
+# A message's tag is its position here, so the order must not change.
 _KINDS: tuple[type, ...] = (
     PreVoteRequest,
     PreVoteReply,
@@ -199,17 +241,17 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Returns the frame as bytes."""
+    """Returns a frame as msgpack bytes."""
     items = [[_TAGS[type(item)], *item] for item in frame.messages]
     return msgpack.packb([frame.sender, frame.address, frame.to, items])
 
 
 def encode_install(frame: Frame) -> tuple[bytes, bytes]:
-    """Returns a frame of one InstallSnapshot as its head and the state.
+    """Returns a frame of one InstallSnapshot in two parts: header and state.
 
-    Joined they are what `encode` gives. A state may be a good part of the
-    machine's memory, and several followers may be sent it at a time; encoded
-    for each, it would be held twice or more for every one of them.
+    Joined, they equal the result of `encode`. A state may take a large part
+    of the host's memory and may be sent to several followers at a time;
+    `encode` would copy it at least once for each of them.
     """
     (message,) = frame.messages
     empty = encode(frame._replace(messages=[message._replace(state=b"")]))
@@ -220,23 +262,23 @@
         header = b"\xc5" + size.to_bytes(2, "big")
     else:
         header = b"\xc6" + size.to_bytes(4, "big")
-    # The state is the last field of the last message: an empty one ends the
-    # frame with two bytes.
+    # The state is the last field of the last message. An empty one takes the
+    # last two bytes of the frame.
     return empty[:-2] + header, message.state
 
 
 def decode(data: bytes) -> Frame:
-    """Returns the frame of these bytes.
+    """Returns the frame that the bytes encode.
 
     Raises:
-        errors.BadRequest: They are no frame.
+        errors.BadRequest: The bytes are not a valid frame.
     """
     try:
         fields = msgpack.unpackb(data, strict_map_key=False)
         frame = msgspec.convert(fields, Frame)
         items = [_message(item) for item in frame.messages]
     except (ValueError, TypeError, IndexError, msgspec.ValidationError) as e:
-        raise errors.BadRequest(f"A peer sent no frame: {e}.") from e
+        raise errors.BadRequest(f"A peer sent an invalid frame: {e}.") from e
     return frame._replace(messages=items)
 
 
--- a/src/mintcleat/consensus/repair.py
+++ b/src/mintcleat/consensus/repair.py
@@ -1,4 +1,4 @@
-"""When a leader replaces a voter, and by whom."""
+"""Decides when a leader replaces a voter, and by which replica."""
 
 from mintcleat.consensus import lease
 from mintcleat.consensus import membership
@@ -7,15 +7,16 @@
 from mintcleat.consensus import types
 from mintcleat.domain import identities
 
-# A spare must have been heard within this many greeting periods.
-_ALIVE_PERIODS = 3
+# A spare instance counts as alive if it was heard from within this many hello
+# intervals.
+_ALIVE_HELLOS = 3
 
 
 def tick(replica: state.State, roster: rosters.Roster, now: float) -> None:
-    """Starts or gives up a repair of this group, one at a time.
+    """Starts or cancels a repair of this group; at most one runs at a time.
 
-    A group with too few voters grows too: one that an instance founded alone
-    is as safe as the others once more instances are listed.
+    It also adds voters to a group that has fewer than `group_size`, such as
+    one that was bootstrapped by a single instance before others joined.
     """
     if not membership.may_change(replica):
         return
@@ -46,7 +47,10 @@
     successor: types.Peer,
     now: float,
 ) -> bool:
-    """Starts replacing a voter; False when another change is under way."""
+    """Starts replacing a voter; returns False if it can't start now.
+
+    See `membership.add_learner` for the conditions.
+    """
     return membership.add_learner(
         replica, successor._replace(replaces=old), now
     )
@@ -58,17 +62,18 @@
     voter: types.Peer,
     now: float,
 ) -> types.Peer | None:
-    """Returns who should replace a voter, or None when it is well.
+    """Returns the replica that should replace a voter, or None.
 
-    A new incarnation on the same instance proves that the old one is gone:
-    its disk is, so waiting has no use. Silence alone proves nothing, and a
-    spare comes only after `replace_after`, so that a restart moves no data.
+    A newer incarnation of the same instance proves that the voter's disk is
+    lost, so the voter is replaced without a delay. Lack of contact proves
+    nothing: only after `replace_after` does a spare instance replace the
+    voter, so that a restart moves no data.
     """
     if voter.replica.instance in roster.retired:
         return _find_spare(replica, roster, voter, now)
-    resident = roster.observed.get(voter.replica.instance)
-    if resident and resident.peer.replica.epoch > voter.replica.epoch:
-        return resident.peer if _is_alive(replica, resident, now) else None
+    observed = roster.observed.get(voter.replica.instance)
+    if observed and observed.peer.replica.epoch > voter.replica.epoch:
+        return observed.peer if _is_alive(replica, observed, now) else None
     if not _is_silent(replica, voter.replica, now):
         return None
     return _find_spare(replica, roster, voter, now)
@@ -80,23 +85,31 @@
     voter: types.Peer | None,
     now: float,
 ) -> types.Peer | None:
-    """Returns a live instance outside the group, best in a free domain."""
+    """Returns a live instance outside the group, or None.
+
+    Instances in a failure domain without another replica of the group are
+    preferred.
+    """
     peers = replica.configuration.peers()
     inside = {peer.replica.instance for peer in peers}
     used = {_failure_domain(roster, p) for p in peers if p is not voter}
     found = [
-        resident.peer
-        for name, resident in roster.observed.items()
+        observed.peer
+        for name, observed in roster.observed.items()
         if name not in inside
         and name not in roster.retired
-        and _is_alive(replica, resident, now)
+        and _is_alive(replica, observed, now)
     ]
     found.sort(key=lambda p: (p.failure_domain in used, p.replica))
     return found[0] if found else None
 
 
 def _failure_domain(roster: rosters.Roster, peer: types.Peer) -> str:
-    """Returns a peer's domain; a founder may have been known without it."""
+    """Returns a peer's failure domain.
+
+    The configuration may lack it, if the group was bootstrapped before the
+    peer had announced it.
+    """
     return roster.peer(peer.replica).failure_domain or peer.failure_domain
 
 
@@ -106,8 +119,8 @@
     learner: types.Peer,
     now: float,
 ) -> bool:
-    resident = roster.observed.get(learner.replica.instance)
-    if resident and resident.peer.replica.epoch > learner.replica.epoch:
+    observed = roster.observed.get(learner.replica.instance)
+    if observed and observed.peer.replica.epoch > learner.replica.epoch:
         return True
     return _is_silent(replica, learner.replica, now)
 
@@ -121,6 +134,6 @@
 
 
 def _is_alive(
-    replica: state.State, resident: rosters.ObservedPeer, now: float
+    replica: state.State, observed: rosters.ObservedPeer, now: float
 ) -> bool:
-    return now - resident.last_seen < _ALIVE_PERIODS * replica.settings.hello
+    return now - observed.last_seen < _ALIVE_HELLOS * replica.settings.hello
--- a/src/mintcleat/consensus/replica.py
+++ b/src/mintcleat/consensus/replica.py
@@ -1,4 +1,4 @@
-"""One replica of one group: the public face of the core's modules."""
+"""One replica of one group: the interface to the core's modules."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,10 +16,10 @@
 
 
 class Replica:
-    """Takes messages and the time; leaves effects in the outbox.
+    """Processes messages and timeouts; puts the effects into the outbox.
 
     Attributes:
-        state: The fields, for reading.
+        state: State of the replica; callers only read it.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         )
 
     def bootstrap(self, configuration: types.Configuration) -> None:
-        """Starts a new group; only one replica of it may ever do so."""
+        """Starts a new group; only one of its replicas may ever do so."""
         replica = self.state
         replica.term = 1
         replica.vote = replica.me
@@ -48,13 +48,13 @@
         replica.election_due = 0.0
 
     def is_uninitialized(self) -> bool:
-        """Tells whether this replica never voted nor held an entry."""
+        """Returns whether this replica has never voted nor held an entry."""
         return self.state.term == 0 and self.state.log.last_index == 0
 
     def step(
         self, sender: identities.Incarnation, message: Any, now: float
     ) -> None:
-        """Takes a message of this group."""
+        """Processes a message of this group."""
         replica = self.state
         match message:
             case wire.Append():
@@ -77,14 +77,18 @@
                 election.on_timeout_now(replica, message, now)
 
     def tick(self, now: float) -> None:
-        """Lets time pass; to be called once per heartbeat or more often."""
+        """Handles timeouts; called at least once per heartbeat interval."""
         election.tick(self.state, now)
         if self.state.role == types.LEADER:
             replication.tick(self.state, now)
             membership.advance(self.state, now)
 
     def propose(self, command: bytes, now: float) -> tuple[int, int] | None:
-        """Adds a command; returns its term and index, None if not leader."""
+        """Appends a command to the log.
+
+        Returns:
+            Its term and index, or None if proposals are not accepted.
+        """
         replica = self.state
         if not self.accepts_proposals():
             return None
@@ -92,54 +96,62 @@
         return replica.term, index
 
     def accepts_proposals(self) -> bool:
-        """Tells whether this replica leads and hands nothing over."""
+        """Returns whether this replica leads and is not transferring."""
         replica = self.state
-        handing_over = replica.transfer_to != types.NO_REPLICA
-        return replica.role == types.LEADER and not handing_over
+        transferring = replica.transfer_to != types.NO_REPLICA
+        return replica.role == types.LEADER and not transferring
 
     def read(self, token: int, now: float) -> None:
-        """Asks for a linearizable read; see `lease.read`."""
+        """Requests a linearizable read; see `lease.read`."""
         lease.read(self.state, token, now)
 
     def holds_lease(self, now: float) -> bool:
-        """Tells whether reads need no message now."""
+        """Returns whether reads can be answered without a message now."""
         return lease.held(self.state, now)
 
     def transfer(self, to: identities.Incarnation, now: float) -> None:
-        """Hands the leadership to a voter."""
+        """Starts a leadership transfer; see `election.transfer`."""
         election.transfer(self.state, to, now)
 
     def add_learner(self, peer: types.Peer, now: float) -> bool:
-        """Starts a repair; see `membership`."""
+        """Starts a repair; see `membership.add_learner`."""
         return membership.add_learner(self.state, peer, now)
 
     def drop_learner(self, learner: identities.Incarnation, now: float) -> bool:
-        """Gives up a repair whose learner failed."""
+        """Cancels a repair; see `membership.drop_learner`."""
         return membership.drop_learner(self.state, learner, now)
 
     def snapshot_transfer_ended(
         self, follower: identities.Incarnation, sent: bool, now: float
     ) -> None:
-        """Notes that a snapshot was wholly sent, or could not be."""
-        replication.on_snapshot_ended(self.state, follower, sent, now)
+        """Reports that the transfer of a snapshot to a follower has ended.
+
+        Args:
+            follower: Receiver of the snapshot.
+            sent: Whether the snapshot was sent completely.
+            now: Current time.
+        """
+        replication.on_snapshot_transfer_ended(self.state, follower, sent, now)
 
     def flush(self, now: float) -> None:
-        """Sends followers what was added since the last flush."""
+        """Sends followers the entries added since the last flush."""
         if self.state.role == types.LEADER:
             replication.send_all(self.state, now)
 
     def log_end(self) -> tuple[int, int]:
-        """Returns index and term of the last entry."""
+        """Returns the index and the term of the last entry."""
         return self.state.log.last_index, self.state.log.last_term
 
     def on_synced(self, end: tuple[int, int] | None = None) -> None:
-        """Notes that the entries up to one, or all, are durable.
+        """Marks entries as durable on this replica's disk.
 
-        While the disk was busy the entry may have been replaced by another
-        leader's; then a later sync covers what stands there now.
+        While the disk was busy, the entry at `end` may have been replaced by
+        another leader's; then nothing is marked, and a later sync covers the
+        new entry.
 
         Args:
-            end: What `log_end` gave when the records were taken.
+            end: Result of `log_end` when the records were taken; None for
+                the whole log.
         """
         replica = self.state
         index, term = end or self.log_end()
@@ -150,13 +162,14 @@
             replication.advance_commit(replica)
 
     def take_committed(self) -> list[types.Entry]:
-        """Returns the entries to apply next and counts them as applied.
+        """Returns the entries to apply next and marks them as applied.
+
+        A majority holds these entries, so they need not be on this disk yet.
+        A leader with a slow disk can thus go as fast as its followers' disks.
 
-        A majority holds them, so they need not lie on this disk yet: a leader
-        whose own disk is slow goes at the pace of its followers' disks.
-        While a snapshot waits to be restored there are none: restored after
-        them, it would take them out of the machine again, and no one applies
-        an entry twice.
+        While a snapshot is not restored yet, there are no entries to apply.
+        The snapshot would overwrite their effects, and they would not be
+        applied again.
         """
         replica = self.state
         last = replica.commit
@@ -167,7 +180,7 @@
         return found
 
     def on_restored(self, index: int) -> None:
-        """Notes that the machine holds an installed snapshot."""
+        """Reports that the snapshot up to `index` has been restored."""
         replica = self.state
         replica.applied = index
         if replica.restoring_index == index:
@@ -175,7 +188,7 @@
             replica.outbox.committed.add(replica.group)
 
     def snapshot_metadata(self) -> types.SnapshotMetadata:
-        """Returns the snapshot for a snapshot of what is applied now."""
+        """Returns the metadata for a snapshot of the applied state."""
         replica = self.state
         index = replica.applied
         term = replica.log.term_at(index) or 0
@@ -184,11 +197,14 @@
         )
 
     def compact(self, snapshot: types.SnapshotMetadata, keep: int) -> None:
-        """Forgets entries under a stored snapshot, all but the last `keep`."""
+        """Removes entries that a snapshot covers; see `State.compact`."""
         self.state.compact(snapshot, keep)
 
     def checkpoint_records(self) -> list[bytes]:
-        """Returns records that stand for the whole state of this group."""
+        """Returns records that restore the whole state of this group.
+
+        They replace all earlier ones when the write-ahead log is rewritten.
+        """
         replica = self.state
         found = [
             records.vote(replica.group, replica.term, replica.vote),
--- a/src/mintcleat/consensus/replication.py
+++ b/src/mintcleat/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication of entries from the leader, pipelined, and commits."""
+"""Pipelined replication of entries to followers, and the commit index."""
 
 import math
 
@@ -11,7 +11,7 @@
 
 
 def append(replica: state.State, kind: int, data: bytes, now: float) -> int:
-    """Adds an entry at the leader and returns its index."""
+    """Appends an entry to the leader's log and returns its index."""
     entry = types.Entry(replica.log.last_index + 1, replica.term, kind, data)
     replica.append([entry])
     replica.outbox.groups_to_replicate.add(replica.group)
@@ -21,7 +21,7 @@
 
 
 def track_peers(replica: state.State, now: float) -> None:
-    """Keeps progress for exactly the peers of the configuration."""
+    """Makes `progress` match the peers of the current configuration."""
     wanted = {p.replica for p in replica.configuration.peers()}
     wanted.discard(replica.me)
     for gone in set(replica.progress) - wanted:
@@ -32,13 +32,13 @@
 
 
 def send_all(replica: state.State, now: float) -> None:
-    """Sends each follower what it may be sent now."""
+    """Sends each follower the entries that flow control allows."""
     for follower, progress in replica.progress.items():
         _send(replica, follower, progress, now)
 
 
 def tick(replica: state.State, now: float) -> None:
-    """Sends again to followers that have been silent too long."""
+    """Probes followers that lack entries and have not replied for too long."""
     for follower, progress in replica.progress.items():
         behind = progress.match < replica.log.last_index
         silent = now - progress.last_reply > replica.settings.resend
@@ -56,7 +56,7 @@
     message: wire.Append,
     now: float,
 ) -> None:
-    """Takes entries from the leader."""
+    """Appends entries from the leader."""
     if message.term < replica.term:
         _refuse(replica, sender, message, 0)
         return
@@ -78,7 +78,7 @@
     message: wire.AppendReply,
     now: float,
 ) -> None:
-    """Takes a follower's answer."""
+    """Updates a follower's progress and sends it the next entries."""
     if message.term > replica.term:
         replica.become_follower(message.term, types.NO_REPLICA, now)
         return
@@ -102,7 +102,7 @@
     beat: wire.GroupHeartbeat,
     now: float,
 ) -> bool:
-    """Takes a heartbeat; returns False when it is of an old term."""
+    """Processes one group's heartbeat; returns False if its term is old."""
     if beat.term < replica.term:
         return False
     _accept_leader(replica, sender, beat.term, now)
@@ -116,7 +116,7 @@
     message: wire.InstallSnapshot,
     now: float,
 ) -> None:
-    """Replaces the log by a snapshot, unless it holds as much already."""
+    """Replaces the log by a snapshot, unless that much is committed here."""
     if message.term < replica.term:
         reply = wire.AppendReply(replica.group, replica.term, False, 0)
         replica.send(sender, reply)
@@ -134,13 +134,17 @@
     replica.send_synced(sender, reply)
 
 
-def on_snapshot_ended(
+def on_snapshot_transfer_ended(
     replica: state.State,
     follower: identities.Incarnation,
     sent: bool,
     now: float,
 ) -> None:
-    """Notes that the sending of a snapshot has ended."""
+    """Schedules the next attempt after the transfer of a snapshot has ended.
+
+    After a complete transfer the follower gets time to reply; after a failed
+    one it may be sent the snapshot again at once.
+    """
     progress = replica.progress.get(follower)
     if progress is not None and progress.snapshot_until == math.inf:
         wait = replica.settings.snapshot_resend if sent else 0.0
@@ -148,10 +152,10 @@
 
 
 def advance_commit(replica: state.State) -> None:
-    """Commits what a majority of the voters holds durably.
+    """Commits the entries that a majority of the voters holds durably.
 
-    Only an entry of the leader's own term is counted: an older one that a
-    majority holds can still be overwritten by a later leader.
+    Only an entry of the leader's own term counts: an older entry can still
+    be overwritten by a later leader, even if a majority holds it.
     """
     configuration = replica.configuration
     matches = sorted(
@@ -237,7 +241,10 @@
 
 
 def _conflict_hint(replica: state.State, message: wire.Append) -> int | None:
-    """Returns the last index that may match, or None when all is well."""
+    """Returns the last index that may match the leader's log.
+
+    Returns None if the entry before the message's entries matches.
+    """
     log = replica.log
     previous = message.previous_index
     if previous < log.base_index:
@@ -278,7 +285,7 @@
 
 
 def match(replica: state.State, voter: identities.Incarnation) -> int:
-    """Returns the last index known to be durable at a voter."""
+    """Returns the last index known to be durable at a voter; 0 for none."""
     if voter == replica.me:
         return replica.persisted
     progress = replica.progress.get(voter)
--- a/src/mintcleat/consensus/roster.py
+++ b/src/mintcleat/consensus/roster.py
@@ -1,4 +1,4 @@
-"""Who lives on which instance, and when a new group may be started."""
+"""The known instances, and the bootstrap of new groups."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -12,12 +12,13 @@
 
 
 class ObservedPeer(NamedTuple):
-    """The replica identity last heard from an instance.
+    """What was last heard from an instance.
 
     Attributes:
-        seen: When it was heard.
-        answered: When it last answered our question; 0 for never.
-        groups: Groups that its disk knew then.
+        peer: Its current incarnation and address.
+        last_seen: When its last frame arrived.
+        answered_at: When its last KnownGroups arrived; 0 for never.
+        groups: Groups that its disk held then.
     """
 
     peer: types.Peer
@@ -27,10 +28,10 @@
 
 
 class LeaderClaim(NamedTuple):
-    """Who on_hello as the leader of a group.
+    """A replica that announced itself as the leader of a group.
 
     Attributes:
-        at: When the greeting came.
+        received_at: When its Hello arrived.
     """
 
     term: int
@@ -39,14 +40,18 @@
 
 
 class Roster:
-    """The members by settings, those learned, and who was heard from them.
+    """The instances from the settings, and those discovered at run time.
 
     Attributes:
-        founding: The members by settings; only they may start a group.
-        members: Those, and the instances that others told of.
-        observed: By instance name; without this instance.
-        retired: Instances that an operator empties; no group is moved there.
-        leaders: By group, who said last that it leads there.
+        configured_members: Members from the settings; only they may
+            bootstrap a group.
+        members: By instance name, configured and discovered members.
+        own: The member that describes this instance.
+        observed: By instance name, what was last heard from it; without this
+            instance.
+        retired: Instances that an operator is retiring. Their replicas are
+            replaced, and they receive no new ones.
+        leader_claims: By group, the announced leader of the highest term.
     """
 
     def __init__(
@@ -67,17 +72,17 @@
         self.leader_claims: dict[str, LeaderClaim] = {}
 
     def add_members(self, members: Iterable[types.Member]) -> None:
-        """Takes instances that were not known; they are on_hello from now on."""
+        """Adds instances that were not known; they receive Hellos from now."""
         for member in members:
             self.members.setdefault(member.instance, member)
 
     def on_hello(
         self, sender: identities.Incarnation, message: wire.Hello, now: float
     ) -> None:
-        """Takes what a greeting says of its sender and of others.
+        """Updates the members and the leader claims from a Hello.
 
-        Settings may name members by address alone; the failure domain that
-        placement needs then comes with the greeting.
+        The settings may name members by address only. Their failure domains,
+        which placement needs, then come from their Hellos.
         """
         own = message.own
         if own.instance == sender.instance:
@@ -90,44 +95,44 @@
                 self.observed[own.instance] = known._replace(peer=peer)
         self.add_members(message.members)
         for group, term in message.leads:
-            told = self.leader_claims.get(group)
-            if told is None or term >= told.term:
+            claim = self.leader_claims.get(group)
+            if claim is None or term >= claim.term:
                 self.leader_claims[group] = LeaderClaim(term, sender, now)
 
     def seen_since(self, oldest: float) -> list[types.Member]:
-        """Returns the instances heard since a time, this one not included."""
+        """Returns the other instances heard from since `oldest`."""
         return [
             self.members[name]
-            for name, resident in sorted(self.observed.items())
-            if resident.last_seen >= oldest and name in self.members
+            for name, observed in sorted(self.observed.items())
+            if observed.last_seen >= oldest and name in self.members
         ]
 
     def remove_silent(self, oldest: float) -> None:
-        """Drops learned instances that have been silent for long.
+        """Removes discovered instances that were not heard from since `oldest`.
 
-        Machines are replaced under new addresses; greeting each one that
-        ever was would go on for good.
+        Hosts are replaced under new addresses, so the list of instances to
+        send Hellos to would otherwise grow without bound.
         """
         kept = {member.instance for member in self.configured_members}
         kept.add(self.me.instance)
         for name in set(self.members) - kept:
-            resident = self.observed.get(name)
-            if resident is None:
+            observed = self.observed.get(name)
+            if observed is None:
                 continue
-            if resident.last_seen < oldest:
+            if observed.last_seen < oldest:
                 del self.members[name]
                 del self.observed[name]
 
     def address(self, instance: str) -> str:
-        """Returns the stream address of an instance, or an empty text."""
-        resident = self.observed.get(instance)
-        if resident is not None:
-            return resident.peer.address
+        """Returns the stream address of an instance; empty if unknown."""
+        observed = self.observed.get(instance)
+        if observed is not None:
+            return observed.peer.address
         member = self.members.get(instance)
         return member.address if member else ""
 
     def peer(self, replica: identities.Incarnation) -> types.Peer:
-        """Returns a peer with what the settings say of its instance."""
+        """Returns a replica as a Peer, with its instance's member data."""
         member = self.members.get(replica.instance)
         if member is None:
             return types.Peer(replica, "", "", "")
@@ -138,10 +143,10 @@
     def on_frame(
         self, sender: identities.Incarnation, address: str, now: float
     ) -> bool:
-        """Notes that a frame came; an older incarnation is ignored.
+        """Records that a frame arrived; an older incarnation is ignored.
 
         Returns:
-            Whether this incarnation was not heard before.
+            Whether this incarnation was not heard from before.
         """
         known = self.observed.get(sender.instance)
         new = known is None or known.peer.replica.epoch < sender.epoch
@@ -162,7 +167,7 @@
         message: wire.KnownGroups,
         now: float,
     ) -> None:
-        """Notes what an instance answered to our question."""
+        """Records the groups that an instance knows."""
         known = self.observed.get(sender.instance)
         if known is not None and known.peer.replica == sender:
             self.observed[sender.instance] = known._replace(
@@ -170,7 +175,7 @@
             )
 
     def hellos(self, hello: wire.Hello) -> list[outbox.OutgoingMessage]:
-        """Returns a greeting for every other instance, whoever lives there."""
+        """Returns a Hello for any incarnation of every other instance."""
         return [
             outbox.OutgoingMessage(identities.Incarnation(name, 0), hello)
             for name in self.members
@@ -178,30 +183,35 @@
         ]
 
     def is_founder(self, group: str, size: int) -> bool:
-        """Tells whether this instance starts the group if nobody knows it."""
+        """Returns whether this instance bootstraps the group if it is new."""
         return self._founder_names(group, size)[:1] == [self.me.instance]
 
     def initial_configuration(
         self, group: str, size: int, oldest: float
     ) -> types.Configuration | None:
-        """Returns the first configuration, if this instance must start it.
+        """Returns the first configuration if this instance may bootstrap it.
 
-        Only the first of the chosen voters may, and only when each of the
-        others has told this very incarnation that it knows nothing of the
-        group. An instance whose disk was emptied meets others that do know
-        it, and waits to be admitted: it never starts the group twice.
+        Only the first of the chosen voters may do so, and only after each of
+        the others has told this incarnation that it does not know the group.
+        An instance with an emptied disk finds others that know the group and
+        waits until it is added, so a group is never bootstrapped twice.
+
+        Args:
+            group: Name of the group.
+            size: Target number of voters.
+            oldest: Replies from before this time don't count.
         """
         names = self._founder_names(group, size)
         if names[:1] != [self.me.instance]:
             return None
         peers = [self.peer(self.me)]
         for name in names[1:]:
-            resident = self.observed.get(name)
-            if resident is None or resident.answered_at <= oldest:
+            observed = self.observed.get(name)
+            if observed is None or observed.answered_at <= oldest:
                 return None
-            if group in resident.groups:
+            if group in observed.groups:
                 return None
-            peers.append(resident.peer)
+            peers.append(observed.peer)
         return types.Configuration(peers, [])
 
     def _founder_names(self, group: str, size: int) -> list[str]:
--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -279,7 +279,7 @@
         ]
         targets = [letter.to for letter in beats]
         self.assertEqual(len(set(targets)), len(targets))
-        self.assertEqual({None}, {b.message.beats for b in beats})
+        self.assertEqual({None}, {b.message.groups for b in beats})
 
     def test_frame_for_an_earlier_life_of_the_disk_is_dropped(self) -> None:
         cluster = settled()
