--- a/testing/fakes/core_cluster.py
+++ b/testing/fakes/core_cluster.py
@@ -1,4 +1,4 @@
-"""Instances of the consensus core in virtual time, and what must hold there."""
+"""A cluster of consensus core instances in virtual time, with its checks."""
 
 from collections.abc import Callable
 import heapq
@@ -25,16 +25,32 @@
     batch_entries=4,
     max_in_flight=4,
 )
-SNAPSHOT_EVERY = 12
-KEEP = 4
+# Entries applied after a snapshot until the next one is taken.
+SNAPSHOT_ENTRIES = 12
+# Entries that compaction keeps below a snapshot.
+KEPT_ENTRIES = 4
 
 
 class Fault(AssertionError):
-    """A guarantee was broken."""
+    """A guarantee of the consensus core was violated."""
 
 
 class Node:
-    """One instance: its disk, its clock and its process."""
+    """One instance: its disk, its clock and its process.
+
+    Attributes:
+        rate: Rate of its clock; 1.0 is exact.
+        offset: Its clock's time at the start of the cluster, in seconds.
+        epoch: Number of its process starts.
+        identity: Incarnation of its disk; epoch 0 for an unformatted one.
+        synced: Records in its write-ahead log.
+        snapshots: Stored state by group and index.
+        core: Its process; None while it is down.
+        machines: By group, the commands applied to its state machine.
+        stalled_until: Virtual time until which the process makes no progress.
+        crash_in_next_write: Whether power fails in the next write of
+            records.
+    """
 
     def __init__(self, name: str, cluster: "Cluster") -> None:
         self.name = name
@@ -49,7 +65,7 @@
         self.core: instance.Instance | None = None
         self.machines: dict[str, list[bytes]] = {}
         self.stalled_until = 0.0
-        self.tear_next = False
+        self.crash_in_next_write = False
 
     def now(self) -> float:
         return self.offset + self.cluster.time * self.rate
@@ -85,10 +101,10 @@
 
     def crash(self) -> None:
         self.core = None
-        self.cluster.lose_waiters(self.name)
+        self.cluster.drop_proposals(self.name)
 
     def work(self) -> None:
-        """Carries out effects in the order that the real driver uses."""
+        """Carries out effects in the same order as the real driver."""
         while self.core is not None:
             core = self.core
             core.flush(self.now())
@@ -103,9 +119,9 @@
             self.machines[item.group] = _restore(item.state)
             core.replicas[item.group].on_restored(item.snapshot.index)
         self._send(box.messages)
-        if self.tear_next and box.records:
-            # Power fails in the write: an unsynced prefix may have landed.
-            self.tear_next = False
+        if self.crash_in_next_write and box.records:
+            # Power fails during the write; a prefix of it may be on the disk.
+            self.crash_in_next_write = False
             kept = self.cluster.rng.randrange(len(box.records))
             self.synced.extend(box.records[:kept])
             self.crash()
@@ -134,18 +150,18 @@
                 self.machines[group].append(entry.data)
         self.cluster.check_machine(self, group)
         state = replica.state
-        if state.applied - state.snapshot.index >= SNAPSHOT_EVERY:
+        if state.applied - state.snapshot.index >= SNAPSHOT_ENTRIES:
             mark = replica.snapshot_metadata()
             data = b",".join(self.machines[group])
             self.snapshots[group, mark.index] = data
-            replica.compact(mark, KEEP)
+            replica.compact(mark, KEPT_ENTRIES)
 
-    def _send(self, letters: list[outbox.OutgoingMessage]) -> None:
-        for letter in letters:
+    def _send(self, outgoing: list[outbox.OutgoingMessage]) -> None:
+        for item in outgoing:
             frame = wire.Frame(
-                self.identity, self.name, letter.to, [letter.message]
+                self.identity, self.name, item.to, [item.message]
             )
-            self.cluster.send(self.name, letter.to.instance, frame)
+            self.cluster.send(self.name, item.to.instance, frame)
 
 
 def _restore(state: bytes) -> list[bytes]:
@@ -153,7 +169,25 @@
 
 
 class Cluster:
-    """The nodes, the network, the clients and the checks."""
+    """The nodes, the network, the clients and the checks.
+
+    Attributes:
+        incarnations: Whether a node with an emptied disk gets a new identity.
+        blocked: Pairs of source and target whose frames are dropped.
+        loss: Probability that a frame is lost.
+        delay: Mean delay of a frame in seconds.
+        duplicates: Probability that a frame is delivered twice.
+        extra_delay: Additional delay by source and target, in seconds.
+        history: By group and index, every entry that was applied.
+        commands: By group, the committed commands in order.
+        command_counts: By group and index, the number of commands up to it.
+        leaders: By group and term, the replica that led.
+        min_read_index: By group, the index that a new read must see.
+        proposals: Term of a pending proposal by node, group and index.
+        reads: Group and minimum index of a pending read by token.
+        acknowledged_count: Number of acknowledged proposals.
+        acknowledged_commands: By group, in order of acknowledgement.
+    """
 
     def __init__(
         self,
@@ -172,7 +206,7 @@
         ]
         self.time = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.counter = itertools.count()
         self.blocked: set[tuple[str, str]] = set()
         self.loss = 0.0
         self.delay = 0.005
@@ -182,24 +216,26 @@
             group: {} for group in GROUPS
         }
         self.commands: dict[str, list[bytes]] = {g: [] for g in GROUPS}
-        self.command_ends: dict[str, dict[int, int]] = {
+        self.command_counts: dict[str, dict[int, int]] = {
             group: {0: 0} for group in GROUPS
         }
         self.leaders: dict[tuple[str, int], identities.Incarnation] = {}
-        self.floor = dict.fromkeys(GROUPS, 0)
-        self.writes: dict[tuple[str, str, int], int] = {}
+        self.min_read_index = dict.fromkeys(GROUPS, 0)
+        self.proposals: dict[tuple[str, str, int], int] = {}
         self.reads: dict[int, tuple[str, int]] = {}
-        self.acknowledged = 0
-        self.answers: dict[str, list[bytes]] = {g: [] for g in GROUPS}
+        self.acknowledged_count = 0
+        self.acknowledged_commands: dict[str, list[bytes]] = {
+            g: [] for g in GROUPS
+        }
         self.nodes = {name: Node(name, self) for name in NAMES}
         for node in self.nodes.values():
             node.start()
             self.after(self.rng.uniform(0, 0.05), lambda n=node: self._tick(n))
 
-    # Events.
+    # Scheduling and network.
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        entry = (self.time + seconds, next(self.numbers), action)
+        entry = (self.time + seconds, next(self.counter), action)
         heapq.heappush(self.queue, entry)
 
     def run(self, seconds: float) -> None:
@@ -248,7 +284,7 @@
         if ticket is None:
             return False
         term, index = ticket
-        self.writes[name, group, index] = term
+        self.proposals[name, group, index] = term
         node.work()
         return True
 
@@ -256,13 +292,17 @@
         node = self.nodes[name]
         if node.core is None or node.stalled_until > self.time:
             return
-        token = next(self.numbers)
-        self.reads[token] = (group, self.floor[group])
+        token = next(self.counter)
+        self.reads[token] = (group, self.min_read_index[group])
         node.core.replicas[group].read(token, node.now())
         node.work()
 
     def leader(self, group: str = "g") -> Node:
-        """Returns the node that leads in the highest term."""
+        """Returns the leader with the highest term.
+
+        Raises:
+            Fault: No running node leads the group.
+        """
         leading = [
             (node.core.replicas[group].state.term, node.name)
             for node in self.nodes.values()
@@ -270,58 +310,72 @@
             and node.core.replicas[group].state.role == types.LEADER
         ]
         if not leading:
-            raise Fault(f"nobody leads {group}")
+            raise Fault(f"group {group} has no leader")
         return self.nodes[max(leading)[1]]
 
     def voters(self, group: str = "g") -> list[Node]:
-        """Returns the nodes that vote, by the leader's configuration."""
+        """Returns the voters in the leader's configuration."""
         core = self.leader(group).core
         peers = core.replicas[group].state.configuration.voters
         return [self.nodes[peer.replica.instance] for peer in peers]
 
     def isolate(self, name: str) -> None:
-        """Drops every frame from and to a node, without a word."""
+        """Silently drops every frame from and to a node."""
         for other in NAMES:
             self.blocked |= {(name, other), (other, name)}
 
-    def lose_waiters(self, name: str) -> None:
-        for key in [key for key in self.writes if key[0] == name]:
-            del self.writes[key]
+    def drop_proposals(self, name: str) -> None:
+        for key in [key for key in self.proposals if key[0] == name]:
+            del self.proposals[key]
 
     # Checks.
 
     def on_apply(self, node: Node, group: str, entry: types.Entry) -> None:
         known = self.history[group].setdefault(entry.index, entry)
         if known != entry:
-            raise Fault(f"{node.identity} applies {entry}, others {known}")
-        if entry.index not in self.command_ends[group]:
+            raise Fault(
+                f"{node.identity} applied {entry}, but another node applied"
+                f" {known}"
+            )
+        if entry.index not in self.command_counts[group]:
             if entry.kind == types.COMMAND:
                 self.commands[group].append(entry.data)
-            ends = self.command_ends[group]
+            ends = self.command_counts[group]
             ends[entry.index] = len(self.commands[group])
-        term = self.writes.pop((node.name, group, entry.index), None)
+        term = self.proposals.pop((node.name, group, entry.index), None)
         if term == entry.term:
-            self.acknowledged += 1
-            self.answers[group].append(entry.data)
-            self.floor[group] = max(self.floor[group], entry.index)
+            self.acknowledged_count += 1
+            self.acknowledged_commands[group].append(entry.data)
+            self.min_read_index[group] = max(
+                self.min_read_index[group], entry.index
+            )
 
     def check_machine(self, node: Node, group: str) -> None:
         applied = node.core.replicas[group].state.applied
-        length = self.command_ends[group].get(applied)
+        length = self.command_counts[group].get(applied)
         machine = node.machines[group]
         if length is None or machine != self.commands[group][:length]:
-            raise Fault(f"{node.identity}'s machine of {group} is no prefix")
+            raise Fault(
+                f"state of {group} on {node.identity} is not a prefix of the"
+                " committed commands"
+            )
 
     def on_read(self, node: Node, ready: outbox.ReadReady) -> None:
-        group, floor = self.reads.pop(ready.token)
+        group, minimum = self.reads.pop(ready.token)
         if not ready.granted:
             return
         applied = node.core.replicas[group].state.applied
         if applied < ready.index:
-            raise Fault("a read was granted before its index was applied")
-        if applied < floor:
-            raise Fault(f"{node.identity} reads {applied}, {floor} was seen")
-        self.floor[group] = max(self.floor[group], applied)
+            raise Fault(
+                f"a read at index {ready.index} was granted when only"
+                f" {applied} was applied"
+            )
+        if applied < minimum:
+            raise Fault(
+                f"stale read: {node.identity} reads index {applied}, expected"
+                f" at least {minimum}"
+            )
+        self.min_read_index[group] = max(self.min_read_index[group], applied)
 
     def check_leaders(self) -> None:
         alive = [n for n in self.nodes.values() if n.core is not None]
@@ -347,14 +401,18 @@
     def _check_leader(self, group: str, state: Any) -> None:
         known = self.leaders.setdefault((group, state.term), state.me)
         if known != state.me:
-            raise Fault(f"{known} and {state.me} lead in term {state.term}")
+            raise Fault(
+                f"{known} and {state.me} both lead in term {state.term}"
+            )
         if state.commit >= state.term_start:
             return
-        # A new leader must hold every entry that was ever applied.
+        # A new leader must hold every entry that was applied before.
         log = state.log
         for index, entry in self.history[group].items():
             newer = entry.term > state.term
             if newer or index <= log.base_index:
                 continue
             if log.term_at(index) != entry.term:
-                raise Fault(f"leader {state.me} lost entry {index}")
+                raise Fault(
+                    f"leader {state.me} lacks applied entry {index} of {group}"
+                )
--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -73,7 +73,7 @@
 class ScheduleTest(testtools.TestCase):
     def test_fixed_schedules_break_no_guarantee(self) -> None:
         clusters = [explorer.explore(seed) for seed in SEEDS]
-        work = sum(cluster.acknowledged for cluster in clusters)
+        work = sum(cluster.acknowledged_count for cluster in clusters)
         changes = sum(len(cluster.leaders) for cluster in clusters)
         # Schedules without commits or elections would prove nothing.
         self.assertGreater(work, 20 * len(clusters))
@@ -107,9 +107,9 @@
             if play(cluster, step, core_cluster.NAMES[which], command):
                 proposed.append(command)
             cluster.run(0.15)
-        explorer.Schedule(cluster).must_recover()
+        explorer.Schedule(cluster).check_recovery()
         log = cluster.commands["g"]
-        naive = cluster.answers["g"]
+        naive = cluster.acknowledged_commands["g"]
         self.assertEqual(naive, [c for c in log if c in set(naive)])
         known = {*proposed, b"last"}
         self.assertEqual([], [c for c in log if c not in known])
@@ -245,10 +245,9 @@
             core.flush(leader.now())
             box = core.outbox.take()
             return [
-                letter.message
-                for letter in (*box.messages, *box.messages_after_sync)
-                if letter.to == follower
-                and isinstance(letter.message, wire.Append)
+                item.message
+                for item in (*box.messages, *box.messages_after_sync)
+                if item.to == follower and isinstance(item.message, wire.Append)
             ]
 
         sent = []
@@ -273,11 +272,11 @@
         leader.core.outbox.take()
         leader.core.tick(leader.now() + 0.2)
         beats = [
-            letter
-            for letter in leader.core.outbox.messages
-            if isinstance(letter.message, wire.Heartbeat)
+            item
+            for item in leader.core.outbox.messages
+            if isinstance(item.message, wire.Heartbeat)
         ]
-        targets = [letter.to for letter in beats]
+        targets = [item.to for item in beats]
         self.assertEqual(len(set(targets)), len(targets))
         self.assertEqual({None}, {b.message.groups for b in beats})
 
--- a/testing/test_consensus_safeguards.py
+++ b/testing/test_consensus_safeguards.py
@@ -30,7 +30,7 @@
     return cluster, leader, [n for n in cluster.voters() if n is not leader]
 
 
-def follower_returns(
+def partitioned_follower_returns(
     cluster: core_cluster.Cluster,
     leader: core_cluster.Node,
     others: list[core_cluster.Node],
@@ -44,7 +44,7 @@
         raise core_cluster.Fault("a returning follower unseated the leader")
 
 
-def late_answers(
+def heartbeat_replies_are_late(
     cluster: core_cluster.Cluster,
     leader: core_cluster.Node,
     others: list[core_cluster.Node],
@@ -57,7 +57,7 @@
     cluster.run(2.0)
 
 
-def power_fails_before_the_sync(
+def power_fails_before_sync(
     cluster: core_cluster.Cluster,
     leader: core_cluster.Node,
     others: list[core_cluster.Node],
@@ -65,7 +65,7 @@
     holder, cut = others
     cluster.isolate(cut.name)
     cluster.run(0.2)
-    holder.tear_next = True
+    holder.crash_in_next_write = True
     cluster.write(leader.name, "g", b"kept")
     cluster.run(0.2)
     leader.crash()
@@ -91,11 +91,13 @@
     cluster.run(4.0)
     leader.start()
     cluster.run(4.0)
-    if cluster.answers["g"] != [b"kept"]:
-        raise core_cluster.Fault(f"{cluster.answers['g']} came through")
+    if cluster.acknowledged_commands["g"] != [b"kept"]:
+        raise core_cluster.Fault(
+            f"{cluster.acknowledged_commands['g']} came through"
+        )
 
 
-def second_loss_within_repair(
+def second_loss_during_repair(
     cluster: core_cluster.Cluster,
     leader: core_cluster.Node,
     others: list[core_cluster.Node],
@@ -119,8 +121,10 @@
     if not cluster.write(cluster.leader().name, "g", b"later"):
         raise core_cluster.Fault("no leader takes proposals")
     cluster.run(0.5)
-    if cluster.answers["g"] != [b"kept", b"later"]:
-        raise core_cluster.Fault(f"only {cluster.answers['g']} came through")
+    if cluster.acknowledged_commands["g"] != [b"kept", b"later"]:
+        raise core_cluster.Fault(
+            f"only {cluster.acknowledged_commands['g']} came through"
+        )
 
 
 def voter_restarts(
@@ -144,7 +148,7 @@
 
 
 class SafeguardsTest(testtools.TestCase):
-    def check(
+    def check_safeguard(
         self,
         scenario: Callable[..., None],
         safeguards: types.Safeguards = ALL,
@@ -163,7 +167,9 @@
         meets the higher term and steps down, and callers wait for an
         election that nobody needed.
         """
-        self.check(follower_returns, ALL._replace(pre_vote=False))
+        self.check_safeguard(
+            partitioned_follower_returns, ALL._replace(pre_vote=False)
+        )
 
     def test_lease_margin_keeps_leases_apart(self) -> None:
         """Answers to heartbeats come 0.9 s late, then the leader is cut off.
@@ -171,7 +177,9 @@
         Counted from the answer, its lease outlasts the voters' promise: it
         still answers reads after another was elected.
         """
-        self.check(late_answers, ALL._replace(lease_margin=False))
+        self.check_safeguard(
+            heartbeat_replies_are_late, ALL._replace(lease_margin=False)
+        )
 
     def test_sync_before_acknowledgement_keeps_committed_entries(self) -> None:
         """Power fails at a follower between the answer and the sync.
@@ -179,7 +187,9 @@
         The leader counted the entry as held by two of three, told its caller
         so, and died. The follower has lost it, and the third never had it.
         """
-        self.check(power_fails_before_the_sync, ALL._replace(sync_first=False))
+        self.check_safeguard(
+            power_fails_before_sync, ALL._replace(sync_first=False)
+        )
 
     def test_incarnation_keeps_an_emptied_disk_from_voting(self) -> None:
         """A follower that acknowledged an entry loses its disk.
@@ -188,7 +198,7 @@
         third replica, which lacks the entry. Under a new one it cannot, and
         the entry comes back with the old leader.
         """
-        self.check(disk_is_emptied, incarnations=False)
+        self.check_safeguard(disk_is_emptied, incarnations=False)
 
     def test_add_before_remove_survives_a_loss_within_the_repair(self) -> None:
         """A voter is only cut off, a spare joins, then a disk is lost.
@@ -196,8 +206,8 @@
         The cut voter comes back. Had it been removed first, two voters would
         be left, one of them lost: the group could never commit again.
         """
-        self.check(
-            second_loss_within_repair, ALL._replace(add_before_remove=False)
+        self.check_safeguard(
+            second_loss_during_repair, ALL._replace(add_before_remove=False)
         )
 
     def test_restarted_voter_keeps_the_promise_of_its_earlier_life(
@@ -211,14 +221,16 @@
         """
         scenario = settled(ALL, True)
         voter_restarts(*scenario)
-        usual = state.State.__init__
+        original = state.State.__init__
 
-        def forgetful(self: state.State, *given: Any, **named: Any) -> None:
-            usual(self, *given, **named)
+        def init_without_promise(
+            self: state.State, *given: Any, **named: Any
+        ) -> None:
+            original(self, *given, **named)
             self.leader_heard_at = -math.inf
 
         broken = settled(ALL, True)
-        self.patch(state.State, "__init__", forgetful)
+        self.patch(state.State, "__init__", init_without_promise)
         self.assertRaises(core_cluster.Fault, voter_restarts, *broken)
 
 
@@ -230,7 +242,7 @@
     that started: nobody leads, and every caller is refused meanwhile.
     """
 
-    def seconds_to_a_leader(
+    def seconds_to_leader(
         self, seed: int, stagger: float, wipe: bool = False
     ) -> float:
         """Returns the time from a majority of running voters to a leader.
@@ -269,15 +281,15 @@
     def test_former_leader_leads_again_at_once(self) -> None:
         # 0.50 to 0.98 s, mean 0.66, while all voters waited for the lease.
         for stagger in (0.0, 0.5):
-            took = [self.seconds_to_a_leader(n, stagger) for n in range(1, 41)]
-            mean = sum(took) / len(took)
+            times = [self.seconds_to_leader(n, stagger) for n in range(1, 41)]
+            mean = sum(times) / len(times)
             self.assertThat(mean, matchers.LessThan(0.15))
-            self.assertThat(max(took), matchers.LessThan(0.35))
+            self.assertThat(max(times), matchers.LessThan(0.35))
 
     def test_leader_that_lost_its_disk_is_replaced_soon(self) -> None:
         # 0.48 to 0.98 s, mean 0.70, while the others waited for its lease.
-        took = [self.seconds_to_a_leader(n, 0.3, True) for n in range(1, 41)]
-        mean = sum(took) / len(took)
+        times = [self.seconds_to_leader(n, 0.3, True) for n in range(1, 41)]
+        mean = sum(times) / len(times)
         self.assertThat(mean, matchers.LessThan(0.3))
 
     def test_promise_to_a_leader_heard_in_this_life_outlasts_its_name(
@@ -300,19 +312,19 @@
         voter.crash()
         voter.start()
         state = voter.core.replicas["g"].state
-        question = wire.PreVoteRequest("g", state.term + 1, 10**6, state.term)
-        voter.core.step(candidate.identity, question, voter.now())
+        request = wire.PreVoteRequest("g", state.term + 1, 10**6, state.term)
+        voter.core.step(candidate.identity, request, voter.now())
         self.assertEqual([False], granted(voter))
-        voter.core.step(leader.identity, question, voter.now())
+        voter.core.step(leader.identity, request, voter.now())
         self.assertEqual([True], granted(voter))
 
     def test_late_question_of_the_leader_ends_no_promise(self) -> None:
-        """A candidate's question arrives after it won the election."""
+        """A candidate's request arrives after it won the election."""
         _, leader, (voter, _) = settled(ALL, True)
         state = voter.core.replicas["g"].state
-        question = wire.PreVoteRequest("g", state.term, 10**6, state.term)
+        request = wire.PreVoteRequest("g", state.term, 10**6, state.term)
         before = state.leader_heard_at
-        voter.core.step(leader.identity, question, voter.now())
+        voter.core.step(leader.identity, request, voter.now())
         self.assertEqual(before, state.leader_heard_at)
 
     def test_voter_that_died_before_its_note_keeps_its_promise(self) -> None:
@@ -321,16 +333,16 @@
         voter.synced = [r for r in voter.synced if msgpack.unpackb(r)[0] != 3]
         voter.start()
         state = voter.core.replicas["g"].state
-        question = wire.PreVoteRequest("g", state.term + 1, 10**6, state.term)
-        voter.core.step(leader.identity, question, voter.now())
+        request = wire.PreVoteRequest("g", state.term + 1, 10**6, state.term)
+        voter.core.step(leader.identity, request, voter.now())
         self.assertEqual([False], granted(voter))
 
 
 def granted(node: core_cluster.Node) -> list[bool]:
     """Takes a node's answers to questions before votes."""
-    letters = node.core.outbox.take().messages
+    outgoing = node.core.outbox.take().messages
     return [
-        letter.message.granted
-        for letter in letters
-        if isinstance(letter.message, wire.PreVoteReply)
+        item.message.granted
+        for item in outgoing
+        if isinstance(item.message, wire.PreVoteReply)
     ]
