--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -1,4 +1,4 @@
-"""The consensus core under faults, in virtual time."""
+"""Tests of the consensus core, most of them with faults in virtual time."""
 
 import collections
 
@@ -30,24 +30,24 @@
 
 
 class InstallFrameTest(testtools.TestCase):
-    def test_head_and_state_are_the_frame(self) -> None:
+    def test_header_and_state_are_the_encoded_frame(self) -> None:
         one = identities.Incarnation("a", 1)
         mark = types.SnapshotMetadata(7, 2, types.EMPTY)
         for size in (0, 1, 255, 256, 65_535, 65_536, 200_000):
             message = wire.InstallSnapshot("g", 2, mark, bytes(size))
             frame = wire.Frame(one, "a:1", one, [message])
-            pieces = wire.encode_install(frame)
-            self.assertEqual(wire.encode(frame), b"".join(pieces))
-            self.assertIs(message.state, pieces[1])
-            self.assertEqual(frame, wire.decode(b"".join(pieces)))
+            parts = wire.encode_install(frame)
+            self.assertEqual(wire.encode(frame), b"".join(parts))
+            self.assertIs(message.state, parts[1])
+            self.assertEqual(frame, wire.decode(b"".join(parts)))
 
 
 class EntryLogTest(testtools.TestCase):
-    def test_entries_below_the_base_are_refused(self) -> None:
-        """A machine that waits for a snapshot asks for what it covers.
+    def test_compacted_entries_are_refused(self) -> None:
+        """Entries that a snapshot covers are requested.
 
-        It got the newest entries instead, and applied them in the place of
-        those that the snapshot holds.
+        A negative offset would return the newest entries instead, and the
+        state machine would apply them in place of the compacted ones.
         """
         log = entries.EntryLog()
         log.reset(5, 1)
@@ -56,12 +56,11 @@
         self.assertEqual([6, 7], [e.index for e in log.between(6, 7)])
         self.assertRaises(ValueError, log.between, 4, 7)
 
-    def test_empty_range_behind_a_snapshot_that_waits_is_empty(self) -> None:
-        """A replica has applied 4 and waits for a snapshot of 5.
+    def test_empty_range_below_the_base_is_empty(self) -> None:
+        """A replica has applied entry 4 and is restoring a snapshot up to 5.
 
-        Asked for what it applied after its base, the log counted from its end
-        and gave 6, which no machine had: a check took the machine for one
-        that was behind its replica.
+        The range from the first entry of the log, 6, to 4 is empty. With a
+        negative offset the log would return entry 6, which was not applied.
         """
         log = entries.EntryLog()
         log.reset(5, 1)
@@ -71,11 +70,11 @@
 
 
 class ScheduleTest(testtools.TestCase):
-    def test_fixed_schedules_break_no_guarantee(self) -> None:
+    def test_fixed_schedules_violate_no_guarantee(self) -> None:
         clusters = [explorer.explore(seed) for seed in SEEDS]
         work = sum(cluster.acknowledged_count for cluster in clusters)
         changes = sum(len(cluster.leaders) for cluster in clusters)
-        # Schedules without commits or elections would prove nothing.
+        # The schedules must contain commits and elections to be meaningful.
         self.assertGreater(work, 20 * len(clusters))
         self.assertGreater(changes, 4 * len(clusters))
 
@@ -92,13 +91,13 @@
             max_size=40,
         )
     )
-    def test_acknowledged_commands_match_a_naive_log(
+    def test_log_holds_the_acknowledged_commands_in_order(
         self, steps: list[tuple[str, int]]
     ) -> None:
-        """Drawn faults against a plain list of what was acknowledged.
+        """Compares random runs with a list of the acknowledged commands.
 
-        The replicas' common log holds each acknowledged command once, in the
-        order of the acknowledgements, and nothing that nobody proposed.
+        The replicated log must hold each acknowledged command once, in the
+        order of acknowledgement, and no command that was not proposed.
         """
         cluster = settled()
         proposed = []
@@ -109,8 +108,10 @@
             cluster.run(0.15)
         explorer.Schedule(cluster).check_recovery()
         log = cluster.commands["g"]
-        naive = cluster.acknowledged_commands["g"]
-        self.assertEqual(naive, [c for c in log if c in set(naive)])
+        acknowledged = cluster.acknowledged_commands["g"]
+        self.assertEqual(
+            acknowledged, [c for c in log if c in set(acknowledged)]
+        )
         known = {*proposed, b"last"}
         self.assertEqual([], [c for c in log if c not in known])
 
@@ -140,11 +141,14 @@
 
 
 class LeaseTest(testtools.TestCase):
-    def test_cut_off_leader_loses_its_lease_before_another_leads(self) -> None:
-        """A silent partition cuts off the leader.
+    def test_partitioned_leader_loses_its_lease_before_another_leads(
+        self,
+    ) -> None:
+        """The leader is partitioned, and its frames are silently dropped.
 
-        Its callers must not read old state, so its lease ends first; it
-        steps down, and the majority elects another within two seconds.
+        Its lease must expire before another leader is elected, which takes
+        at most two seconds, so that its callers read no stale state. Then it
+        steps down.
         """
         cluster = settled()
         old = cluster.leader()
@@ -159,7 +163,7 @@
         state = old.core.replicas["g"].state
         self.assertNotEqual(types.LEADER, state.role)
 
-    def test_read_without_lease_waits_for_a_quorum(self) -> None:
+    def test_read_without_a_lease_waits_for_a_quorum(self) -> None:
         cluster = settled()
         leader = cluster.leader()
         leader.core.replicas["g"].state.lease_given_up = True
@@ -181,11 +185,13 @@
 
 
 class CommitTest(testtools.TestCase):
-    def test_majority_for_an_earlier_term_commits_nothing(self) -> None:
+    def test_majority_for_an_entry_of_an_earlier_term_commits_nothing(
+        self,
+    ) -> None:
         """A new leader finds an entry of an earlier term on a majority.
 
-        Another replica may hold a later term and still overwrite it, so it
-        counts as committed only with an entry of the leader's own term.
+        A replica with an entry of a later term could still overwrite it, so
+        it is committed only together with an entry of the leader's own term.
         """
         me, other = (identities.Incarnation(name, 1) for name in ("c1", "c2"))
         voters = [
@@ -229,11 +235,12 @@
         self.assertEqual(1, len(state.configuration.learners))
         self.assertIn(silent, cluster.voters())
 
-    def test_entries_behind_unanswered_messages_share_the_next(
+    def test_entries_proposed_at_the_in_flight_limit_share_a_message(
         self,
     ) -> None:
-        # At hundreds of commits a second each entry travelled alone, and woke
-        # every voter and the leader again for itself.
+        # While `max_in_flight` messages lack a reply, new entries must be
+        # batched. Sent one by one at hundreds of commits per second, each
+        # would wake every voter and then the leader.
         cluster = settled()
         leader = cluster.leader()
         core, state = leader.core, leader.core.replicas["g"].state
@@ -280,17 +287,17 @@
         self.assertEqual(len(set(targets)), len(targets))
         self.assertEqual({None}, {b.message.groups for b in beats})
 
-    def test_frame_for_an_earlier_life_of_the_disk_is_dropped(self) -> None:
+    def test_frame_for_another_incarnation_is_dropped(self) -> None:
         cluster = settled()
         node = cluster.leader()
-        earlier = node.identity._replace(epoch=99)
+        other_incarnation = node.identity._replace(epoch=99)
         vote = wire.VoteRequest("g", 1000, 1000, 1000, True)
         other = identities.Incarnation("c9", 1)
-        frame = wire.Frame(other, "c9", earlier, [vote])
+        frame = wire.Frame(other, "c9", other_incarnation, [vote])
         node.core.receive(frame, node.now())
         self.assertLess(node.core.replicas["g"].state.term, 1000)
 
-    def test_bytes_of_no_frame_are_a_typed_error(self) -> None:
+    def test_invalid_frame_is_a_typed_error(self) -> None:
         for data in (b"", b"\xc1", b"\x90", b"\x94\x01\x02\x03\x04"):
             self.assertRaises(errors.BadRequest, wire.decode, data)
 
@@ -317,7 +324,7 @@
         types.Member(f"c{n}", f"a{n}", f"d{n % 3}", "r") for n in range(9)
     ]
 
-    def test_voters_lie_in_different_failure_domains(self) -> None:
+    def test_voters_are_in_different_failure_domains(self) -> None:
         for number in range(50):
             chosen = placement.voters(f"g{number}", self.members, 3)
             self.assertEqual(3, len({m.failure_domain for m in chosen}))
@@ -331,11 +338,13 @@
         self.assertEqual(9, len(count))
         self.assertLess(max(count.values()), 2 * min(count.values()))
 
-    def test_instance_with_an_emptied_disk_starts_no_group_again(self) -> None:
-        """The founder's disk is emptied; the others know the group.
+    def test_instance_with_an_emptied_disk_bootstraps_no_known_group(
+        self,
+    ) -> None:
+        """The bootstrapping instance's disk is emptied; others know the group.
 
-        Starting it again would make a second group of the same name that
-        knows none of the commits of the first.
+        Bootstrapping it again would create a second group of the same name
+        without the commits of the first.
         """
         members = self.members[:3]
         founder, second, third = placement.voters("g", members, 3)
@@ -354,7 +363,7 @@
 
 
 class OutboxTest(testtools.TestCase):
-    def test_taking_leaves_the_outbox_empty(self) -> None:
+    def test_take_leaves_the_outbox_empty(self) -> None:
         box = outbox.Outbox()
         box.records.append(b"x")
         self.assertEqual([b"x"], box.take().records)
--- a/testing/test_consensus_safeguards.py
+++ b/testing/test_consensus_safeguards.py
@@ -1,7 +1,7 @@
-"""Each safeguard of the core, and what happens without it.
+"""Each safeguard of the consensus core, and the failure that it prevents.
 
-A scenario raises `Fault` when a guarantee is broken. Each test runs
-it with the safeguard, and shows that it fails once that is taken out.
+A scenario raises `Fault` if a guarantee is violated. Each test checks that
+the scenario passes with the safeguard and fails without it.
 """
 
 from collections.abc import Callable
@@ -41,7 +41,7 @@
     cluster.blocked.clear()
     cluster.run(0.5)
     if cluster.leader().core.replicas["g"].state.term != term:
-        raise core_cluster.Fault("a returning follower unseated the leader")
+        raise core_cluster.Fault("a returning follower deposed the leader")
 
 
 def heartbeat_replies_are_late(
@@ -62,8 +62,8 @@
     leader: core_cluster.Node,
     others: list[core_cluster.Node],
 ) -> None:
-    holder, cut = others
-    cluster.isolate(cut.name)
+    holder, isolated = others
+    cluster.isolate(isolated.name)
     cluster.run(0.2)
     holder.crash_in_next_write = True
     cluster.write(leader.name, "g", b"kept")
@@ -79,8 +79,8 @@
     leader: core_cluster.Node,
     others: list[core_cluster.Node],
 ) -> None:
-    holder, cut = others
-    cluster.isolate(cut.name)
+    holder, isolated = others
+    cluster.isolate(isolated.name)
     cluster.write(leader.name, "g", b"kept")
     cluster.run(0.2)
     holder.crash()
@@ -93,7 +93,7 @@
     cluster.run(4.0)
     if cluster.acknowledged_commands["g"] != [b"kept"]:
         raise core_cluster.Fault(
-            f"{cluster.acknowledged_commands['g']} came through"
+            f"expected only b'kept', got {cluster.acknowledged_commands['g']}"
         )
 
 
@@ -102,11 +102,11 @@
     leader: core_cluster.Node,
     others: list[core_cluster.Node],
 ) -> None:
-    cut, lost = others
+    isolated, lost = others
     state = leader.core.replicas["g"].state
     cluster.write(leader.name, "g", b"kept")
     cluster.run(0.5)
-    cluster.isolate(cut.name)
+    cluster.isolate(isolated.name)
     for _ in range(100):
         cluster.run(0.05)
         if state.configuration.learners:
@@ -123,7 +123,8 @@
     cluster.run(0.5)
     if cluster.acknowledged_commands["g"] != [b"kept", b"later"]:
         raise core_cluster.Fault(
-            f"only {cluster.acknowledged_commands['g']} came through"
+            f"expected b'kept' and b'later',"
+            f" got {cluster.acknowledged_commands['g']}"
         )
 
 
@@ -133,7 +134,7 @@
     others: list[core_cluster.Node],
 ) -> None:
     for _ in range(20):
-        # Whoever leads by now: a round may end with another leader.
+        # The previous round may have ended with another leader.
         leader = cluster.leader()
         candidate, voter = [n for n in cluster.voters() if n is not leader]
         pair = (leader.name, candidate.name)
@@ -154,70 +155,73 @@
         safeguards: types.Safeguards = ALL,
         incarnations: bool = True,
     ) -> None:
-        """Runs a scenario with every safeguard, and with one taken out."""
+        """Runs a scenario with all safeguards, and with one turned off."""
         scenario(*settled(ALL, True))
         self.assertRaises(
             core_cluster.Fault, scenario, *settled(safeguards, incarnations)
         )
 
     def test_pre_vote_keeps_the_leader_when_a_follower_returns(self) -> None:
-        """A follower is cut off for seconds and comes back.
+        """A follower is partitioned for some seconds and returns.
 
-        Without the pre-vote it has raised its term over and over; the leader
-        meets the higher term and steps down, and callers wait for an
-        election that nobody needed.
+        Without the pre-vote it raises its term repeatedly while partitioned.
+        The leader sees the higher term and steps down, and callers wait for
+        an unnecessary election.
         """
         self.check_safeguard(
             partitioned_follower_returns, ALL._replace(pre_vote=False)
         )
 
     def test_lease_margin_keeps_leases_apart(self) -> None:
-        """Answers to heartbeats come 0.9 s late, then the leader is cut off.
+        """Heartbeat replies are 0.9 s late, then the leader is partitioned.
 
-        Counted from the answer, its lease outlasts the voters' promise: it
-        still answers reads after another was elected.
+        If the lease started at the reply, it would outlast the voters'
+        promise, and the old leader would answer reads after a new one was
+        elected.
         """
         self.check_safeguard(
             heartbeat_replies_are_late, ALL._replace(lease_margin=False)
         )
 
     def test_sync_before_acknowledgement_keeps_committed_entries(self) -> None:
-        """Power fails at a follower between the answer and the sync.
+        """A follower loses power between its acknowledgement and the sync.
 
-        The leader counted the entry as held by two of three, told its caller
-        so, and died. The follower has lost it, and the third never had it.
+        The leader counts the entry as held by two of three voters,
+        acknowledges it and crashes. The follower has lost the entry, and the
+        third voter never had it.
         """
         self.check_safeguard(
             power_fails_before_sync, ALL._replace(sync_first=False)
         )
 
     def test_incarnation_keeps_an_emptied_disk_from_voting(self) -> None:
-        """A follower that acknowledged an entry loses its disk.
+        """A follower that acknowledged an entry comes back with an empty disk.
 
-        Under its old identity it would elect a leader together with the
-        third replica, which lacks the entry. Under a new one it cannot, and
-        the entry comes back with the old leader.
+        With its old identity it could elect a leader together with the third
+        voter, which lacks the entry. With a new one it cannot vote, and the
+        entry survives on the old leader.
         """
         self.check_safeguard(disk_is_emptied, incarnations=False)
 
-    def test_add_before_remove_survives_a_loss_within_the_repair(self) -> None:
-        """A voter is only cut off, a spare joins, then a disk is lost.
+    def test_add_before_remove_survives_a_loss_during_the_repair(self) -> None:
+        """A voter is partitioned, a spare joins, then another disk is lost.
 
-        The cut voter comes back. Had it been removed first, two voters would
-        be left, one of them lost: the group could never commit again.
+        The partitioned voter comes back. If it had been removed before its
+        successor was promoted, only two voters would remain, one of them
+        lost, and the group could never commit again.
         """
         self.check_safeguard(
             second_loss_during_repair, ALL._replace(add_before_remove=False)
         )
 
-    def test_restarted_voter_keeps_the_promise_of_its_earlier_life(
+    def test_restarted_voter_keeps_its_promise(
         self,
     ) -> None:
-        """Leader and one follower lose each other; the third restarts.
+        """A voter that has just answered a heartbeat restarts.
 
-        It answered a heartbeat just before, and the leader is cut off from
-        it too. Voting at once, it would elect the follower while the leader
-        still holds its lease.
+        The leader is partitioned from the other follower, then from the
+        restarted voter too. If the voter forgot its promise and voted at
+        once, it would elect the follower while the leader holds its lease.
         """
         scenario = settled(ALL, True)
         voter_restarts(*scenario)
@@ -235,22 +239,23 @@
 
 
 class ColdStartTest(testtools.TestCase):
-    """All processes end together, as when all machines lose their power.
+    """All processes stop together, as in a power loss of all hosts.
 
-    Every voter has just answered a heartbeat and waits, after its start, for
-    as long as that leader's lease may run. The leader itself is among those
-    that started: nobody leads, and every caller is refused meanwhile.
+    Every voter has just answered a heartbeat and would, after its restart,
+    keep its promise to a leader that has restarted too and no longer leads.
+    Until then the group would have no leader and refuse every caller.
     """
 
     def seconds_to_leader(
         self, seed: int, stagger: float, wipe: bool = False
     ) -> float:
-        """Returns the time from a majority of running voters to a leader.
+        """Returns the seconds from a majority of running voters to a leader.
 
         Args:
             seed: Seed of the cluster.
-            stagger: Longest time between the first start and the last.
-            wipe: Whether the leader's disk is lost besides.
+            stagger: Maximum time between the first start and the last.
+            wipe: Whether the leader's disk is lost as well; then the time
+                counts from the last start.
         """
         cluster = core_cluster.Cluster(seed)
         cluster.run(3.0)
@@ -276,26 +281,28 @@
             except core_cluster.Fault:
                 continue
             return max(0.0, cluster.time - ready)
-        raise core_cluster.Fault("nobody leads after 5 s")
+        raise core_cluster.Fault("no leader after 5 s")
 
     def test_former_leader_leads_again_at_once(self) -> None:
-        # 0.50 to 0.98 s, mean 0.66, while all voters waited for the lease.
+        # If all voters waited for the lease to expire: 0.50 to 0.98 s, mean
+        # 0.66.
         for stagger in (0.0, 0.5):
             times = [self.seconds_to_leader(n, stagger) for n in range(1, 41)]
             mean = sum(times) / len(times)
             self.assertThat(mean, matchers.LessThan(0.15))
             self.assertThat(max(times), matchers.LessThan(0.35))
 
-    def test_leader_that_lost_its_disk_is_replaced_soon(self) -> None:
-        # 0.48 to 0.98 s, mean 0.70, while the others waited for its lease.
+    def test_leader_that_lost_its_disk_is_soon_replaced(self) -> None:
+        # If the others waited for its lease to expire: 0.48 to 0.98 s, mean
+        # 0.70.
         times = [self.seconds_to_leader(n, 0.3, True) for n in range(1, 41)]
         mean = sum(times) / len(times)
         self.assertThat(mean, matchers.LessThan(0.3))
 
-    def test_promise_to_a_leader_heard_in_this_life_outlasts_its_name(
+    def test_promise_to_a_leader_heard_since_start_survives_a_new_incarnation(
         self,
     ) -> None:
-        """Another process comes up under the name of a leader that lives."""
+        """Another process starts under the name of a running leader."""
         _, leader, (voter, _) = settled(ALL, True)
         state = voter.core.replicas["g"].state
         other = leader.identity._replace(epoch=leader.identity.epoch + 1)
@@ -307,7 +314,7 @@
         voter.core.receive(frame, voter.now())
         self.assertEqual(before, state.leader_heard_at)
 
-    def test_question_from_another_candidate_ends_no_promise(self) -> None:
+    def test_pre_vote_of_another_candidate_keeps_the_promise(self) -> None:
         _, leader, (voter, candidate) = settled(ALL, True)
         voter.crash()
         voter.start()
@@ -318,8 +325,8 @@
         voter.core.step(leader.identity, request, voter.now())
         self.assertEqual([True], granted(voter))
 
-    def test_late_question_of_the_leader_ends_no_promise(self) -> None:
-        """A candidate's request arrives after it won the election."""
+    def test_delayed_pre_vote_of_the_leader_keeps_the_promise(self) -> None:
+        """A candidate's pre-vote arrives only after it won the election."""
         _, leader, (voter, _) = settled(ALL, True)
         state = voter.core.replicas["g"].state
         request = wire.PreVoteRequest("g", state.term, 10**6, state.term)
@@ -327,7 +334,7 @@
         voter.core.step(leader.identity, request, voter.now())
         self.assertEqual(before, state.leader_heard_at)
 
-    def test_voter_that_died_before_its_note_keeps_its_promise(self) -> None:
+    def test_voter_without_a_stored_leader_keeps_its_promise(self) -> None:
         _, leader, (voter, _) = settled(ALL, True)
         voter.crash()
         voter.synced = [r for r in voter.synced if msgpack.unpackb(r)[0] != 3]
@@ -339,7 +346,7 @@
 
 
 def granted(node: core_cluster.Node) -> list[bool]:
-    """Takes a node's answers to questions before votes."""
+    """Takes the results of the pre-vote replies in a node's outbox."""
     outgoing = node.core.outbox.take().messages
     return [
         item.message.granted
