--- a/src/mintcleat/consensus/replication.py
+++ b/src/mintcleat/consensus/replication.py
@@ -159,7 +159,7 @@
     """
     configuration = replica.configuration
     matches = sorted(
-        (match(replica, peer.replica) for peer in configuration.voters),
+        (match_index(replica, peer.replica) for peer in configuration.voters),
         reverse=True,
     )
     index = matches[configuration.quorum() - 1]
@@ -284,7 +284,7 @@
     replica.send(sender, reply)
 
 
-def match(replica: state.State, voter: identities.Incarnation) -> int:
+def match_index(replica: state.State, voter: identities.Incarnation) -> int:
     """Returns the last index known to be durable at a voter; 0 for none."""
     if voter == replica.me:
         return replica.persisted
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -228,7 +228,7 @@
         return [
             str(peer.replica)
             for peer in state.configuration.voters
-            if replication.match(state, peer.replica) >= index
+            if replication.match_index(state, peer.replica) >= index
         ]
 
     def groups(self) -> list[str]:
