--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -23,8 +23,8 @@
         _check_quorum(replica, now)
         return
     configuration = replica.configuration
-    alone = len(configuration.voters) == 1
-    if (alone or now >= replica.election_due) and configuration.is_voter(
+    single_voter = len(configuration.voters) == 1
+    if (single_voter or now >= replica.election_due) and configuration.is_voter(
         replica.me
     ):
         _start_pre_vote(replica, now)
@@ -43,7 +43,7 @@
     log is more up to date runs for election itself, without waiting for its
     timeout.
     """
-    _check_abdication(replica, sender, message.term)
+    _release_promise_to_candidate(replica, sender, message.term)
     current = _is_up_to_date(replica, message.last_index, message.last_term)
     granted = (
         message.term > replica.term
@@ -51,7 +51,7 @@
         and not _has_live_leader(replica, now)
     )
     if (
-        _knows_leaderless(replica)
+        _leader_known_lost(replica)
         and not current
         and _recently_started(replica, now)
     ):
@@ -92,7 +92,7 @@
     term. The leader's lease relies on this, and a replica that has lost its
     connection to the leader must not depose it.
     """
-    _check_abdication(replica, sender, message.term)
+    _release_promise_to_candidate(replica, sender, message.term)
     if not message.transfer and _has_live_leader(replica, now):
         return
     if message.term > replica.term:
@@ -171,8 +171,8 @@
     last = replica.log.last_index
     if progress.match == last and replica.commit == last:
         replica.lease_given_up = True
-        order = wire.TimeoutNow(replica.group, replica.term)
-        replica.send(replica.transfer_to, order)
+        message = wire.TimeoutNow(replica.group, replica.term)
+        replica.send(replica.transfer_to, message)
 
 
 def balance_leaders(replica: state.State, now: float) -> None:
@@ -196,7 +196,7 @@
         transfer(replica, target, now)
 
 
-def _check_abdication(
+def _release_promise_to_candidate(
     replica: state.State, sender: identities.Incarnation, term: int
 ) -> None:
     """Releases the promise to a leader that asks for votes in a later term.
@@ -244,7 +244,7 @@
         )
 
 
-def _knows_leaderless(replica: state.State) -> bool:
+def _leader_known_lost(replica: state.State) -> bool:
     """Returns whether this term's leader is known to have stopped leading."""
     known = replica.promised_to != types.NO_REPLICA
     return known and replica.leader_heard_at == -math.inf
@@ -257,13 +257,14 @@
 def _early_retry_time(replica: state.State, now: float) -> float:
     """Returns when to retry without waiting for the election timeout.
 
-    The former leader retries first. The others add a random delay, since
-    several of them may start an election at the same time.
+    The former leader waits one heartbeat interval. The other voters may
+    retry at the same time as each other, so each of them waits for a random
+    and on average longer time.
     """
-    beat = replica.settings.heartbeat
+    heartbeat = replica.settings.heartbeat
     if replica.promised_to == replica.me:
-        return now + beat
-    return now + beat * (0.5 + 3.0 * replica.jitter())
+        return now + heartbeat
+    return now + heartbeat * (0.5 + 3.0 * replica.jitter())
 
 
 def _schedule_retry(replica: state.State, now: float) -> None:
@@ -274,15 +275,18 @@
     voter, so it is repeated often then, and at the normal election timeout
     later on.
     """
-    if _knows_leaderless(replica) and _recently_started(replica, now):
+    if _leader_known_lost(replica) and _recently_started(replica, now):
         replica.election_due = _early_retry_time(replica, now)
         return
     replica.reset_election_timer(now)
 
 
 def _start_pre_vote(replica: state.State, now: float) -> None:
-    # A partitioned replica fails the pre-vote and keeps its term. If it raised
-    # the term, it would depose a healthy leader when the partition heals.
+    """Asks the voters whether an election would succeed.
+
+    A partitioned replica fails the pre-vote and keeps its term. If it raised
+    the term, it would depose a healthy leader when the partition heals.
+    """
     if not replica.settings.safeguards.pre_vote:
         _start_election(replica, False, now)
         return
@@ -303,8 +307,15 @@
 
 
 def _start_election(
-    replica: state.State, transfer_order: bool, now: float
+    replica: state.State, is_transfer: bool, now: float
 ) -> None:
+    """Starts an election in the next term.
+
+    Args:
+        replica: The candidate.
+        is_transfer: Whether the leader requested the election.
+        now: Current time.
+    """
     replica.term += 1
     replica.vote = replica.me
     replica.persist_vote()
@@ -321,7 +332,7 @@
         replica.term,
         log.last_index,
         log.last_term,
-        transfer_order,
+        is_transfer,
     )
     for peer in replica.configuration.voters:
         if peer.replica != replica.me:
@@ -359,19 +370,24 @@
     A partitioned leader would keep its callers waiting for commits that
     cannot happen; after it steps down, they turn to another instance.
     """
-    longest = 2 * replica.settings.election
+    timeout = 2 * replica.settings.election
     contact = max(lease.quorum_contact(replica), replica.elected_at)
-    if now - contact > longest or now > replica.transfer_due:
+    if now - contact > timeout or now > replica.transfer_due:
         replica.become_follower(replica.term, types.NO_REPLICA, now)
 
 
 def _has_live_leader(replica: state.State, now: float) -> bool:
+    """Returns whether there was contact within the election timeout.
+
+    That is contact with a quorum if this replica leads, else with the leader.
+    """
     if replica.role == types.LEADER:
         return now - lease.quorum_contact(replica) < replica.settings.election
     return now - replica.leader_heard_at < replica.settings.election
 
 
 def _is_up_to_date(replica: state.State, index: int, term: int) -> bool:
+    """Returns whether a log that ends so is at least as new as this one."""
     log = replica.log
     return (term, index) >= (log.last_term, log.last_index)
 
--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -255,7 +255,7 @@
     def _maintain_groups(self, now: float) -> None:
         """Sends Hellos, bootstraps new groups and repairs those led here."""
         size = self.settings.group_size
-        founding = [
+        to_bootstrap = [
             group
             for group, replica in self.replicas.items()
             if self.settings.founder
@@ -264,13 +264,13 @@
         ]
         period = self.settings.hello
         starting = now - self.started < _STARTUP_HELLOS * period
-        soon = bool(founding) and starting
+        soon = bool(to_bootstrap) and starting
         self.hello_due = now + (self.settings.heartbeat if soon else period)
         self._add_logged_peers()
         self.roster.remove_silent(now - _FORGET_HELLOS * period)
-        hello = self._make_hello(bool(founding), now)
+        hello = self._make_hello(bool(to_bootstrap), now)
         self.outbox.messages.extend(self.roster.hellos(hello))
-        for group in founding:
+        for group in to_bootstrap:
             initial = self.roster.initial_configuration(
                 group, size, now - 2 * period
             )
--- a/src/mintcleat/consensus/replica.py
+++ b/src/mintcleat/consensus/replica.py
@@ -28,13 +28,13 @@
         me: identities.Incarnation,
         settings: types.Settings,
         jitter: Callable[[], float],
-        box: outbox.Outbox,
+        instance_outbox: outbox.Outbox,
         *,
         stored: records.StoredState,
         now: float,
     ) -> None:
         self.state = state.State(
-            group, me, settings, jitter, box, stored=stored, now=now
+            group, me, settings, jitter, instance_outbox, stored=stored, now=now
         )
 
     def bootstrap(self, configuration: types.Configuration) -> None:
@@ -72,7 +72,7 @@
             case wire.VoteReply():
                 election.on_vote_reply(replica, sender, message, now)
             case wire.InstallSnapshot():
-                replication.on_install(replica, sender, message, now)
+                replication.on_install_snapshot(replica, sender, message, now)
             case wire.TimeoutNow():
                 election.on_timeout_now(replica, message, now)
 
--- a/src/mintcleat/consensus/replication.py
+++ b/src/mintcleat/consensus/replication.py
@@ -99,18 +99,18 @@
 def on_group_heartbeat(
     replica: state.State,
     sender: identities.Incarnation,
-    beat: wire.GroupHeartbeat,
+    heartbeat: wire.GroupHeartbeat,
     now: float,
 ) -> bool:
     """Processes one group's heartbeat; returns False if its term is old."""
-    if beat.term < replica.term:
+    if heartbeat.term < replica.term:
         return False
-    _accept_leader(replica, sender, beat.term, now)
-    replica.commit_to(min(beat.commit, replica.log.last_index))
+    _accept_leader(replica, sender, heartbeat.term, now)
+    replica.commit_to(min(heartbeat.commit, replica.log.last_index))
     return True
 
 
-def on_install(
+def on_install_snapshot(
     replica: state.State,
     sender: identities.Incarnation,
     message: wire.InstallSnapshot,
@@ -209,6 +209,7 @@
     progress: state.Progress,
     now: float,
 ) -> None:
+    """Requests a snapshot transfer, unless the follower is unreachable."""
     if now - progress.last_contact > 2 * replica.settings.election:
         return
     progress.snapshot_until = math.inf
@@ -221,6 +222,7 @@
 def _record_match(
     replica: state.State, progress: state.Progress, index: int
 ) -> None:
+    """Records that a follower holds the entries up to an index."""
     progress.match = max(progress.match, index)
     progress.next = max(progress.next, progress.match + 1)
     progress.probing = False
@@ -232,6 +234,7 @@
 def _accept_leader(
     replica: state.State, sender: identities.Incarnation, term: int, now: float
 ) -> None:
+    """Follows the leader of a term and renews the promise to it."""
     if term > replica.term or replica.leader != sender:
         replica.become_follower(term, sender, now)
     replica.role = types.FOLLOWER
@@ -260,6 +263,7 @@
 
 
 def _append_missing(replica: state.State, items: list[types.Entry]) -> None:
+    """Appends entries that the log lacks; they replace conflicting ones."""
     for number, entry in enumerate(items):
         if entry.index <= replica.log.base_index:
             continue
--- a/src/mintcleat/consensus/state.py
+++ b/src/mintcleat/consensus/state.py
@@ -41,6 +41,10 @@
     """Fields of a replica, on which the modules of this package act.
 
     Attributes:
+        me: This replica.
+        jitter: Returns a random number from 0 to below 1.
+        configurations: Index and value of each configuration in the log, in
+            order; the first is in force at the start of the log.
         commit: Last index known to be committed.
         applied: Last index applied to the state machine.
         restoring_index: Index of an installed snapshot that is not restored
@@ -51,11 +55,18 @@
             -inf releases the promise.
         promised_to: Leader of this term that received such promises;
             NO_REPLICA if none is known.
+        election_due: When the election timeout ends.
+        grants: Replicas that granted this one a pre-vote or a vote.
+        progress: By follower, while this replica leads.
         elected_at: When this replica last became leader.
         term_start: Index of the first entry of this leader's term.
-        lease_given_up: Set once a leadership transfer was requested in this
-            term.
+        lease_given_up: Whether TimeoutNow was sent in this term, which ends
+            the lease.
+        transfer_to: Target of a leadership transfer; NO_REPLICA for none.
+        transfer_due: When this replica steps down if the transfer has not
+            ended.
         reads: Token and arrival time of reads that wait for a quorum.
+        started: When this replica was created.
     """
 
     def __init__(
@@ -64,7 +75,7 @@
         me: identities.Incarnation,
         settings: types.Settings,
         jitter: Callable[[], float],
-        box: outbox.Outbox,
+        instance_outbox: outbox.Outbox,
         *,
         stored: records.StoredState,
         now: float,
@@ -73,7 +84,7 @@
         self.me = me
         self.settings = settings
         self.jitter = jitter
-        self.outbox = box
+        self.outbox = instance_outbox
         self.term = stored.term
         self.vote = stored.vote
         self.log: entries.EntryLog = stored.log
@@ -148,8 +159,10 @@
         that no quorum holds.
         """
         safe = self.settings.safeguards.sync_first
-        box = self.outbox.messages_after_sync if safe else self.outbox.messages
-        box.append(outbox.OutgoingMessage(to, message))
+        messages = (
+            self.outbox.messages_after_sync if safe else self.outbox.messages
+        )
+        messages.append(outbox.OutgoingMessage(to, message))
 
     def persist_vote(self) -> None:
         """Stores the term and the vote; the term has no known leader yet."""
@@ -171,7 +184,7 @@
             self.outbox.records.append(record)
 
     def append(self, items: list[types.Entry]) -> None:
-        """Appends entries to the log in memory and to the outbox."""
+        """Appends entries to the log and their record to the outbox."""
         for entry in items:
             self.log.append(entry)
             self.adopt_configuration(entry)
