--- a/testing/fakes/core_cluster.py
+++ b/testing/fakes/core_cluster.py
@@ -112,24 +112,24 @@
                 return
             self._store(core.outbox.take())
 
-    def _store(self, box: outbox.Outbox) -> None:
+    def _store(self, effects: outbox.Outbox) -> None:
         core = self.core
-        for item in box.installs:
+        for item in effects.installs:
             self.snapshots[item.group, item.snapshot.index] = item.state
             self.machines[item.group] = _restore(item.state)
             core.replicas[item.group].on_restored(item.snapshot.index)
-        self._send(box.messages)
-        if self.crash_in_next_write and box.records:
+        self._send(effects.messages)
+        if self.crash_in_next_write and effects.records:
             # Power fails during the write; a prefix of it may be on the disk.
             self.crash_in_next_write = False
-            kept = self.cluster.rng.randrange(len(box.records))
-            self.synced.extend(box.records[:kept])
+            kept = self.cluster.rng.randrange(len(effects.records))
+            self.synced.extend(effects.records[:kept])
             self.crash()
             return
-        self.synced.extend(box.records)
-        core.on_synced(box.stored)
-        self._send(box.messages_after_sync)
-        for needed in box.snapshots:
+        self.synced.extend(effects.records)
+        core.on_synced(effects.stored)
+        self._send(effects.messages_after_sync)
+        for needed in effects.snapshots:
             state = self.snapshots[needed.group, needed.snapshot.index]
             message = wire.InstallSnapshot(
                 needed.group, needed.term, needed.snapshot, state
@@ -137,9 +137,9 @@
             self._send([outbox.OutgoingMessage(needed.to, message)])
             replica = core.replicas[needed.group]
             replica.snapshot_transfer_ended(needed.to, True, self.now())
-        for group in sorted(box.committed):
+        for group in sorted(effects.committed):
             self._apply(group)
-        for ready in box.reads:
+        for ready in effects.reads:
             self.cluster.on_read(self, ready)
 
     def _apply(self, group: str) -> None:
@@ -151,10 +151,10 @@
         self.cluster.check_machine(self, group)
         state = replica.state
         if state.applied - state.snapshot.index >= SNAPSHOT_ENTRIES:
-            mark = replica.snapshot_metadata()
+            snapshot = replica.snapshot_metadata()
             data = b",".join(self.machines[group])
-            self.snapshots[group, mark.index] = data
-            replica.compact(mark, KEPT_ENTRIES)
+            self.snapshots[group, snapshot.index] = data
+            replica.compact(snapshot, KEPT_ENTRIES)
 
     def _send(self, outgoing: list[outbox.OutgoingMessage]) -> None:
         for item in outgoing:
--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -32,9 +32,9 @@
 class InstallFrameTest(testtools.TestCase):
     def test_header_and_state_are_the_encoded_frame(self) -> None:
         one = identities.Incarnation("a", 1)
-        mark = types.SnapshotMetadata(7, 2, types.EMPTY)
+        snapshot = types.SnapshotMetadata(7, 2, types.EMPTY)
         for size in (0, 1, 255, 256, 65_535, 65_536, 200_000):
-            message = wire.InstallSnapshot("g", 2, mark, bytes(size))
+            message = wire.InstallSnapshot("g", 2, snapshot, bytes(size))
             frame = wire.Frame(one, "a:1", one, [message])
             parts = wire.encode_install(frame)
             self.assertEqual(wire.encode(frame), b"".join(parts))
@@ -306,11 +306,11 @@
     def test_later_entries_replace_from_their_first_index(self) -> None:
         entries = [types.Entry(i, 1, types.COMMAND, b"a") for i in (1, 2, 3)]
         newer = types.Entry(2, 2, types.COMMAND, b"b")
-        mark = types.SnapshotMetadata(1, 1, types.EMPTY)
+        snapshot = types.SnapshotMetadata(1, 1, types.EMPTY)
         stored = records.replay(
             [
                 records.entries("g", entries),
-                records.snapshot("g", mark),
+                records.snapshot("g", snapshot),
                 records.vote("g", 2, identities.Incarnation("c1", 1)),
                 records.entries("g", [newer]),
             ]
--- a/testing/test_consensus_safeguards.py
+++ b/testing/test_consensus_safeguards.py
@@ -119,7 +119,7 @@
     cluster.blocked.clear()
     cluster.run(5.0)
     if not cluster.write(cluster.leader().name, "g", b"later"):
-        raise core_cluster.Fault("no leader takes proposals")
+        raise core_cluster.Fault("no leader accepts proposals")
     cluster.run(0.5)
     if cluster.acknowledged_commands["g"] != [b"kept", b"later"]:
         raise core_cluster.Fault(
