--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -11,46 +11,53 @@
 from mintcleat.consensus import types
 from mintcleat.domain import identities
 
-# For so many election timeouts after its start a replica that knows that
-# nobody leads asks for votes every heartbeat or two. Processes that end
-# together are back within two seconds of each other.
-_STARTING = 6
+# Number of election timeouts after its start for which a replica that knows
+# that its group has no leader retries about once per heartbeat. Processes
+# that stop together restart within about 2 s of each other.
+_STARTUP_TIMEOUTS = 6
 
 
 def tick(replica: state.State, now: float) -> None:
-    """Starts an election that is due, or ends a leadership without quorum."""
+    """Starts an election that is due, or steps down without a quorum."""
     if replica.role == types.LEADER:
         _check_quorum(replica, now)
         return
     configuration = replica.configuration
-    alone = len(configuration.voters) == 1
-    if (alone or now >= replica.election_due) and configuration.is_voter(
+    single_voter = len(configuration.voters) == 1
+    if (single_voter or now >= replica.election_due) and configuration.is_voter(
         replica.me
     ):
-        _ask_first(replica, now)
+        _start_pre_vote(replica, now)
 
 
 def on_pre_vote(
     replica: state.State,
     sender: identities.Incarnation,
-    message: wire.PreVote,
+    message: wire.PreVoteRequest,
     now: float,
 ) -> None:
-    """Answers whether a vote would be granted.
+    """Replies whether this replica would grant a vote.
 
-    A leader of before may have lost what it had not synced. The voter that
-    has more then asks for votes in its place, and soon: it knows from the
-    question that nobody leads.
+    After a restart the former leader may lack entries that it had not
+    synced. Its request shows that the group has no leader, so a voter whose
+    log is more up to date runs for election itself, without waiting for its
+    timeout.
     """
-    _notice_end(replica, sender, message.term)
-    current = _is_current(replica, message.last_index, message.last_term)
+    _release_promise_to_candidate(replica, sender, message.term)
+    current = _is_up_to_date(replica, message.last_index, message.last_term)
     granted = (
         message.term > replica.term
         and current
-        and not _hears_leader(replica, now)
+        and not _has_live_leader(replica, now)
     )
-    if _knows_end(replica) and not current and _is_young(replica, now):
-        replica.election_due = min(replica.election_due, _soon(replica, now))
+    if (
+        _leader_known_lost(replica)
+        and not current
+        and _recently_started(replica, now)
+    ):
+        replica.election_due = min(
+            replica.election_due, _early_retry_time(replica, now)
+        )
     term = message.term if granted else replica.term
     replica.send(sender, wire.PreVoteReply(replica.group, term, granted))
 
@@ -61,44 +68,44 @@
     message: wire.PreVoteReply,
     now: float,
 ) -> None:
-    """Counts a pre-vote; a majority starts the election."""
+    """Counts a pre-vote; a majority of them starts an election."""
     if not message.granted:
         if message.term > replica.term:
-            replica.follow(message.term, types.NO_REPLICA, now)
+            replica.become_follower(message.term, types.NO_REPLICA, now)
         return
     if replica.role != types.PRE_CANDIDATE or message.term != replica.term + 1:
         return
     replica.grants.add(sender)
     if _has_majority(replica):
-        _campaign(replica, False, now)
+        _start_election(replica, False, now)
 
 
 def on_vote(
     replica: state.State,
     sender: identities.Incarnation,
-    message: wire.Vote,
+    message: wire.VoteRequest,
     now: float,
 ) -> None:
     """Grants or refuses a vote.
 
-    A voter that hears a leader ignores the request, term and all: the
-    leader's lease rests on it, and a replica that cannot hear the leader
-    must not unseat it.
+    A voter that has a live leader ignores the request and does not adopt its
+    term. The leader's lease relies on this, and a replica that has lost its
+    connection to the leader must not depose it.
     """
-    _notice_end(replica, sender, message.term)
-    if not message.transfer and _hears_leader(replica, now):
+    _release_promise_to_candidate(replica, sender, message.term)
+    if not message.transfer and _has_live_leader(replica, now):
         return
     if message.term > replica.term:
-        replica.follow(message.term, types.NO_REPLICA, now)
+        replica.become_follower(message.term, types.NO_REPLICA, now)
     granted = (
         message.term == replica.term
         and replica.vote in (types.NO_REPLICA, sender)
-        and _is_current(replica, message.last_index, message.last_term)
+        and _is_up_to_date(replica, message.last_index, message.last_term)
     )
     if granted:
         replica.vote = sender
-        replica.save_vote()
-        replica.delay_election(now)
+        replica.persist_vote()
+        replica.reset_election_timer(now)
     reply = wire.VoteReply(replica.group, replica.term, granted)
     replica.send_synced(sender, reply)
 
@@ -109,9 +116,9 @@
     message: wire.VoteReply,
     now: float,
 ) -> None:
-    """Counts a vote; a majority makes this replica the leader."""
+    """Counts a vote; a majority of them makes this replica the leader."""
     if message.term > replica.term:
-        replica.follow(message.term, types.NO_REPLICA, now)
+        replica.become_follower(message.term, types.NO_REPLICA, now)
     if (
         replica.role == types.CANDIDATE
         and message.term == replica.term
@@ -119,7 +126,7 @@
     ):
         replica.grants.add(sender)
         if _has_majority(replica):
-            _lead(replica, now)
+            _become_leader(replica, now)
 
 
 def on_timeout_now(
@@ -127,19 +134,22 @@
     message: wire.TimeoutNow,
     now: float,
 ) -> None:
-    """Holds the election that the leader asked for."""
+    """Starts the election that the leader requested by a transfer."""
     if (
         message.term == replica.term
         and replica.role == types.FOLLOWER
         and replica.configuration.is_voter(replica.me)
     ):
-        _campaign(replica, True, now)
+        _start_election(replica, True, now)
 
 
 def transfer(
     replica: state.State, to: identities.Incarnation, now: float
 ) -> None:
-    """Starts handing the leadership to a voter; proposals stop."""
+    """Starts a leadership transfer; proposals are refused until it ends.
+
+    Does nothing if this replica does not lead or `to` is not a voter.
+    """
     if replica.role != types.LEADER or not replica.configuration.is_voter(to):
         return
     replica.transfer_to = to
@@ -148,11 +158,12 @@
 
 
 def continue_transfer(replica: state.State) -> None:
-    """Orders the election once the chosen voter holds the whole log.
+    """Sends TimeoutNow once the target holds the whole log.
 
-    All of it is committed by then, so that no proposer is left in doubt. The
-    order may arrive at any later time and lets voters pass over their
-    promise to this leader, so the lease is given up for the whole term.
+    It waits until the whole log is committed, so that every proposer knows
+    the outcome. TimeoutNow may arrive at any later time, and voters then
+    vote in spite of their promise to this leader, so the lease is given up
+    for the rest of the term.
     """
     progress = replica.progress.get(replica.transfer_to)
     if progress is None or replica.lease_given_up:
@@ -160,112 +171,134 @@
     last = replica.log.last_index
     if progress.match == last and replica.commit == last:
         replica.lease_given_up = True
-        order = wire.TimeoutNow(replica.group, replica.term)
-        replica.send(replica.transfer_to, order)
+        message = wire.TimeoutNow(replica.group, replica.term)
+        replica.send(replica.transfer_to, message)
 
 
-def balance(replica: state.State, now: float) -> None:
-    """Hands a group to the voter that should lead it, when that is well.
+def balance_leaders(replica: state.State, now: float) -> None:
+    """Transfers leadership to the preferred voter, if that one is healthy.
 
-    After failovers one instance would else go on leading most groups, and
-    its one core would set the pace for all of them.
+    Otherwise one instance could lead most groups after a few failovers, and
+    its single core would limit the throughput of all of them.
     """
     after = replica.settings.balance_after
     if not replica.configuration.voters or after <= 0:
         return
-    target = placement.preferred(replica.group, replica.configuration).replica
+    target = placement.preferred_leader(
+        replica.group, replica.configuration
+    ).replica
     progress = replica.progress.get(target)
     if progress is None or replica.transfer_to != types.NO_REPLICA:
         return
-    settled = now - replica.led_at > after
-    well = now - progress.last_contact < replica.settings.election
-    if settled and well:
+    settled = now - replica.elected_at > after
+    healthy = now - progress.last_contact < replica.settings.election
+    if settled and healthy:
         transfer(replica, target, now)
 
 
-def _notice_end(
+def _release_promise_to_candidate(
     replica: state.State, sender: identities.Incarnation, term: int
 ) -> None:
-    """Gives a promise back whose leader asks for votes in a later term.
-
-    After the loss of all processes, every voter would wait out an election
-    timeout for a leader that leads no more, and all callers with it. Who
-    asks for votes in a later term has left its own, and with it the lease:
-    no late answer makes it lead there again. A question from before it led
-    names no later term, so it ends no promise.
+    """Releases the promise to a leader that asks for votes in a later term.
+
+    A leader that campaigns in a later term has given up its own term and the
+    lease with it, and no delayed reply can restore them. Without this rule,
+    after a restart of all processes every voter, and so every caller, would
+    wait a whole election timeout for a leader that no longer exists. A
+    delayed request from the election that the leader won does not name a
+    later term, so it does not release the promise.
     """
-    if sender == replica.promised and term > replica.term:
-        replica.heard_at = -math.inf
+    if sender == replica.promised_to and term > replica.term:
+        replica.leader_heard_at = -math.inf
 
 
-def notice_life(
+def on_new_incarnation(
     replica: state.State, sender: identities.Incarnation, now: float
 ) -> None:
-    """Gives a promise back when its leader is back without its disk.
+    """Releases the promise to a leader that came back with an empty disk.
+
+    Only one process can have an instance's name and address, so a newer
+    incarnation proves that the leader's process has ended and its lease with
+    it. Without this rule, after a power loss that also destroyed the
+    leader's disk, no other replica could be elected until that lease had
+    expired.
 
-    After a loss of all power that took the leader's disk too, nobody could
-    ask in its place before the lease is over that it can't hold any more: one
-    process has an instance's name and address. Only a replica that has heard
-    no leader since its own start goes by this; its promise is one of its
-    earlier life, kept because it does not know better.
+    It applies only to a replica that has not heard from a leader since its
+    own start: its promise dates from before the restart and is kept merely
+    as a precaution.
     """
-    promised = replica.promised
+    promised = replica.promised_to
     emptied = (
         sender.instance == promised.instance and sender.epoch > promised.epoch
     )
-    if not emptied or not replica.heard_none or replica.role == types.LEADER:
+    if (
+        not emptied
+        or not replica.no_leader_heard
+        or replica.role == types.LEADER
+    ):
         return
-    if replica.heard_at != -math.inf:
-        replica.heard_at = -math.inf
-        replica.election_due = min(replica.election_due, _soon(replica, now))
+    if replica.leader_heard_at != -math.inf:
+        replica.leader_heard_at = -math.inf
+        replica.election_due = min(
+            replica.election_due, _early_retry_time(replica, now)
+        )
 
 
-def _knows_end(replica: state.State) -> bool:
-    """Tells whether the leader of this term is known to lead no more."""
-    known = replica.promised != types.NO_REPLICA
-    return known and replica.heard_at == -math.inf
+def _leader_known_lost(replica: state.State) -> bool:
+    """Returns whether this term's leader is known to have stopped leading."""
+    known = replica.promised_to != types.NO_REPLICA
+    return known and replica.leader_heard_at == -math.inf
 
 
-def _is_young(replica: state.State, now: float) -> bool:
-    return now - replica.started < _STARTING * replica.settings.election
+def _recently_started(replica: state.State, now: float) -> bool:
+    return now - replica.started < _STARTUP_TIMEOUTS * replica.settings.election
 
 
-def _soon(replica: state.State, now: float) -> float:
-    """Returns when to ask next; one that others may ask beside waits more."""
-    beat = replica.settings.heartbeat
-    if replica.promised == replica.me:
-        return now + beat
-    return now + beat * (0.5 + 3.0 * replica.jitter())
+def _early_retry_time(replica: state.State, now: float) -> float:
+    """Returns when to retry without waiting for the election timeout.
+
+    The former leader waits one heartbeat interval. The other voters may
+    retry at the same time as each other, so each of them waits for a random
+    and on average longer time.
+    """
+    heartbeat = replica.settings.heartbeat
+    if replica.promised_to == replica.me:
+        return now + heartbeat
+    return now + heartbeat * (0.5 + 3.0 * replica.jitter())
 
 
-def _ask_again(replica: state.State, now: float) -> None:
-    """Sets when votes are asked for again if this election comes to nothing.
+def _schedule_retry(replica: state.State, now: float) -> None:
+    """Sets when to retry the pre-vote if it fails.
 
-    Who knows that nobody leads starts beside the other voters and does not
-    know which of them are up yet. Questions leave no trace at a voter, so
-    they are repeated often while processes start; afterwards as by any other.
+    While processes restart, a replica that knows that there is no leader
+    cannot know which voters are already up. A pre-vote changes no state at a
+    voter, so it is repeated often then, and at the normal election timeout
+    later on.
     """
-    if _knows_end(replica) and _is_young(replica, now):
-        replica.election_due = _soon(replica, now)
+    if _leader_known_lost(replica) and _recently_started(replica, now):
+        replica.election_due = _early_retry_time(replica, now)
         return
-    replica.delay_election(now)
+    replica.reset_election_timer(now)
+
 
+def _start_pre_vote(replica: state.State, now: float) -> None:
+    """Asks the voters whether an election would succeed.
 
-def _ask_first(replica: state.State, now: float) -> None:
-    # A replica behind a partition asks in vain and keeps its term; had it
-    # raised the term, its return would unseat a healthy leader.
+    A partitioned replica fails the pre-vote and keeps its term. If it raised
+    the term, it would depose a healthy leader when the partition heals.
+    """
     if not replica.settings.safeguards.pre_vote:
-        _campaign(replica, False, now)
+        _start_election(replica, False, now)
         return
     replica.role = types.PRE_CANDIDATE
     replica.leader = types.NO_REPLICA
     replica.grants = {replica.me}
-    _ask_again(replica, now)
+    _schedule_retry(replica, now)
     if _has_majority(replica):
-        _campaign(replica, False, now)
+        _start_election(replica, False, now)
         return
     log = replica.log
-    message = wire.PreVote(
+    message = wire.PreVoteRequest(
         replica.group, replica.term + 1, log.last_index, log.last_term
     )
     for peer in replica.configuration.voters:
@@ -273,31 +306,40 @@
             replica.send(peer.replica, message)
 
 
-def _campaign(replica: state.State, transfer_order: bool, now: float) -> None:
+def _start_election(
+    replica: state.State, is_transfer: bool, now: float
+) -> None:
+    """Starts an election in the next term.
+
+    Args:
+        replica: The candidate.
+        is_transfer: Whether the leader requested the election.
+        now: Current time.
+    """
     replica.term += 1
     replica.vote = replica.me
-    replica.save_vote()
+    replica.persist_vote()
     replica.role = types.CANDIDATE
     replica.leader = types.NO_REPLICA
     replica.grants = {replica.me}
-    replica.delay_election(now)
+    replica.reset_election_timer(now)
     if _has_majority(replica):
-        _lead(replica, now)
+        _become_leader(replica, now)
         return
     log = replica.log
-    message = wire.Vote(
+    message = wire.VoteRequest(
         replica.group,
         replica.term,
         log.last_index,
         log.last_term,
-        transfer_order,
+        is_transfer,
     )
     for peer in replica.configuration.voters:
         if peer.replica != replica.me:
             replica.send_synced(peer.replica, message)
 
 
-def _lead(replica: state.State, now: float) -> None:
+def _become_leader(replica: state.State, now: float) -> None:
     log = replica.log
     replica.outbox.elections.append(
         outbox.Elected(
@@ -311,36 +353,41 @@
     )
     replica.role = types.LEADER
     replica.leader = replica.me
-    replica.save_leader(replica.me)
-    replica.led_at = now
+    replica.persist_leader(replica.me)
+    replica.elected_at = now
     replica.lease_given_up = False
     replica.transfer_to = types.NO_REPLICA
     replica.transfer_due = math.inf
     replica.progress = {}
     replication.track_peers(replica, now)
-    replica.term_start = replication.add(replica, types.NOOP, b"", now)
-    replica.outbox.beat_soon = True
+    replica.term_start = replication.append(replica, types.NOOP, b"", now)
+    replica.outbox.heartbeat_requested = True
 
 
 def _check_quorum(replica: state.State, now: float) -> None:
-    """Ends a leadership that no quorum answers.
+    """Steps down if no quorum replies, or if a transfer takes too long.
 
-    Behind a silent partition a leader would keep its callers waiting for
-    commits that cannot come; stepping down sends them elsewhere.
+    A partitioned leader would keep its callers waiting for commits that
+    cannot happen; after it steps down, they turn to another instance.
     """
-    longest = 2 * replica.settings.election
-    contact = max(lease.quorum_contact(replica), replica.led_at)
-    if now - contact > longest or now > replica.transfer_due:
-        replica.follow(replica.term, types.NO_REPLICA, now)
+    timeout = 2 * replica.settings.election
+    contact = max(lease.quorum_contact(replica), replica.elected_at)
+    if now - contact > timeout or now > replica.transfer_due:
+        replica.become_follower(replica.term, types.NO_REPLICA, now)
 
 
-def _hears_leader(replica: state.State, now: float) -> bool:
+def _has_live_leader(replica: state.State, now: float) -> bool:
+    """Returns whether there was contact within the election timeout.
+
+    That is contact with a quorum if this replica leads, else with the leader.
+    """
     if replica.role == types.LEADER:
         return now - lease.quorum_contact(replica) < replica.settings.election
-    return now - replica.heard_at < replica.settings.election
+    return now - replica.leader_heard_at < replica.settings.election
 
 
-def _is_current(replica: state.State, index: int, term: int) -> bool:
+def _is_up_to_date(replica: state.State, index: int, term: int) -> bool:
+    """Returns whether a log that ends so is at least as new as this one."""
     log = replica.log
     return (term, index) >= (log.last_term, log.last_index)
 
--- a/src/mintcleat/consensus/instance.py
+++ b/src/mintcleat/consensus/instance.py
@@ -1,4 +1,8 @@
-"""All groups of one instance, with one heartbeat per pair of instances."""
+"""All groups of one instance, with shared heartbeats and Hello messages.
+
+Heartbeats of all groups between two instances share one message, and a list
+of groups that has not changed is referred to by its version.
+"""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -17,45 +21,59 @@
 from mintcleat.consensus import types
 from mintcleat.domain import identities
 
-# Versions of a heartbeat list that an answer may still refer to.
+# Number of sent versions of a list that are kept, for replies to them.
 _KEPT_VERSIONS = 32
-# A tick that comes a little early sends the heartbeat that is nearly due.
-_BEAT_SLACK = 0.25
-# A founder greets often at first, so that new groups start soon.
-_YOUNG_PERIODS = 5
-# Instances heard within so many greeting periods are told to others; one that
-# was silent for much longer is greeted no more, if it was not configured.
-_TOLD_PERIODS = 3
-_FORGET_PERIODS = 60
-# A leader greets once a period; one greeting may be lost.
-_LED_PERIODS = 2.5
-
+# A tick sends heartbeats that are due within this fraction of the interval;
+# otherwise a tick that is a little early would delay them to the next one.
+_EARLY_FRACTION = 0.25
+# The periods below are in hello intervals.
+# After its start an instance with groups to bootstrap sends Hellos at the
+# heartbeat interval for this long, so that new groups start without delay.
+_STARTUP_HELLOS = 5
+# Instances heard from within this period are named in Hellos.
+_RECENT_HELLOS = 3
+# Discovered instances not heard from for this long are removed.
+_FORGET_HELLOS = 60
+# A leader sends a Hello once per interval, and one may be lost.
+_CLAIM_HELLOS = 2.5
+
+
+class _SentHeartbeats:
+    """Heartbeats sent to one peer.
 
-class _Outgoing:
-    """The heartbeats that go to one peer."""
+    Attributes:
+        version: Version of the newest list.
+        acked_version: Version that the peer last confirmed; 0 for none.
+        lists: By version, the groups in it.
+    """
 
     def __init__(self) -> None:
         self.version = 0
-        self.known = 0
-        self.lists: dict[int, list[wire.Beat]] = {0: []}
+        self.acked_version = 0
+        self.lists: dict[int, list[wire.GroupHeartbeat]] = {0: []}
 
 
 class Instance:
     """The replicas of one instance; see the package's documentation.
 
     Attributes:
-        box: Effects to carry out.
+        process_epoch: Number of this process start. Unlike the epoch of `me`,
+            which belongs to the disk, it differs after each restart.
+        outbox: Effects for the driver to carry out.
         replicas: By group.
-        roster: Who lives on which instance.
-        highest_epoch_seen: Highest epoch that a peer knows of this instance. One
-            above its own means that another process uses the name, or that
-            the disk was formatted while the clock was behind.
+        roster: The known instances.
+        highest_epoch_seen: Highest epoch of this instance in a received
+            frame. If it is above the epoch of `me`, another process uses the
+            name, or the disk was formatted while the clock was behind.
+        outgoing: By receiver, the heartbeats sent to it.
+        incoming: By sender, the process epoch, the version and the groups of
+            its newest heartbeat list.
     """
 
     def __init__(
         self,
         me: identities.Incarnation,
-        life: int,
+        process_epoch: int,
         settings: types.Settings,
         jitter: Callable[[], float],
         groups: Iterable[str],
@@ -66,7 +84,7 @@
         own: types.Member | None = None,
     ) -> None:
         self.me = me
-        self.life = life
+        self.process_epoch = process_epoch
         self.settings = settings
         self.outbox = outbox.Outbox()
         self.replicas = {
@@ -82,33 +100,33 @@
             for group in sorted({*groups, *stored})
         }
         self.roster = rosters.Roster(me, members, own)
-        self._learn_voters()
-        self.beat_due = now
+        self._add_logged_peers()
+        self.heartbeat_due = now
         self.hello_due = now
         self.started = now
         self.highest_epoch_seen = 0
-        self.outgoing: dict[identities.Incarnation, _Outgoing] = {}
+        self.outgoing: dict[identities.Incarnation, _SentHeartbeats] = {}
         self.incoming: dict[
-            identities.Incarnation, tuple[int, int, list[wire.Beat]]
+            identities.Incarnation, tuple[int, int, list[wire.GroupHeartbeat]]
         ] = {}
 
     def receive(self, frame: wire.Frame, now: float) -> None:
-        """Takes a frame; one for an earlier life of this disk is dropped.
+        """Processes a frame; one for another incarnation is dropped.
 
-        An emptied disk has forgotten its votes and entries. Answering for
-        the replica that it held before could elect two leaders in one term
-        or count an entry as held by a majority that lost it.
+        An emptied disk has lost its votes and entries. A reply in place of
+        the replica that it held before could elect two leaders in one term,
+        or commit an entry that no majority holds.
         """
         if frame.to.instance == self.me.instance:
             self.highest_epoch_seen = max(
                 self.highest_epoch_seen, frame.to.epoch
             )
-        anyone = identities.Incarnation(self.me.instance, 0)
-        if frame.to not in (self.me, anyone):
+        any_incarnation = identities.Incarnation(self.me.instance, 0)
+        if frame.to not in (self.me, any_incarnation):
             return
-        if self.roster.heard(frame.sender, frame.address, now):
+        if self.roster.on_frame(frame.sender, frame.address, now):
             for replica in self.replicas.values():
-                election.notice_life(replica.state, frame.sender, now)
+                election.on_new_incarnation(replica.state, frame.sender, now)
         for message in frame.messages:
             if frame.to == self.me or isinstance(message, wire.Hello):
                 self.step(frame.sender, message, now)
@@ -116,166 +134,182 @@
     def step(
         self, sender: identities.Incarnation, message: Any, now: float
     ) -> None:
-        """Takes a message from a peer."""
+        """Processes a message from a peer."""
         match message:
             case wire.Heartbeat():
                 self._on_heartbeat(sender, message, now)
             case wire.HeartbeatReply():
-                self._on_reply(sender, message, now)
+                self._on_heartbeat_reply(sender, message, now)
             case wire.Hello():
                 known = len(self.roster.members)
-                self.roster.greeted(sender, message, now)
+                self.roster.on_hello(sender, message, now)
                 if len(self.roster.members) > known:
-                    # They may lead, or look for who does.
+                    # The new instances may lead a group, or look for a leader.
                     soon = now + self.settings.heartbeat
                     self.hello_due = min(self.hello_due, soon)
                 if message.asks:
-                    answer = wire.Known(self.known_groups())
+                    answer = wire.KnownGroups(self.known_groups())
                     self.outbox.messages_after_sync.append(
                         outbox.OutgoingMessage(sender, answer)
                     )
                 if not message.members:
-                    self._greet_started(sender, now)
-            case wire.Known():
-                self.roster.on_known(sender, message, now)
+                    self._reply_hello(sender, now)
+            case wire.KnownGroups():
+                self.roster.on_known_groups(sender, message, now)
             case _:
                 replica = self.replicas.get(message.group)
                 if replica is not None:
                     replica.step(sender, message, now)
 
     def tick(self, now: float) -> None:
-        """Lets time pass for every group."""
+        """Handles timeouts; called at least once per heartbeat interval."""
         for replica in self.replicas.values():
             state = replica.state
-            # Most groups most of the time follow a leader that was heard.
+            # Saves the call for followers of a live leader, which most
+            # replicas are most of the time.
             if state.role != types.FOLLOWER or now >= state.election_due:
                 replica.tick(now)
-        if now >= self.beat_due - _BEAT_SLACK * self.settings.heartbeat:
-            self._beat(now)
+        if (
+            now
+            >= self.heartbeat_due - _EARLY_FRACTION * self.settings.heartbeat
+        ):
+            self._send_heartbeats(now)
         if now >= self.hello_due:
-            self._care(now)
+            self._maintain_groups(now)
 
     def known_groups(self) -> list[str]:
         """Returns the groups in which this disk holds a vote or entries."""
         found = self.replicas.items()
-        return [group for group, replica in found if not replica.is_fresh()]
+        return [
+            group for group, replica in found if not replica.is_uninitialized()
+        ]
 
     def flush(self, now: float) -> None:
-        """Adds what is to be sent; to be called before taking the outbox."""
-        changed, self.outbox.changed = self.outbox.changed, set()
+        """Adds pending messages to the outbox; call it before taking that."""
+        changed, self.outbox.groups_to_replicate = (
+            self.outbox.groups_to_replicate,
+            set(),
+        )
         for group in sorted(changed):
             self.replicas[group].flush(now)
-        if self.outbox.beat_soon:
-            self._beat(now)
+        if self.outbox.heartbeat_requested:
+            self._send_heartbeats(now)
         if self.outbox.elections:
-            # Instances outside of the group learn of its leader by a greeting.
+            # Instances outside the group learn its leader from a Hello.
             self.hello_due = now
 
     def leader(self, group: str, now: float) -> identities.Incarnation:
-        """Returns who leads a group, as far as is known here, or NO_REPLICA.
-
-        The voters of a group hear its leader. An instance outside of it does
-        not, above all one that was voted out while it was down: its log still
-        lists it, so it waits for a heartbeat that never comes, and could not
-        pass any request on. It takes the word of a leader that greets it well
-        after the last heartbeat; one that is just lost does not. One that has
-        heard none since its start has nothing to weigh that word against.
+        """Returns the leader of a group, or NO_REPLICA if it is not known.
+
+        The voters know the leader from its heartbeats. Other instances rely
+        on its Hellos. One of them may be an instance that was removed from
+        the group while it was down: its log still lists it as a voter, but it
+        receives no heartbeats, and without a leader it could not forward any
+        request.
+
+        A leader's Hello counts if it arrived more than an election timeout
+        after the last heartbeat; an earlier one may be from the leader that
+        was just lost. It also counts if this replica has received no
+        heartbeat since its start.
         """
         replica = self.replicas[group].state
-        told = self.roster.leaders.get(group)
-        if replica.leader != types.NO_REPLICA or told is None:
+        claim = self.roster.leader_claims.get(group)
+        if replica.leader != types.NO_REPLICA or claim is None:
             return replica.leader
-        fresh = now - told.at < _LED_PERIODS * self.settings.hello
-        later = told.at - replica.heard_at > self.settings.election
-        credible = later or replica.heard_none
-        known = fresh and credible and told.term >= replica.term
-        return told.leader if known else types.NO_REPLICA
+        fresh = now - claim.received_at < _CLAIM_HELLOS * self.settings.hello
+        later = (
+            claim.received_at - replica.leader_heard_at > self.settings.election
+        )
+        credible = later or replica.no_leader_heard
+        known = fresh and credible and claim.term >= replica.term
+        return claim.leader if known else types.NO_REPLICA
 
     def on_synced(self, groups: Iterable[str]) -> None:
-        """Notes that every record so far of these groups is durable."""
+        """Marks all entries of these groups so far as durable."""
         self.on_synced_to(self.log_ends(groups))
 
     def log_ends(self, groups: Iterable[str]) -> dict[str, tuple[int, int]]:
-        """Returns index and term of the last entry of each group."""
+        """Returns the index and the term of the last entry of each group."""
         return {group: self.replicas[group].log_end() for group in groups}
 
     def on_synced_to(self, ends: dict[str, tuple[int, int]]) -> None:
-        """Notes that the entries up to what `log_ends` gave are durable."""
+        """Marks the entries up to a result of `log_ends` as durable."""
         for group in sorted(ends):
             self.replicas[group].on_synced(ends[group])
 
-    def _beat(self, now: float) -> None:
-        self.outbox.beat_soon = False
-        self.beat_due = now + self.settings.heartbeat
-        lists: dict[identities.Incarnation, list[wire.Beat]] = {}
+    def _send_heartbeats(self, now: float) -> None:
+        self.outbox.heartbeat_requested = False
+        self.heartbeat_due = now + self.settings.heartbeat
+        pending: dict[identities.Incarnation, list[wire.GroupHeartbeat]] = {}
         for group, replica in self.replicas.items():
             state = replica.state
             if state.role != types.LEADER:
                 continue
             for follower, progress in state.progress.items():
                 commit = min(progress.match, state.commit)
-                beat = wire.Beat(group, state.term, commit)
-                lists.setdefault(follower, []).append(beat)
-        for follower, beats in lists.items():
-            self._send_beat(follower, beats, now)
+                heartbeat = wire.GroupHeartbeat(group, state.term, commit)
+                pending.setdefault(follower, []).append(heartbeat)
+        for follower, heartbeats in pending.items():
+            self._send_heartbeat(follower, heartbeats, now)
 
-    def _care(self, now: float) -> None:
-        """Greets everyone, starts new groups and repairs those led here."""
+    def _maintain_groups(self, now: float) -> None:
+        """Sends Hellos, bootstraps new groups and repairs those led here."""
         size = self.settings.group_size
-        founding = [
+        to_bootstrap = [
             group
             for group, replica in self.replicas.items()
             if self.settings.founder
-            and replica.is_fresh()
-            and self.roster.may_found(group, size)
+            and replica.is_uninitialized()
+            and self.roster.is_founder(group, size)
         ]
         period = self.settings.hello
-        young = now - self.started < _YOUNG_PERIODS * period
-        hurry = bool(founding) and young
-        self.hello_due = now + (self.settings.heartbeat if hurry else period)
-        self._learn_voters()
-        self.roster.forget_silent(now - _FORGET_PERIODS * period)
-        hello = self._hello(bool(founding), now)
-        self.outbox.messages.extend(self.roster.greetings(hello))
-        for group in founding:
-            founders = self.roster.founders(group, size, now - 2 * period)
-            if founders is not None:
-                self.replicas[group].bootstrap(founders)
+        starting = now - self.started < _STARTUP_HELLOS * period
+        soon = bool(to_bootstrap) and starting
+        self.hello_due = now + (self.settings.heartbeat if soon else period)
+        self._add_logged_peers()
+        self.roster.remove_silent(now - _FORGET_HELLOS * period)
+        hello = self._make_hello(bool(to_bootstrap), now)
+        self.outbox.messages.extend(self.roster.hellos(hello))
+        for group in to_bootstrap:
+            initial = self.roster.initial_configuration(
+                group, size, now - 2 * period
+            )
+            if initial is not None:
+                self.replicas[group].bootstrap(initial)
         for replica in self.replicas.values():
             if replica.state.role == types.LEADER:
                 repair.tick(replica.state, self.roster, now)
-                election.balance(replica.state, now)
+                election.balance_leaders(replica.state, now)
 
-    def _hello(self, asks: bool, now: float) -> wire.Hello:
-        oldest = now - _TOLD_PERIODS * self.settings.hello
+    def _make_hello(self, asks: bool, now: float) -> wire.Hello:
+        oldest = now - _RECENT_HELLOS * self.settings.hello
         leads = [
-            wire.Led(group, replica.state.term)
+            wire.LedGroup(group, replica.state.term)
             for group, replica in self.replicas.items()
             if replica.state.role == types.LEADER
         ]
         known = self.roster.seen_since(oldest)
         return wire.Hello(asks, self.roster.own, known, leads)
 
-    def _greet_started(
-        self, sender: identities.Incarnation, now: float
-    ) -> None:
-        """Tells an instance that has just started what is known here.
+    def _reply_hello(self, sender: identities.Incarnation, now: float) -> None:
+        """Sends a Hello to an instance that has just started.
 
-        Whoever greets without naming anybody has heard nobody yet. Up to the
-        next round of greetings it would know no leader, or the leader would
-        not know of it, and its nodes would be given no configuration.
+        A Hello without members is from an instance that has not heard from
+        any other yet. Without a reply it would not know the leader, or the
+        leader would not know it, until the next hello interval, and its nodes
+        would get no configuration meanwhile.
         """
-        hello = self._hello(False, now)
+        hello = self._make_hello(False, now)
         self.outbox.messages.append(outbox.OutgoingMessage(sender, hello))
 
-    def _learn_voters(self) -> None:
-        """Keeps the addresses of all peers that the logs name.
+    def _add_logged_peers(self) -> None:
+        """Adds the peers in the groups' configurations to the roster.
 
         After a restart the settings may name other members than those that
-        hold the groups; the log knows where those were.
+        hold the groups. The logs still have the addresses of the latter.
         """
         for replica in self.replicas.values():
-            self.roster.learn(
+            self.roster.add_members(
                 types.Member(
                     peer.replica.instance,
                     peer.address,
@@ -285,20 +319,20 @@
                 for peer in replica.state.configuration.peers()
             )
 
-    def _send_beat(
+    def _send_heartbeat(
         self,
         follower: identities.Incarnation,
-        beats: list[wire.Beat],
+        heartbeats: list[wire.GroupHeartbeat],
         now: float,
     ) -> None:
-        out = self.outgoing.setdefault(follower, _Outgoing())
-        if out.lists.get(out.version) != beats:
-            out.version += 1
-            out.lists[out.version] = beats
-            out.lists.pop(out.version - _KEPT_VERSIONS, None)
-        # An idle list is named by its version instead of being sent again.
-        body = None if out.known == out.version else beats
-        message = wire.Heartbeat(self.life, out.version, now, body)
+        sent = self.outgoing.setdefault(follower, _SentHeartbeats())
+        if sent.lists.get(sent.version) != heartbeats:
+            sent.version += 1
+            sent.lists[sent.version] = heartbeats
+            sent.lists.pop(sent.version - _KEPT_VERSIONS, None)
+        # An unchanged list is referred to by its version, not sent again.
+        body = None if sent.acked_version == sent.version else heartbeats
+        message = wire.Heartbeat(self.process_epoch, sent.version, now, body)
         self.outbox.messages.append(outbox.OutgoingMessage(follower, message))
 
     def _on_heartbeat(
@@ -307,57 +341,72 @@
         message: wire.Heartbeat,
         now: float,
     ) -> None:
-        life, version, beats = self.incoming.get(sender, (0, 0, []))
-        if message.beats is not None:
-            beats = message.beats
-            self.incoming[sender] = (message.life, message.version, beats)
-        elif (life, version) != (message.life, message.version):
-            self._reply(sender, message, False, [])
+        process_epoch, version, heartbeats = self.incoming.get(
+            sender, (0, 0, [])
+        )
+        if message.groups is not None:
+            heartbeats = message.groups
+            self.incoming[sender] = (
+                message.process_epoch,
+                message.version,
+                heartbeats,
+            )
+        elif (process_epoch, version) != (
+            message.process_epoch,
+            message.version,
+        ):
+            self._send_heartbeat_reply(sender, message, False, [])
             return
         refused = []
-        for beat in beats:
-            replica = self.replicas.get(beat.group)
+        for heartbeat in heartbeats:
+            replica = self.replicas.get(heartbeat.group)
             if replica is None:
-                refused.append(beat._replace(term=0))
+                refused.append(heartbeat._replace(term=0))
                 continue
-            taken = replication.on_beat(replica.state, sender, beat, now)
-            if not taken:
-                refused.append(beat._replace(term=replica.state.term))
-        self._reply(sender, message, True, refused)
+            accepted = replication.on_group_heartbeat(
+                replica.state, sender, heartbeat, now
+            )
+            if not accepted:
+                refused.append(heartbeat._replace(term=replica.state.term))
+        self._send_heartbeat_reply(sender, message, True, refused)
 
-    def _reply(
+    def _send_heartbeat_reply(
         self,
         sender: identities.Incarnation,
         message: wire.Heartbeat,
         known: bool,
-        refused: list[wire.Beat],
+        refused: list[wire.GroupHeartbeat],
     ) -> None:
         reply = wire.HeartbeatReply(
-            message.life, message.version, message.sent, known, refused
+            message.process_epoch, message.version, message.sent, known, refused
         )
         self.outbox.messages_after_sync.append(
             outbox.OutgoingMessage(sender, reply)
         )
 
-    def _on_reply(
+    def _on_heartbeat_reply(
         self,
         sender: identities.Incarnation,
         message: wire.HeartbeatReply,
         now: float,
     ) -> None:
-        out = self.outgoing.get(sender)
-        if out is None or message.life != self.life:
+        sent = self.outgoing.get(sender)
+        if sent is None or message.process_epoch != self.process_epoch:
             return
-        out.known = message.version if message.known else 0
-        beats = out.lists.get(message.version)
-        if not message.known or beats is None:
+        sent.acked_version = message.version if message.known else 0
+        heartbeats = sent.lists.get(message.version)
+        if not message.known or heartbeats is None:
             return
-        refused = {beat.group: beat.term for beat in message.refused}
-        for beat in beats:
-            replica = self.replicas[beat.group].state
-            higher = refused.get(beat.group)
+        refused = {
+            heartbeat.group: heartbeat.term for heartbeat in message.refused
+        }
+        for heartbeat in heartbeats:
+            replica = self.replicas[heartbeat.group].state
+            higher = refused.get(heartbeat.group)
             if higher is not None:
                 if higher > replica.term:
-                    replica.follow(higher, types.NO_REPLICA, now)
-            elif replica.term == beat.term and replica.role == types.LEADER:
+                    replica.become_follower(higher, types.NO_REPLICA, now)
+            elif (
+                replica.term == heartbeat.term and replica.role == types.LEADER
+            ):
                 lease.acknowledge(replica, sender, message.sent, now)
--- a/src/mintcleat/consensus/replication.py
+++ b/src/mintcleat/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication of entries from the leader, pipelined, and commits."""
+"""Pipelined replication of entries to followers, and the commit index."""
 
 import math
 
@@ -10,18 +10,18 @@
 from mintcleat.domain import identities
 
 
-def add(replica: state.State, kind: int, data: bytes, now: float) -> int:
-    """Adds an entry at the leader and returns its index."""
+def append(replica: state.State, kind: int, data: bytes, now: float) -> int:
+    """Appends an entry to the leader's log and returns its index."""
     entry = types.Entry(replica.log.last_index + 1, replica.term, kind, data)
-    replica.store([entry])
-    replica.outbox.changed.add(replica.group)
+    replica.append([entry])
+    replica.outbox.groups_to_replicate.add(replica.group)
     if kind == types.CONFIGURATION:
         track_peers(replica, now)
     return entry.index
 
 
 def track_peers(replica: state.State, now: float) -> None:
-    """Keeps progress for exactly the peers of the configuration."""
+    """Makes `progress` match the peers of the current configuration."""
     wanted = {p.replica for p in replica.configuration.peers()}
     wanted.discard(replica.me)
     for gone in set(replica.progress) - wanted:
@@ -32,21 +32,21 @@
 
 
 def send_all(replica: state.State, now: float) -> None:
-    """Sends each follower what it may be sent now."""
+    """Sends each follower the entries that flow control allows."""
     for follower, progress in replica.progress.items():
         _send(replica, follower, progress, now)
 
 
 def tick(replica: state.State, now: float) -> None:
-    """Sends again to followers that have been silent too long."""
+    """Probes followers that lack entries and have not replied for too long."""
     for follower, progress in replica.progress.items():
         behind = progress.match < replica.log.last_index
-        silent = now - progress.heard > replica.settings.resend
+        silent = now - progress.last_reply > replica.settings.resend
         if behind and silent and now > progress.snapshot_until:
             progress.next = progress.match + 1
-            progress.unanswered = 0
+            progress.in_flight = 0
             progress.probing = True
-            progress.heard = now
+            progress.last_reply = now
             _send(replica, follower, progress, now)
 
 
@@ -56,16 +56,16 @@
     message: wire.Append,
     now: float,
 ) -> None:
-    """Takes entries from the leader."""
+    """Appends entries from the leader."""
     if message.term < replica.term:
         _refuse(replica, sender, message, 0)
         return
-    _hear(replica, sender, message.term, now)
-    hint = _mismatch(replica, message)
+    _accept_leader(replica, sender, message.term, now)
+    hint = _conflict_hint(replica, message)
     if hint is not None:
         _refuse(replica, sender, message, hint)
         return
-    _merge(replica, message.entries)
+    _append_missing(replica, message.entries)
     last = message.previous_index + len(message.entries)
     replica.commit_to(min(message.commit, last))
     reply = wire.AppendReply(replica.group, replica.term, True, last)
@@ -78,67 +78,73 @@
     message: wire.AppendReply,
     now: float,
 ) -> None:
-    """Takes a follower's answer."""
+    """Updates a follower's progress and sends it the next entries."""
     if message.term > replica.term:
-        replica.follow(message.term, types.NO_REPLICA, now)
+        replica.become_follower(message.term, types.NO_REPLICA, now)
         return
     progress = replica.progress.get(sender)
     if progress is None or message.term < replica.term:
         return
-    progress.heard = now
+    progress.last_reply = now
     if message.accepted:
-        _advance(replica, progress, message.index)
+        _record_match(replica, progress, message.index)
     elif message.previous_index > progress.match:
         retry = min(message.previous_index, message.index + 1)
         progress.next = max(progress.match + 1, retry)
         progress.probing = True
-        progress.unanswered = 0
+        progress.in_flight = 0
     _send(replica, sender, progress, now)
 
 
-def on_beat(
+def on_group_heartbeat(
     replica: state.State,
     sender: identities.Incarnation,
-    beat: wire.Beat,
+    heartbeat: wire.GroupHeartbeat,
     now: float,
 ) -> bool:
-    """Takes a heartbeat; returns False when it is of an old term."""
-    if beat.term < replica.term:
+    """Processes one group's heartbeat; returns False if its term is old."""
+    if heartbeat.term < replica.term:
         return False
-    _hear(replica, sender, beat.term, now)
-    replica.commit_to(min(beat.commit, replica.log.last_index))
+    _accept_leader(replica, sender, heartbeat.term, now)
+    replica.commit_to(min(heartbeat.commit, replica.log.last_index))
     return True
 
 
-def on_install(
+def on_install_snapshot(
     replica: state.State,
     sender: identities.Incarnation,
     message: wire.InstallSnapshot,
     now: float,
 ) -> None:
-    """Replaces the log by a snapshot, unless it holds as much already."""
+    """Replaces the log by a snapshot, unless that much is committed here."""
     if message.term < replica.term:
         reply = wire.AppendReply(replica.group, replica.term, False, 0)
         replica.send(sender, reply)
         return
-    _hear(replica, sender, message.term, now)
-    mark = message.snapshot
-    if mark.index > replica.commit:
-        replica.install(mark)
-        install = outbox.SnapshotReceived(replica.group, mark, message.state)
+    _accept_leader(replica, sender, message.term, now)
+    snapshot = message.snapshot
+    if snapshot.index > replica.commit:
+        replica.install(snapshot)
+        install = outbox.SnapshotReceived(
+            replica.group, snapshot, message.state
+        )
         replica.outbox.installs.append(install)
-    last = max(mark.index, replica.commit)
+    last = max(snapshot.index, replica.commit)
     reply = wire.AppendReply(replica.group, replica.term, True, last)
     replica.send_synced(sender, reply)
 
 
-def on_snapshot_ended(
+def on_snapshot_transfer_ended(
     replica: state.State,
     follower: identities.Incarnation,
     sent: bool,
     now: float,
 ) -> None:
-    """Notes that the sending of a snapshot has ended."""
+    """Schedules the next attempt after the transfer of a snapshot has ended.
+
+    After a complete transfer the follower gets time to reply; after a failed
+    one it may be sent the snapshot again at once.
+    """
     progress = replica.progress.get(follower)
     if progress is not None and progress.snapshot_until == math.inf:
         wait = replica.settings.snapshot_resend if sent else 0.0
@@ -146,10 +152,10 @@
 
 
 def advance_commit(replica: state.State) -> None:
-    """Commits what a majority of the voters holds durably.
+    """Commits the entries that a majority of the voters holds durably.
 
-    Only an entry of the leader's own term is counted: an older one that a
-    majority holds can still be overwritten by a later leader.
+    Only an entry of the leader's own term counts: an older entry can still
+    be overwritten by a later leader, even if a majority holds it.
     """
     configuration = replica.configuration
     matches = sorted(
@@ -172,8 +178,8 @@
     log = replica.log
     settings = replica.settings
     while progress.next <= log.last_index:
-        limit = 1 if progress.probing else settings.window
-        if progress.unanswered >= limit or now <= progress.snapshot_until:
+        limit = 1 if progress.probing else settings.max_in_flight
+        if progress.in_flight >= limit or now <= progress.snapshot_until:
             return
         if progress.next <= log.base_index:
             _send_snapshot(replica, follower, progress, now)
@@ -191,9 +197,9 @@
             replica.commit,
         )
         replica.send(follower, message)
-        if progress.unanswered == 0:
-            progress.heard = now
-        progress.unanswered += 1
+        if progress.in_flight == 0:
+            progress.last_reply = now
+        progress.in_flight += 1
         progress.next += len(items)
 
 
@@ -203,6 +209,7 @@
     progress: state.Progress,
     now: float,
 ) -> None:
+    """Requests a snapshot transfer, unless the follower is unreachable."""
     if now - progress.last_contact > 2 * replica.settings.election:
         return
     progress.snapshot_until = math.inf
@@ -212,30 +219,35 @@
     replica.outbox.snapshots.append(needed)
 
 
-def _advance(
+def _record_match(
     replica: state.State, progress: state.Progress, index: int
 ) -> None:
+    """Records that a follower holds the entries up to an index."""
     progress.match = max(progress.match, index)
     progress.next = max(progress.next, progress.match + 1)
     progress.probing = False
-    progress.unanswered = max(0, progress.unanswered - 1)
+    progress.in_flight = max(0, progress.in_flight - 1)
     progress.snapshot_until = -math.inf
     advance_commit(replica)
 
 
-def _hear(
+def _accept_leader(
     replica: state.State, sender: identities.Incarnation, term: int, now: float
 ) -> None:
+    """Follows the leader of a term and renews the promise to it."""
     if term > replica.term or replica.leader != sender:
-        replica.follow(term, sender, now)
+        replica.become_follower(term, sender, now)
     replica.role = types.FOLLOWER
-    replica.save_leader(sender)
-    replica.heard_at = now
-    replica.delay_election(now)
+    replica.persist_leader(sender)
+    replica.leader_heard_at = now
+    replica.reset_election_timer(now)
 
 
-def _mismatch(replica: state.State, message: wire.Append) -> int | None:
-    """Returns the last index that may match, or None when all is well."""
+def _conflict_hint(replica: state.State, message: wire.Append) -> int | None:
+    """Returns the last index that may match the leader's log.
+
+    Returns None if the entry before the message's entries matches.
+    """
     log = replica.log
     previous = message.previous_index
     if previous < log.base_index:
@@ -250,7 +262,8 @@
     return previous
 
 
-def _merge(replica: state.State, items: list[types.Entry]) -> None:
+def _append_missing(replica: state.State, items: list[types.Entry]) -> None:
+    """Appends entries that the log lacks; they replace conflicting ones."""
     for number, entry in enumerate(items):
         if entry.index <= replica.log.base_index:
             continue
@@ -259,7 +272,7 @@
             continue
         if found is not None:
             replica.truncate(entry.index)
-        replica.store(items[number:])
+        replica.append(items[number:])
         return
 
 
@@ -276,7 +289,7 @@
 
 
 def match_index(replica: state.State, voter: identities.Incarnation) -> int:
-    """Returns the last index known to be durable at a voter."""
+    """Returns the last index known to be durable at a voter; 0 for none."""
     if voter == replica.me:
         return replica.persisted
     progress = replica.progress.get(voter)
--- a/src/mintcleat/consensus/roster.py
+++ b/src/mintcleat/consensus/roster.py
@@ -1,4 +1,4 @@
-"""Who lives on which instance, and when a new group may be started."""
+"""The known instances, and the bootstrap of new groups."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -12,41 +12,46 @@
 
 
 class ObservedPeer(NamedTuple):
-    """The replica identity last heard from an instance.
+    """What was last heard from an instance.
 
     Attributes:
-        seen: When it was heard.
-        answered: When it last answered our question; 0 for never.
-        groups: Groups that its disk knew then.
+        peer: Its current incarnation and address.
+        last_seen: When its last frame arrived.
+        answered_at: When its last KnownGroups arrived; 0 for never.
+        groups: Groups that its disk held then.
     """
 
     peer: types.Peer
-    seen: float
-    answered: float
+    last_seen: float
+    answered_at: float
     groups: frozenset[str]
 
 
-class Told(NamedTuple):
-    """Who greeted as the leader of a group.
+class LeaderClaim(NamedTuple):
+    """A replica that announced itself as the leader of a group.
 
     Attributes:
-        at: When the greeting came.
+        received_at: When its Hello arrived.
     """
 
     term: int
     leader: identities.Incarnation
-    at: float
+    received_at: float
 
 
 class Roster:
-    """The members by settings, those learned, and who was heard from them.
+    """The instances from the settings, and those discovered at run time.
 
     Attributes:
-        founding: The members by settings; only they may start a group.
-        members: Those, and the instances that others told of.
-        observed: By instance name; without this instance.
-        retired: Instances that an operator empties; no group is moved there.
-        leaders: By group, who said last that it leads there.
+        configured_members: Members from the settings; only they may
+            bootstrap a group.
+        members: By instance name, configured and discovered members.
+        own: The member that describes this instance.
+        observed: By instance name, what was last heard from it; without this
+            instance.
+        retired: Instances that an operator is retiring. Their replicas are
+            replaced, and they receive no new ones.
+        leader_claims: By group, the announced leader of the highest term.
     """
 
     def __init__(
@@ -56,7 +61,7 @@
         own: types.Member | None = None,
     ) -> None:
         self.me = me
-        self.founding = list(members)
+        self.configured_members = list(members)
         self.members = {member.instance: member for member in members}
         self.own = own or self.members.get(
             me.instance, types.Member(me.instance, "", "", "")
@@ -64,20 +69,20 @@
         self.members[me.instance] = self.own
         self.observed: dict[str, ObservedPeer] = {}
         self.retired: frozenset[str] = frozenset()
-        self.leaders: dict[str, Told] = {}
+        self.leader_claims: dict[str, LeaderClaim] = {}
 
-    def learn(self, members: Iterable[types.Member]) -> None:
-        """Takes instances that were not known; they are greeted from now on."""
+    def add_members(self, members: Iterable[types.Member]) -> None:
+        """Adds instances that were not known; they receive Hellos from now."""
         for member in members:
             self.members.setdefault(member.instance, member)
 
-    def greeted(
+    def on_hello(
         self, sender: identities.Incarnation, message: wire.Hello, now: float
     ) -> None:
-        """Takes what a greeting says of its sender and of others.
+        """Updates the members and the leader claims from a Hello.
 
-        Settings may name members by address alone; the failure domain that
-        placement needs then comes with the greeting.
+        The settings may name members by address only. Their failure domains,
+        which placement needs, then come from their Hellos.
         """
         own = message.own
         if own.instance == sender.instance:
@@ -88,46 +93,46 @@
                     failure_domain=own.failure_domain, region=own.region
                 )
                 self.observed[own.instance] = known._replace(peer=peer)
-        self.learn(message.members)
+        self.add_members(message.members)
         for group, term in message.leads:
-            told = self.leaders.get(group)
-            if told is None or term >= told.term:
-                self.leaders[group] = Told(term, sender, now)
+            claim = self.leader_claims.get(group)
+            if claim is None or term >= claim.term:
+                self.leader_claims[group] = LeaderClaim(term, sender, now)
 
     def seen_since(self, oldest: float) -> list[types.Member]:
-        """Returns the instances heard since a time, this one not included."""
+        """Returns the other instances heard from since `oldest`."""
         return [
             self.members[name]
-            for name, resident in sorted(self.observed.items())
-            if resident.seen >= oldest and name in self.members
+            for name, observed in sorted(self.observed.items())
+            if observed.last_seen >= oldest and name in self.members
         ]
 
-    def forget_silent(self, oldest: float) -> None:
-        """Drops learned instances that have been silent for long.
+    def remove_silent(self, oldest: float) -> None:
+        """Removes discovered instances that were not heard from since `oldest`.
 
-        Machines are replaced under new addresses; greeting each one that
-        ever was would go on for good.
+        Hosts are replaced under new addresses, so the list of instances to
+        send Hellos to would otherwise grow without bound.
         """
-        kept = {member.instance for member in self.founding}
+        kept = {member.instance for member in self.configured_members}
         kept.add(self.me.instance)
         for name in set(self.members) - kept:
-            resident = self.observed.get(name)
-            if resident is None:
+            observed = self.observed.get(name)
+            if observed is None:
                 continue
-            if resident.seen < oldest:
+            if observed.last_seen < oldest:
                 del self.members[name]
                 del self.observed[name]
 
     def address(self, instance: str) -> str:
-        """Returns the stream address of an instance, or an empty text."""
-        resident = self.observed.get(instance)
-        if resident is not None:
-            return resident.peer.address
+        """Returns the stream address of an instance; empty if unknown."""
+        observed = self.observed.get(instance)
+        if observed is not None:
+            return observed.peer.address
         member = self.members.get(instance)
         return member.address if member else ""
 
     def peer(self, replica: identities.Incarnation) -> types.Peer:
-        """Returns a peer with what the settings say of its instance."""
+        """Returns a replica as a Peer, with its instance's member data."""
         member = self.members.get(replica.instance)
         if member is None:
             return types.Peer(replica, "", "", "")
@@ -135,13 +140,13 @@
             replica, member.address, member.failure_domain, member.region
         )
 
-    def heard(
+    def on_frame(
         self, sender: identities.Incarnation, address: str, now: float
     ) -> bool:
-        """Notes that a frame came; an older incarnation is ignored.
+        """Records that a frame arrived; an older incarnation is ignored.
 
         Returns:
-            Whether this incarnation was not heard before.
+            Whether this incarnation was not heard from before.
         """
         known = self.observed.get(sender.instance)
         new = known is None or known.peer.replica.epoch < sender.epoch
@@ -151,54 +156,64 @@
         elif known.peer.replica != sender:
             return False
         peer = known.peer._replace(address=address)
-        self.observed[sender.instance] = known._replace(peer=peer, seen=now)
+        self.observed[sender.instance] = known._replace(
+            peer=peer, last_seen=now
+        )
         return new
 
-    def on_known(
-        self, sender: identities.Incarnation, message: wire.Known, now: float
+    def on_known_groups(
+        self,
+        sender: identities.Incarnation,
+        message: wire.KnownGroups,
+        now: float,
     ) -> None:
-        """Notes what an instance answered to our question."""
+        """Records the groups that an instance knows."""
         known = self.observed.get(sender.instance)
         if known is not None and known.peer.replica == sender:
             self.observed[sender.instance] = known._replace(
-                answered=now, groups=frozenset(message.groups)
+                answered_at=now, groups=frozenset(message.groups)
             )
 
-    def greetings(self, hello: wire.Hello) -> list[outbox.OutgoingMessage]:
-        """Returns a greeting for every other instance, whoever lives there."""
+    def hellos(self, hello: wire.Hello) -> list[outbox.OutgoingMessage]:
+        """Returns a Hello for any incarnation of every other instance."""
         return [
             outbox.OutgoingMessage(identities.Incarnation(name, 0), hello)
             for name in self.members
             if name != self.me.instance
         ]
 
-    def may_found(self, group: str, size: int) -> bool:
-        """Tells whether this instance starts the group if nobody knows it."""
+    def is_founder(self, group: str, size: int) -> bool:
+        """Returns whether this instance bootstraps the group if it is new."""
         return self._founder_names(group, size)[:1] == [self.me.instance]
 
-    def founders(
+    def initial_configuration(
         self, group: str, size: int, oldest: float
     ) -> types.Configuration | None:
-        """Returns the first configuration, if this instance must start it.
+        """Returns the first configuration if this instance may bootstrap it.
+
+        Only the first of the chosen voters may do so, and only after each of
+        the others has told this incarnation that it does not know the group.
+        An instance with an emptied disk finds others that know the group and
+        waits until it is added, so a group is never bootstrapped twice.
 
-        Only the first of the chosen voters may, and only when each of the
-        others has told this very incarnation that it knows nothing of the
-        group. An instance whose disk was emptied meets others that do know
-        it, and waits to be admitted: it never starts the group twice.
+        Args:
+            group: Name of the group.
+            size: Target number of voters.
+            oldest: Replies from before this time don't count.
         """
         names = self._founder_names(group, size)
         if names[:1] != [self.me.instance]:
             return None
         peers = [self.peer(self.me)]
         for name in names[1:]:
-            resident = self.observed.get(name)
-            if resident is None or resident.answered <= oldest:
+            observed = self.observed.get(name)
+            if observed is None or observed.answered_at <= oldest:
                 return None
-            if group in resident.groups:
+            if group in observed.groups:
                 return None
-            peers.append(resident.peer)
+            peers.append(observed.peer)
         return types.Configuration(peers, [])
 
     def _founder_names(self, group: str, size: int) -> list[str]:
-        chosen = placement.voters(group, self.founding, size)
+        chosen = placement.voters(group, self.configured_members, size)
         return [member.instance for member in chosen]
