--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -15,7 +15,7 @@
 
 import fire
 
-from mintcleat.decisions import pace
+from mintcleat.decisions import send_interval
 
 ROOT = pathlib.Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "CAPACITY.md"
@@ -53,7 +53,7 @@
 def node_cpu(data: dict[str, Any]) -> list[Line]:
     """Returns processor time of control per node, in % of one core."""
     report = data["sidecar_watcher"]["slope"] / 2
-    reports = SIDECARS * pace.REPORT_BUDGET / 100
+    reports = SIDECARS * send_interval.REPORT_BUDGET / 100
     entry = data["turn_entry_control"]
     sidecar = data["turn_sidecar_control"]
     followers = 1 + SIDECARS
@@ -81,7 +81,7 @@
             report * reports / 1e4,
             "%",
             "load_reports",
-            "decisions/pace.py bounds their bytes",
+            "decisions/send_interval.py bounds their bytes",
         ),
         Line(
             "configuration followed",
@@ -102,19 +102,19 @@
     return [
         Line(
             "load reports sent",
-            f"{pace.REPORT_BUDGET:.0f} B/s x {SIDECARS:.2f} sidecars",
-            pace.REPORT_BUDGET * SIDECARS / 1e3,
+            f"{send_interval.REPORT_BUDGET:.0f} B/s x {SIDECARS:.2f} sidecars",
+            send_interval.REPORT_BUDGET * SIDECARS / 1e3,
             "KB/s",
             "budget in the code",
-            "decisions/pace.py",
+            "decisions/send_interval.py",
         ),
         Line(
             "residency renewed",
-            f"{pace.RENEWAL_BUDGET:.0f} B/s x {SIDECARS:.2f} sidecars",
-            pace.RENEWAL_BUDGET * SIDECARS / 1e3,
+            f"{send_interval.RENEWAL_BUDGET:.0f} B/s x {SIDECARS:.2f} sidecars",
+            send_interval.RENEWAL_BUDGET * SIDECARS / 1e3,
             "KB/s",
             "budget in the code",
-            "decisions/pace.py, roles/sidecar/memory.py",
+            "decisions/send_interval.py, roles/sidecar/memory.py",
         ),
         Line(
             "configuration stream",
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -14,7 +14,7 @@
 
 from mintcleat.decisions import calls
 from mintcleat.decisions import order
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.decisions import queue
 from mintcleat.decisions import subset
 from mintcleat.domain import call_messages
@@ -353,7 +353,7 @@
             rows = [
                 (
                     name,
-                    FULL._replace(name=text, weights=place.Weights(*pair)),
+                    FULL._replace(name=text, weights=placement.Weights(*pair)),
                     0.9,
                 )
                 for text, pair in ends.items()
@@ -380,7 +380,7 @@
     members = [
         subset.Member(f"u{number}", f"d{number % 9}") for number in range(count)
     ]
-    fleet = place.Fleet()
+    fleet = placement.Fleet()
     fleet.watch(subset.choose(members, "entry"))
     for name in fleet.subset:
         report = call_messages.LoadReport(
@@ -393,14 +393,16 @@
             0.02,
             8000.0,
             0,
-            place.READY,
+            placement.READY,
         )
         fleet.report(report, 0.0)
-    resident = place.Resident(fleet.subset[0], 5000)
+    resident = placement.Resident(fleet.subset[0], 5000)
     started = time.perf_counter()
     for number in range(5000):
         call = calls.Call(f"c{number}", "p", "p", "a", "b", attained=1)
-        place.choose(fleet, call, resident, place.Weights(), number * 0.01)
+        placement.choose(
+            fleet, call, resident, placement.Weights(), number * 0.01
+        )
         for upstream in fleet.upstreams.values():
             upstream.sent.clear()
     clearing = time.perf_counter()
--- a/bench/policy_world.py
+++ b/bench/policy_world.py
@@ -11,13 +11,13 @@
 from typing import Any
 from typing import NamedTuple
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
+from mintcleat.decisions import cache_retention
 from mintcleat.decisions import calls
-from mintcleat.decisions import learn
 from mintcleat.decisions import order
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.decisions import queue
-from mintcleat.decisions import retain
+from mintcleat.decisions import remaining_work
 from mintcleat.decisions import retry
 from mintcleat.domain import call_messages
 from mintcleat.domain import identities
@@ -50,12 +50,12 @@
     placing: str = "choose"
     keeping: str = "pause"
     gate: queue.Options = queue.Options()
-    switches: place.Switches = place.ALL_ON
+    switches: placement.Switches = placement.ALL_ON
     bounded_pause: bool = True
     export: bool = True
     deadline: float = 120.0
     retries: bool = True
-    weights: place.Weights | None = None
+    weights: placement.Weights | None = None
 
 
 class Result(NamedTuple):
@@ -110,7 +110,7 @@
         self.tried: set[str] = set()
         self.attempts = 0
         self.deadline = math.inf
-        self.choice: place.Choice | None = None
+        self.choice: placement.Choice | None = None
         self.sidecar: Sidecar | None = None
         self.started = 0.0
         self.first = 0.0
@@ -128,8 +128,8 @@
         self.engine = policy_engine.Engine(world.deployment.memory, slow)
         options = policy.gate._replace(memory=world.deployment.memory)
         self.gate = queue.Gate(options, policy_engine.BATCH)
-        self.keeper = retain.Keeper(
-            retain.Options(
+        self.keeper = cache_retention.Keeper(
+            cache_retention.Options(
                 world.deployment.memory,
                 policy_engine.PREFILL_RATE,
                 by_pause=policy.keeping == "pause",
@@ -154,18 +154,18 @@
             load.token_time,
             load.prefill_rate,
             self.engine.free(),
-            place.READY,
+            placement.READY,
             load.new_wait,
         )
 
-    def offer(self, job: Job) -> admit.Refuse | None:
+    def offer(self, job: Job) -> admission.Refuse | None:
         """Offers a call to the gate; returns its refusal."""
         now = self.world.now
         program = job.program
         cached = self.engine.cached.get(program.spec.name, 0)
         call = self.world.call(job, job.prompt - cached)
         answer = self.gate.offer(call, now)
-        if isinstance(answer, admit.Refuse):
+        if isinstance(answer, admission.Refuse):
             return answer
         self.keeper.called(program.spec.name, now)
         self.jobs[job.call_id] = job
@@ -216,11 +216,13 @@
         for action in self.keeper.victims(missing, self.world.now):
             self._act(action)
 
-    def _act(self, action: retain.Action) -> None:
+    def _act(self, action: cache_retention.Action) -> None:
         match action:
-            case retain.Drop(program, keep) if keep:
+            case cache_retention.Drop(program, keep) if keep:
                 self.engine.keep(program, keep)
-            case retain.Drop(program) | retain.Export(program):
+            case cache_retention.Drop(program) | cache_retention.Export(
+                program
+            ):
                 self.engine.drop(program)
 
     def _schedule(self) -> None:
@@ -277,7 +279,7 @@
         for call in self.gate.expire(now):
             job = self.jobs.pop(call.call_id)
             self.world.shed += 1
-            refusal = admit.Refuse("deadline_unmet", 1.0)
+            refusal = admission.Refuse("deadline_unmet", 1.0)
             self.world.refused(job, refusal)
         self.pump()
         self.world.at(now + REPORT_PERIOD, self.tick)
@@ -303,9 +305,9 @@
     def __init__(self, world: "World", number: int) -> None:
         self.world = world
         self.name = f"entry{number}"
-        self.fleet = place.Fleet(world.policy.switches)
+        self.fleet = placement.Fleet(world.policy.switches)
         self.fleet.watch(sorted(world.sidecars))
-        self.learner = learn.Learner()
+        self.learner = remaining_work.Learner()
         self.budget = retry.Budget()
         self.turn = number
         self.sent: dict[str, int] = dict.fromkeys(world.sidecars, 0)
@@ -355,8 +357,10 @@
             export = 0.0
             if self.world.policy.export:
                 export = program.history / policy_engine.EXPORT_RATE
-            resident = place.Resident(program.resident, program.history, export)
-        choice = place.choose(
+            resident = placement.Resident(
+                program.resident, program.history, export
+            )
+        choice = placement.choose(
             self.fleet,
             self.world.call(job, job.step.new, self.learner),
             resident,
@@ -390,7 +394,7 @@
     ) -> None:
         self.deployment = deployment
         self.policy = policy
-        self.weights = policy.weights or place.Weights(
+        self.weights = policy.weights or placement.Weights(
             deployment.latency_weight, deployment.waste_weight
         )
         self.now = 0.0
@@ -443,7 +447,7 @@
         self.at(self.now + HOP, entry.submit, job)
 
     def call(
-        self, job: Job, new: int, learner: learn.Learner | None = None
+        self, job: Job, new: int, learner: remaining_work.Learner | None = None
     ) -> calls.Call:
         """Returns the call as the decisions see it."""
         program = job.program
@@ -472,7 +476,7 @@
         source.release_moved(program.spec.name)
         return tokens
 
-    def refused(self, job: Job, refusal: admit.Refuse) -> None:
+    def refused(self, job: Job, refusal: admission.Refuse) -> None:
         """The caller hears a refusal and comes back after the advice."""
         self.refusals += 1
         job.attempts = 0
--- a/bench/routed.py
+++ b/bench/routed.py
@@ -13,7 +13,7 @@
 
 from mintcleat.adapters import event_log
 from mintcleat.configuration import directory
-from mintcleat.decisions import spread
+from mintcleat.decisions import load_balancing
 from mintcleat.domain import events
 from mintcleat.domain import member_messages
 from mintcleat.domain import program_messages
@@ -92,10 +92,12 @@
 def placing() -> None:
     """Prints the time of one choice."""
     for count in (5, 32):
-        offered = [spread.Candidate(f"u{n}", n % 5, 32) for n in range(count)]
+        offered = [
+            load_balancing.Candidate(f"u{n}", n % 5, 32) for n in range(count)
+        ]
         began = time.process_time()
         for number in range(CALLS):
-            spread.choose(offered, "u1", f"p{number}", "r")
+            load_balancing.choose(offered, "u1", f"p{number}", "r")
         took = (time.process_time() - began) / CALLS
         show("choice among upstreams", count, f"{took * 1e6:.0f} us")
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -28,7 +28,7 @@
 from bench import state
 from mintcleat.adapters import streams
 from mintcleat.adapters import timers
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.domain import call_messages
 from mintcleat.domain import codec
 from mintcleat.domain import digests
@@ -357,8 +357,8 @@
     return held
 
 
-def _fleet(count: int) -> place.Fleet:
-    fleet = place.Fleet()
+def _fleet(count: int) -> placement.Fleet:
+    fleet = placement.Fleet()
     names = [f"sidecar-{number:06d}" for number in range(count)]
     fleet.watch(names)
     for name in names:
--- a/src/mintcleat/decisions/lines.py
+++ b/src/mintcleat/decisions/class_queue.py
@@ -4,7 +4,7 @@
 
 import sortedcontainers
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
 from mintcleat.decisions import calls
 
 # Sorts after every call id, so that calls with equal keys count as ahead.
@@ -74,7 +74,7 @@
     """
 
     def __init__(self) -> None:
-        self.clock = admit.FairClock()
+        self.clock = admission.FairClock()
         self.flows: dict[str, Flow] = {}
         self.total = 0.0
         self.count = 0
--- a/src/mintcleat/decisions/order.py
+++ b/src/mintcleat/decisions/order.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from mintcleat.decisions import calls
-from mintcleat.decisions import learn
+from mintcleat.decisions import remaining_work
 
 # No call is put behind calls that arrive more than this after it: ageing, so
 # that none starves. The key never changes, so the queue is never re-sorted.
@@ -31,7 +31,7 @@
 
 def key(
     call: calls.Call,
-    remaining: learn.Remaining,
+    remaining: remaining_work.Remaining,
     typical: float,
     now: float,
     switches: Switches = ALL_ON,
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -9,12 +9,12 @@
 
 import sortedcontainers
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
 from mintcleat.decisions import calls
+from mintcleat.decisions import class_queue
 from mintcleat.decisions import concurrency
-from mintcleat.decisions import learn
-from mintcleat.decisions import lines
 from mintcleat.decisions import order
+from mintcleat.decisions import remaining_work
 from mintcleat.decisions import slots
 from mintcleat.decisions import speed
 
@@ -64,13 +64,13 @@
         self.options = options
         self.limit = concurrency.Limit(capacity)
         self.speed = speed.Speed()
-        self.learner = learn.Learner()
-        self.lines = {klass: lines.Line() for klass in CLASS_WEIGHTS}
-        self.classes = admit.FairClock()
-        self.waiting: dict[str, lines.Entry] = {}
+        self.learner = remaining_work.Learner()
+        self.lines = {klass: class_queue.Line() for klass in CLASS_WEIGHTS}
+        self.classes = admission.FairClock()
+        self.waiting: dict[str, class_queue.Entry] = {}
         self.latest: sortedcontainers.SortedList = sortedcontainers.SortedList()
         self.slots = slots.Slots(options, self.speed)
-        self.suspects: list[lines.Entry] = []
+        self.suspects: list[class_queue.Entry] = []
 
     def configure(self, options: Options) -> None:
         """Puts other policies in force; what waits keeps its place."""
@@ -79,7 +79,7 @@
 
     def offer(
         self, call: calls.Call, now: float
-    ) -> Admit | Queued | admit.Refuse:
+    ) -> Admit | Queued | admission.Refuse:
         """Admits, queues or refuses a call.
 
         Raises:
@@ -198,7 +198,7 @@
             self.predicted_wait(now),
         )
 
-    def _entry(self, call: calls.Call, now: float) -> lines.Entry:
+    def _entry(self, call: calls.Call, now: float) -> class_queue.Entry:
         options = self.options
         remaining = self.learner.remaining(call.agent, call.attained)
         typical = self.learner.typical
@@ -211,7 +211,7 @@
         footprint = slots.context(call)
         if remaining.known:
             footprint += remaining.tokens / 2
-        return lines.Entry(
+        return class_queue.Entry(
             place,
             call,
             flow,
@@ -224,20 +224,20 @@
         )
 
     def _verdict(
-        self, entry: lines.Entry, wait: float, now: float
-    ) -> admit.Refuse | None:
+        self, entry: class_queue.Entry, wait: float, now: float
+    ) -> admission.Refuse | None:
         max_wait = self.options.max_wait
         if entry.klass == calls.BATCH:
             max_wait *= BATCH_WAIT_FACTOR
-        facts = admit.Facts(
+        facts = admission.Facts(
             wait,
             entry.service,
             max_wait,
             self.slots.over_share(entry.flow, self.limit.current()),
         )
-        return admit.verdict(entry.call, facts, now)
+        return admission.verdict(entry.call, facts, now)
 
-    def _wait(self, entry: lines.Entry, now: float) -> float:
+    def _wait(self, entry: class_queue.Entry, now: float) -> float:
         """Predicts the wait: work that starts before it over the slots.
 
         Work of other customers counts only as far as their shares let them
@@ -245,21 +245,25 @@
         """
         line = self.lines[entry.klass]
         memory_wait = 0.0
-        if entry.need == lines.NEWCOMER and not self.slots.has_room(entry):
-            ahead = line.needs[lines.NEWCOMER]
+        if entry.need == class_queue.NEWCOMER and not self.slots.has_room(
+            entry
+        ):
+            ahead = line.needs[class_queue.NEWCOMER]
             memory_wait = self.slots.working_set.wait(ahead, now)
         return max(
             memory_wait, self._slot_wait(entry, line), self._prefill_wait(line)
         )
 
-    def _prefill_wait(self, line: lines.Line) -> float:
+    def _prefill_wait(self, line: class_queue.Line) -> float:
         """Predicts the wait for the prompts that are ahead."""
         if not self.options.prefill or not line.count:
             return 0.0
         tokens = self.slots.computing_tokens + line.prompts
         return tokens / max(self.speed.prefill_rate, 1.0)
 
-    def _slot_wait(self, entry: lines.Entry, line: lines.Line) -> float:
+    def _slot_wait(
+        self, entry: class_queue.Entry, line: class_queue.Line
+    ) -> float:
         limit = self.limit.current()
         if len(self.slots.running) < limit:
             return 0.0
@@ -272,20 +276,20 @@
             shared = min(shared + other.total, shared / part)
         return shared / limit
 
-    def _other(self, klass: str) -> lines.Line:
+    def _other(self, klass: str) -> class_queue.Line:
         if klass == calls.BATCH:
             return self.lines[calls.INTERACTIVE]
         return self.lines[calls.BATCH]
 
-    def _mean_service(self, entry: lines.Entry) -> float:
+    def _mean_service(self, entry: class_queue.Entry) -> float:
         """Returns what the calls that run now will still take, about."""
         return self.speed.service if self.speed.samples else entry.service
 
-    def _ready(self, entry: lines.Entry, now: float) -> bool:
+    def _ready(self, entry: class_queue.Entry, now: float) -> bool:
         limit = self.limit.current()
         return self.slots.allows(entry, limit) and self.slots.fits(entry, now)
 
-    def _pick(self, now: float) -> lines.Entry | None:
+    def _pick(self, now: float) -> class_queue.Entry | None:
         if len(self.slots.running) >= self.limit.current():
             return None
         if self.suspects and self._ready(self.suspects[0], now):
@@ -300,19 +304,19 @@
                         return None
         return None
 
-    def _holds_back(self, entry: lines.Entry, now: float) -> bool:
+    def _holds_back(self, entry: class_queue.Entry, now: float) -> bool:
         """Tells whether nothing else may start until this call does.
 
         A large context is passed over while smaller ones fit. They would go
         on coming, and it would wait without bound.
         """
-        if entry.need == lines.NEWCOMER:
+        if entry.need == class_queue.NEWCOMER:
             return False
         if now - entry.arrived < slots.HOLD_BACK_SECONDS:
             return False
         return self.slots.allows(entry, self.limit.current())
 
-    def _enqueue(self, entry: lines.Entry) -> None:
+    def _enqueue(self, entry: class_queue.Entry) -> None:
         self.waiting[entry.call.call_id] = entry
         self.latest.add((entry.latest, entry.call.call_id))
         if entry.call.suspect:
@@ -323,7 +327,7 @@
             self.classes.wake(entry.klass, CLASS_WEIGHTS[entry.klass])
         line.add(entry, self.slots.weight(entry.flow))
 
-    def _dequeue(self, entry: lines.Entry) -> None:
+    def _dequeue(self, entry: class_queue.Entry) -> None:
         del self.waiting[entry.call.call_id]
         self.latest.remove((entry.latest, entry.call.call_id))
         if entry.call.suspect:
@@ -334,7 +338,7 @@
         if not line.count:
             self.classes.rest(entry.klass)
 
-    def _start(self, entry: lines.Entry, now: float) -> None:
+    def _start(self, entry: class_queue.Entry, now: float) -> None:
         self.slots.start(entry, now)
         line = self.lines[entry.klass]
         weight = self.slots.weight(entry.flow)
@@ -346,7 +350,7 @@
 
 def _need(call: calls.Call) -> int:
     if call.attained == 0:
-        return lines.NEWCOMER
+        return class_queue.NEWCOMER
     if call.new_tokens < call.prompt_tokens:
-        return lines.RESIDENT
-    return lines.RETURNING
+        return class_queue.RESIDENT
+    return class_queue.RETURNING
--- a/src/mintcleat/decisions/slots.py
+++ b/src/mintcleat/decisions/slots.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from mintcleat.decisions import calls
-from mintcleat.decisions import lines
+from mintcleat.decisions import class_queue
 from mintcleat.decisions import order
 from mintcleat.decisions import speed
 from mintcleat.decisions import workingset
@@ -66,7 +66,7 @@
 class Running(NamedTuple):
     """A started call; `backlog` is the prompt tokens ahead of its own."""
 
-    entry: lines.Entry
+    entry: class_queue.Entry
     started: float
     backlog: int
 
@@ -96,7 +96,7 @@
         """Puts other policies in force."""
         self.options = options
 
-    def start(self, entry: lines.Entry, now: float) -> None:
+    def start(self, entry: class_queue.Entry, now: float) -> None:
         """Counts a call as started."""
         call = entry.call
         backlog = self.computing_tokens
@@ -110,7 +110,7 @@
         self.working_set.enter(
             call.program, call.agent, entry.flow, entry.footprint
         )
-        if entry.need == lines.NEWCOMER:
+        if entry.need == class_queue.NEWCOMER:
             self.working_set.let_in(entry.footprint, entry.arrived, now)
 
     def prefilled(self, call_id: str) -> None:
@@ -145,7 +145,7 @@
         share = self._share(flow, self.running_of)
         return self.running_of.get(flow, 0) >= limit * share
 
-    def allows(self, entry: lines.Entry, limit: int) -> bool:
+    def allows(self, entry: class_queue.Entry, limit: int) -> bool:
         """Tells whether the call may take a slot."""
         free = limit - len(self.running)
         if free <= 0:
@@ -163,7 +163,7 @@
             return True
         return not self.over_share(entry.flow, limit)
 
-    def fits(self, entry: lines.Entry, now: float) -> bool:
+    def fits(self, entry: class_queue.Entry, now: float) -> bool:
         """Tells whether memory and prefill have room for the call.
 
         An idle upstream takes any call: whatever it evicts belongs to a
@@ -171,11 +171,11 @@
         """
         if not self.running:
             return True
-        if entry.need == lines.NEWCOMER and not self.has_room(entry):
+        if entry.need == class_queue.NEWCOMER and not self.has_room(entry):
             return False
         return self._memory_fits(entry, now) and self._prefill_fits(entry)
 
-    def has_room(self, entry: lines.Entry) -> bool:
+    def has_room(self, entry: class_queue.Entry) -> bool:
         """Tells whether a newcomer fits among the programs under way."""
         if not self.options.memory or not self.options.working_set:
             return True
@@ -196,7 +196,7 @@
         others = sum(self.weight(other) for other in active if other != flow)
         return weight / (weight + others)
 
-    def _memory_fits(self, entry: lines.Entry, now: float) -> bool:
+    def _memory_fits(self, entry: class_queue.Entry, now: float) -> bool:
         """Tells whether the contexts fit the engine's memory together.
 
         Beyond it the engine would evict what running calls still need, or
@@ -208,18 +208,18 @@
         need = context(entry.call)
         if self.tokens + need > memory:
             return False
-        if not self.options.protect or entry.need == lines.RESIDENT:
+        if not self.options.protect or entry.need == class_queue.RESIDENT:
             return True
         waited = now - entry.arrived
-        if entry.need == lines.RETURNING and waited >= PATIENCE:
+        if entry.need == class_queue.RETURNING and waited >= PATIENCE:
             return True
         return self.tokens + self.protected + need <= memory
 
-    def _prefill_fits(self, entry: lines.Entry) -> bool:
+    def _prefill_fits(self, entry: class_queue.Entry) -> bool:
         seconds = self.options.prefill
         if not seconds or not self.computing_tokens:
             return True
-        if entry.need == lines.RESIDENT:
+        if entry.need == class_queue.RESIDENT:
             # It takes little, and its cache stays locked while it waits.
             seconds *= RESIDENT_FACTOR
         tokens = self.computing_tokens + entry.call.new_tokens
--- a/src/mintcleat/emulator/control.py
+++ b/src/mintcleat/emulator/control.py
@@ -4,7 +4,7 @@
 
 import simpy
 
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.decisions import shared_load
 from mintcleat.domain import program_messages
 
@@ -41,7 +41,7 @@
         """
         began = self.env.now
         while self.env.now < self.until:
-            if self.env.now - began > cut_off.ELECTION_SECONDS:
+            if self.env.now - began > control_outage.ELECTION_SECONDS:
                 raise Outage
             yield self.env.timeout(0.02)
         yield self.env.timeout(COMMIT)
--- a/src/mintcleat/roles/entry/allowances.py
+++ b/src/mintcleat/roles/entry/allowances.py
@@ -8,7 +8,7 @@
 from typing import Any
 from typing import Protocol
 
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.decisions import limits
 from mintcleat.domain import errors
 from mintcleat.domain import events as event_types
@@ -89,7 +89,7 @@
         except errors.OutcomeUnknown as error:
             # Counted or not, the request itself did not run.
             raise errors.ControlUnavailable(
-                error.detail, retry_after=cut_off.RETRY_SECONDS
+                error.detail, retry_after=control_outage.RETRY_SECONDS
             ) from None
         self.events.emit(
             event_types.CallCounted(
@@ -110,10 +110,10 @@
         began = self.timers.now()
         while True:
             try:
-                seconds = cut_off.hold(self.configuration.lease_left())
+                seconds = control_outage.hold(self.configuration.lease_left())
                 reply = self.control.ask(scope, request, seconds)
             except errors.ControlUnavailable as error:
-                error.retry_after = cut_off.RETRY_SECONDS
+                error.retry_after = control_outage.RETRY_SECONDS
                 raise
             except errors.LimitNear:
                 raise
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -1,7 +1,7 @@
 """The entry's way of a routed request: its route, and its refusals."""
 
 from mintcleat.decisions import cold_start
-from mintcleat.decisions import comeback
+from mintcleat.decisions import jitter
 from mintcleat.decisions import policy as policy_module
 from mintcleat.decisions import routes
 from mintcleat.domain import errors
@@ -85,7 +85,7 @@
             run.serve(reply)
         except errors.MintcleatError as error:
             if error.retry_after:
-                error.retry_after = comeback.after(
+                error.retry_after = jitter.after(
                     call.request, error.retry_after
                 )
             self._tell_refusal(call, run, error, began)
--- a/src/mintcleat/roles/entry/placement.py
+++ b/src/mintcleat/roles/entry/placement.py
@@ -1,11 +1,11 @@
-"""The entry's view of upstream load: joins `decisions.place` to streams."""
+"""The entry's view of upstream load: joins `decisions.placement` to streams."""
 
 from typing import NamedTuple
 
 from loguru import logger
 
 from mintcleat.decisions import calls
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.decisions import retry
 from mintcleat.decisions import subset
 from mintcleat.domain import call_messages
@@ -35,7 +35,7 @@
     """One service's upstreams and retry budget, as this entry knows them."""
 
     def __init__(self) -> None:
-        self.fleet = place.Fleet()
+        self.fleet = placement.Fleet()
         self.budget = retry.Budget()
         self.members: dict[str, member_messages.Announcement] = {}
 
@@ -94,11 +94,11 @@
             raise self._no_upstream(name)
         place_at = self._resident(service, call, resident)
         policies = self.directory.manifest().policies
-        choice = place.choose(
+        choice = placement.choose(
             service.fleet,
             call,
             place_at,
-            place.Weights(*weights_of(policies)),
+            placement.Weights(*weights_of(policies)),
             self.timers.now(),
             exclude=frozenset(one.instance for one in excluded),
         )
@@ -190,7 +190,7 @@
         service: Service,
         call: calls.Call,
         resident: identities.Incarnation | None,
-    ) -> place.Resident | None:
+    ) -> placement.Resident | None:
         """Returns the residency hint if that very incarnation is a member.
 
         A restarted sidecar's engine may have lost its cache; its name alone
@@ -205,7 +205,7 @@
             report = self._first_report(service, member)
             service.fleet.report(report, self.timers.now())
         cached = max(0, call.prompt_tokens - call.new_tokens)
-        return place.Resident(resident.instance, cached)
+        return placement.Resident(resident.instance, cached)
 
     def _watch(self, member: member_messages.Announcement) -> None:
         try:
@@ -236,7 +236,9 @@
     return weights.program_latency, weights.wasted_cache
 
 
-def reason_of(choice: place.Choice, resident: place.Resident | None) -> str:
+def reason_of(
+    choice: placement.Choice, resident: placement.Resident | None
+) -> str:
     """Returns a label for the metric of placements."""
     if choice.probe:
         return "probe"
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_keeper.py
@@ -3,7 +3,7 @@
 import collections
 from collections.abc import Mapping
 
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.domain import errors
 from mintcleat.domain import events as event_types
 from mintcleat.domain import program_messages
@@ -154,7 +154,7 @@
             # The turn itself did not run, whatever was committed.
             self.forget(call)
             raise errors.ControlUnavailable(
-                error.detail, retry_after=cut_off.RETRY_SECONDS
+                error.detail, retry_after=control_outage.RETRY_SECONDS
             ) from None
         chain = known
         if chain is None:
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -6,10 +6,10 @@
 from typing import Protocol
 
 from mintcleat.configuration import directory
+from mintcleat.decisions import load_balancing
 from mintcleat.decisions import policy as policy_module
 from mintcleat.decisions import shared_load
-from mintcleat.decisions import spread
-from mintcleat.decisions import standing
+from mintcleat.decisions import upstream_health
 from mintcleat.domain import events as event_types
 from mintcleat.domain import member_messages
 from mintcleat.domain import program_messages
@@ -76,9 +76,9 @@
         self.timers = timers
         self.events = events
         self.gone = gone
-        self.standings = standing.Standings()
-        self.silences = standing.Silences()
-        self.speeds = spread.Speeds()
+        self.standings = upstream_health.Standings()
+        self.silences = upstream_health.Silences()
+        self.speeds = load_balancing.Speeds()
         self.known: dict[str, member_messages.Registration] = {}
         self.by_service: dict[str, dict[str, member_messages.Registration]] = {}
         configuration.subscribe(self.read)
@@ -105,12 +105,12 @@
 
     def choose(
         self, service: str, tried: set[str], wanted: Wanted
-    ) -> tuple[member_messages.Registration, spread.Choice, int] | None:
+    ) -> tuple[member_messages.Registration, load_balancing.Choice, int] | None:
         """Returns an upstream, why, and among how many; None for none."""
         now = self.timers.now()
         ready = self.by_service.get(service, {})
         policy = self.policy
-        names = standing.usable(
+        names = upstream_health.usable(
             [life for life in ready if life not in tried],
             self.standings if policy.standing else None,
             self.silences if policy.silence else None,
@@ -120,7 +120,7 @@
         slow = self.speeds.factors(names, now) if policy.speed else {}
         others = self._elsewhere(now)
         candidates = [
-            spread.Candidate(
+            load_balancing.Candidate(
                 name,
                 self.running(name) + others.get(name, 0),
                 ready[name].slots,
@@ -129,7 +129,7 @@
             for name in names
         ]
         hint = wanted.hint if policy.resident else ""
-        choice = spread.choose(
+        choice = load_balancing.choose(
             candidates, hint, wanted.affinity, wanted.call.request
         )
         if choice is None:
--- a/src/mintcleat/roles/sidecar/gate.py
+++ b/src/mintcleat/roles/sidecar/gate.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
 from mintcleat.decisions import calls
 from mintcleat.decisions import queue
 from mintcleat.domain import errors
@@ -83,7 +83,7 @@
             raise attempt.cancelled
         answer = self.gate.offer(call, self.timers.now())
         match answer:
-            case admit.Refuse(kind, retry_after):
+            case admission.Refuse(kind, retry_after):
                 raise errors.kinds()[kind](
                     "The predicted wait here is too long.",
                     retry_after=retry_after,
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -6,8 +6,8 @@
 
 from loguru import logger
 
-from mintcleat.decisions import pace
-from mintcleat.decisions import retain
+from mintcleat.decisions import cache_retention
+from mintcleat.decisions import send_interval
 from mintcleat.domain import errors
 from mintcleat.domain import identities
 from mintcleat.ports import control as control_port
@@ -100,7 +100,7 @@
         self.admission = admission
         self.on_gone = on_gone
         self.ledger = sidecar_ledger.Ledger()
-        self.keeper = retain.Keeper(retain.Options(memory=0))
+        self.keeper = cache_retention.Keeper(cache_retention.Options(memory=0))
         self.exports = Exports(export_bytes)
         self.lives: collections.OrderedDict[str, Life] = (
             collections.OrderedDict()
@@ -115,7 +115,7 @@
     def resize(self, info: upstream_port.EngineInfo) -> None:
         """Takes the size that the engine announces."""
         rate = self.keeper.options.prefill_rate * 8 if info.kv_export else 0.0
-        self.keeper.options = retain.Options(
+        self.keeper.options = cache_retention.Options(
             memory=info.memory, export_rate=rate
         )
 
@@ -218,16 +218,16 @@
             logger.info("No listing at the stop: {}", error.detail)
         self.release(list(self.ledger.tokens))
 
-    def _act(self, action: retain.Action) -> None:
+    def _act(self, action: cache_retention.Action) -> None:
         match action:
-            case retain.Export(program):
+            case cache_retention.Export(program):
                 self._export(program)
                 self.release([program])
-            case retain.Drop(program, 0):
+            case cache_retention.Drop(program, 0):
                 self.release([program])
-            case retain.Drop(program, keep):
+            case cache_retention.Drop(program, keep):
                 self._shorten(program, keep)
-            case retain.Hold():
+            case cache_retention.Hold():
                 return
 
     def _shorten(self, program: str, keep: int) -> None:
@@ -266,7 +266,9 @@
     def _renew_forever(self, seconds: float) -> None:
         while not self.stopped:
             size = len(self.ledger.tokens) * _RENEWAL_BYTES
-            wait = pace.interval(seconds, size, pace.RENEWAL_BUDGET)
+            wait = send_interval.interval(
+                seconds, size, send_interval.RENEWAL_BUDGET
+            )
             self.timers.sleep(wait)
             if self.stopped:
                 return
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -7,7 +7,7 @@
 import itertools
 from typing import Any
 
-from mintcleat.decisions import pace
+from mintcleat.decisions import send_interval
 from mintcleat.domain import call_messages
 from mintcleat.domain import config_messages
 from mintcleat.domain import errors
@@ -242,8 +242,8 @@
             while True:
                 exchange.send(self.load())
                 size = self.watchers * _REPORT_BYTES
-                seconds = pace.interval(
-                    self.options.load_seconds, size, pace.REPORT_BUDGET
+                seconds = send_interval.interval(
+                    self.options.load_seconds, size, send_interval.REPORT_BUDGET
                 )
                 self.timers.sleep(seconds)
         finally:
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -11,7 +11,7 @@
 from mintcleat.adapters import timers
 from mintcleat.configuration import directory
 from mintcleat.decisions import cold_start
-from mintcleat.decisions import comeback
+from mintcleat.decisions import jitter
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 from mintcleat.domain import member_messages
@@ -38,7 +38,7 @@
         self.assertEqual(0.0, cold_start.hold(0.0, 4.0, cold_start.MOST_HELD))
 
     def test_refused_callers_do_not_come_back_together(self) -> None:
-        found = [comeback.after(f"r{n}", 0.5) for n in range(400)]
+        found = [jitter.after(f"r{n}", 0.5) for n in range(400)]
         self.assertTrue(0.3 <= min(found) < 0.32)
         self.assertTrue(0.68 < max(found) <= 0.7)
         tenths = [int(10 * at) for at in found]
@@ -72,7 +72,7 @@
                 if knows <= at + seconds:
                     at = max(at, knows)
                     break
-                again = comeback.after(f"{number}/{attempt}", 0.5)
+                again = jitter.after(f"{number}/{attempt}", 0.5)
                 if attempt % 2:
                     again = chance.uniform(0.1, 0.4)
                 at += seconds + again
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -7,7 +7,7 @@
 import testtools
 
 from fakes import waiting_clock
-from mintcleat.decisions import cut_off
+from mintcleat.decisions import control_outage
 from mintcleat.decisions import limits as decisions
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
@@ -481,7 +481,7 @@
             "r",
         )
         self.assertEqual(
-            [cut_off.ELECTION_SECONDS, cut_off.CUT_OFF_SECONDS],
+            [control_outage.ELECTION_SECONDS, control_outage.CUT_OFF_SECONDS],
             self.control.timeouts,
         )
-        self.assertEqual(cut_off.RETRY_SECONDS, error.retry_after)
+        self.assertEqual(control_outage.RETRY_SECONDS, error.retry_after)
--- a/testing/test_load_outcomes.py
+++ b/testing/test_load_outcomes.py
@@ -13,10 +13,10 @@
 import testtools
 from testtools import matchers
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
 from mintcleat.decisions import calls
 from mintcleat.decisions import order
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.decisions import queue
 from mintcleat.domain import call_messages
 from mintcleat.domain import identities
@@ -57,7 +57,7 @@
         self.patience = patience
         self.speeds = {f"u{n}": speed for n, speed in enumerate(speeds)}
         self.gates = {name: queue.Gate(options, SLOTS) for name in self.speeds}
-        self.fleet = place.Fleet()
+        self.fleet = placement.Fleet()
         self.fleet.watch(list(self.gates))
         self.events: list[tuple] = []
         self.answers: dict[str, list[tuple[int, float]]] = {}
@@ -100,7 +100,7 @@
             load.token_time,
             load.prefill_rate,
             0,
-            place.READY,
+            placement.READY,
             load.new_wait,
         )
         self.fleet.report(report, self.now)
@@ -124,7 +124,7 @@
         answer = self.gates[name].offer(call, self.now)
         if isinstance(answer, queue.Admit):
             self.start(name, call)
-        elif isinstance(answer, admit.Refuse):
+        elif isinstance(answer, admission.Refuse):
             self.refused(program, turn, answer)
         self.pump(name)
 
@@ -132,14 +132,16 @@
         if self.naive:
             return f"u{self.sent % len(self.gates)}"
         known = self.resident.get(call.program)
-        resident = place.Resident(known, 1000) if known else None
-        choice = place.choose(
-            self.fleet, call, resident, place.Weights(), self.now
+        resident = placement.Resident(known, 1000) if known else None
+        choice = placement.choose(
+            self.fleet, call, resident, placement.Weights(), self.now
         )
         assert choice is not None
         return choice.name
 
-    def refused(self, program: str, turn: int, answer: admit.Refuse) -> None:
+    def refused(
+        self, program: str, turn: int, answer: admission.Refuse
+    ) -> None:
         self.refusals[program] = self.refusals.get(program, 0) + 1
         if turn or self.refusals[program] < self.patience:
             self.at(self.now + answer.retry_after, "send", program)
--- a/testing/test_pace.py
+++ b/testing/test_pace.py
@@ -2,15 +2,20 @@
 
 import testtools
 
-from mintcleat.decisions import pace
+from mintcleat.decisions import send_interval
 
 
 class PaceTest(testtools.TestCase):
     def test_small_deployment_keeps_the_least_interval(self) -> None:
-        self.assertEqual(0.5, pace.interval(0.5, 4 * 90, pace.REPORT_BUDGET))
+        self.assertEqual(
+            0.5,
+            send_interval.interval(0.5, 4 * 90, send_interval.REPORT_BUDGET),
+        )
 
     def test_bytes_a_second_stay_within_the_budget(self) -> None:
         for watchers in (50, 220, 860):
             size = watchers * 90.0
-            seconds = pace.interval(0.5, size, pace.REPORT_BUDGET)
-            self.assertLessEqual(size / seconds, pace.REPORT_BUDGET)
+            seconds = send_interval.interval(
+                0.5, size, send_interval.REPORT_BUDGET
+            )
+            self.assertLessEqual(size / seconds, send_interval.REPORT_BUDGET)
--- a/testing/test_place.py
+++ b/testing/test_place.py
@@ -3,11 +3,11 @@
 import testtools
 
 from mintcleat.decisions import calls
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.domain import call_messages
 from mintcleat.domain import identities
 
-WEIGHTS = place.Weights()
+WEIGHTS = placement.Weights()
 
 
 def report(
@@ -21,7 +21,7 @@
         "token_time": 0.02,
         "prefill_rate": 5000.0,
         "free_memory": 100000,
-        "state": place.READY,
+        "state": placement.READY,
         **more,
     }
     return call_messages.LoadReport(
@@ -29,8 +29,8 @@
     )
 
 
-def make_fleet(count: int = 4) -> place.Fleet:
-    fleet = place.Fleet()
+def make_fleet(count: int = 4) -> placement.Fleet:
+    fleet = placement.Fleet()
     fleet.watch([f"u{number}" for number in range(count)])
     for name in fleet.subset:
         fleet.report(report(name), 0.0)
@@ -54,10 +54,10 @@
 class PlaceTest(testtools.TestCase):
     def test_a_program_stays_where_its_history_is(self) -> None:
         fleet = make_fleet()
-        resident = place.Resident("u2", 20000)
+        resident = placement.Resident("u2", 20000)
         for number in range(8):
             fleet.report(report("u2", number + 2), float(number))
-            choice = place.choose(
+            choice = placement.choose(
                 fleet, make_call(number), resident, WEIGHTS, float(number)
             )
             assert choice is not None
@@ -66,18 +66,20 @@
     def test_it_leaves_when_the_wait_there_exceeds_the_rebuild(self) -> None:
         fleet = make_fleet()
         fleet.report(report("u2", 2, wait=30.0, running=8), 1.0)
-        resident = place.Resident("u2", 20000)
-        choice = place.choose(fleet, make_call(1), resident, WEIGHTS, 1.0)
+        resident = placement.Resident("u2", 20000)
+        choice = placement.choose(fleet, make_call(1), resident, WEIGHTS, 1.0)
         assert choice is not None
         self.assertTrue(choice.moved)
 
     def test_the_weights_decide_a_close_case(self) -> None:
-        resident = place.Resident("u2", 20000)
+        resident = placement.Resident("u2", 20000)
         names = []
-        for weights in (place.Weights(9, 1), place.Weights(1, 9)):
+        for weights in (placement.Weights(9, 1), placement.Weights(1, 9)):
             fleet = make_fleet()
             fleet.report(report("u2", 2, wait=9.0, running=8), 1.0)
-            choice = place.choose(fleet, make_call(1), resident, weights, 1.0)
+            choice = placement.choose(
+                fleet, make_call(1), resident, weights, 1.0
+            )
             assert choice is not None
             names.append(choice.name == "u2")
         self.assertEqual([False, True], names)
@@ -91,7 +93,9 @@
         fleet = make_fleet()
         counts: dict[str, int] = {}
         for number in range(64):
-            choice = place.choose(fleet, make_call(number), None, WEIGHTS, 1.0)
+            choice = placement.choose(
+                fleet, make_call(number), None, WEIGHTS, 1.0
+            )
             assert choice is not None
             counts[choice.name] = counts.get(choice.name, 0) + 1
         self.assertTrue(all(12 <= count <= 20 for count in counts.values()))
@@ -106,10 +110,12 @@
         fleet = make_fleet()
         fleet.report(report("u1", 2, token_time=0.2), 1.0)
         for number in range(20):
-            choice = place.choose(fleet, make_call(number), None, WEIGHTS, 1.0)
+            choice = placement.choose(
+                fleet, make_call(number), None, WEIGHTS, 1.0
+            )
             assert choice is not None
             self.assertNotEqual("u1", choice.name)
-        choice = place.choose(fleet, make_call(30), None, WEIGHTS, 7.0)
+        choice = placement.choose(fleet, make_call(30), None, WEIGHTS, 7.0)
         assert choice is not None
         self.assertEqual(("u1", True), (choice.name, choice.probe))
         fleet.report(report("u1", 3), 8.0)
@@ -126,13 +132,13 @@
     def test_a_draining_upstream_gets_nothing(self) -> None:
         fleet = make_fleet(2)
         fleet.report(report("u0", 2, state="draining"), 1.0)
-        resident = place.Resident("u0", 90000)
-        choice = place.choose(fleet, make_call(1), resident, WEIGHTS, 1.0)
+        resident = placement.Resident("u0", 90000)
+        choice = placement.choose(fleet, make_call(1), resident, WEIGHTS, 1.0)
         assert choice is not None
         self.assertEqual("u1", choice.name)
 
     def test_no_upstream_is_told_as_none(self) -> None:
-        fleet = place.Fleet()
+        fleet = placement.Fleet()
         self.assertIs(
-            None, place.choose(fleet, make_call(1), None, WEIGHTS, 1.0)
+            None, placement.choose(fleet, make_call(1), None, WEIGHTS, 1.0)
         )
--- a/testing/test_place_unmeasured.py
+++ b/testing/test_place_unmeasured.py
@@ -4,7 +4,7 @@
 from testtools import matchers
 
 from mintcleat.decisions import calls
-from mintcleat.decisions import place
+from mintcleat.decisions import placement
 from mintcleat.domain import call_messages
 from mintcleat.domain import identities
 
@@ -32,16 +32,16 @@
         slow, got no call, and so was never measured: one engine of two took
         all the load of a running system.
         """
-        fleet = place.Fleet()
+        fleet = placement.Fleet()
         fleet.watch(["known", "fresh"])
         fleet.report(report("known", 0.001), 0.0)
         fleet.report(report("fresh", 0.0), 0.0)
         chosen = [
-            place.choose(
+            placement.choose(
                 fleet,
                 calls.Call(f"c{number}", "", "", "p", "", expected_tokens=8),
                 None,
-                place.Weights(),
+                placement.Weights(),
                 float(number),
             ).name
             for number in range(200)
--- a/testing/test_queue.py
+++ b/testing/test_queue.py
@@ -6,7 +6,7 @@
 import testtools
 from testtools import matchers
 
-from mintcleat.decisions import admit
+from mintcleat.decisions import admission
 from mintcleat.decisions import calls
 from mintcleat.decisions import queue
 
@@ -58,7 +58,7 @@
     def test_refuses_at_once_what_cannot_meet_its_deadline(self) -> None:
         gate = queue.Gate(OPTIONS, 1)
         answer = gate.offer(make_call(1, deadline_at=1.0), 0.0)
-        self.assertThat(answer, matchers.IsInstance(admit.Refuse))
+        self.assertThat(answer, matchers.IsInstance(admission.Refuse))
 
     def test_a_burst_is_refused_to_its_own_customer_only(self) -> None:
         """One customer sends a thousand calls at once.
@@ -70,7 +70,7 @@
         fill(gate, 1000, "burst", expected_tokens=1000)
         last = make_call(1, "burst", expected_tokens=1000)
         refused = gate.offer(last, 0.0)
-        self.assertThat(refused, matchers.IsInstance(admit.Refuse))
+        self.assertThat(refused, matchers.IsInstance(admission.Refuse))
         queued = gate.offer(make_call(2, "calm"), 0.0)
         self.assertThat(queued, matchers.IsInstance(queue.Queued))
         gate.finished("c1000", 1.0, outcome())
@@ -184,7 +184,7 @@
             answer = gate.offer(call, now)
             if isinstance(answer, queue.Admit):
                 started.append(call.call_id)
-            if not isinstance(answer, admit.Refuse):
+            if not isinstance(answer, admission.Refuse):
                 accepted.add(call.call_id)
             if step == "cancel" and gate.waiting:
                 name = min(gate.waiting)
--- a/testing/test_shared_load.py
+++ b/testing/test_shared_load.py
@@ -7,8 +7,8 @@
 
 import testtools
 
+from mintcleat.decisions import load_balancing
 from mintcleat.decisions import shared_load
-from mintcleat.decisions import spread
 
 ENGINES = [f"u{n}" for n in range(21)]
 SLOTS = 8
@@ -39,9 +39,9 @@
         self.others = shared_load.Others()
 
     def place(self, turn: str, now: float) -> str:
-        return spread.choose(
+        return load_balancing.choose(
             [
-                spread.Candidate(
+                load_balancing.Candidate(
                     name,
                     self.running[name] + self.others.known(now).get(name, 0),
                     SLOTS,
--- a/testing/test_shift.py
+++ b/testing/test_shift.py
@@ -3,15 +3,16 @@
 import testtools
 from testtools import matchers
 
-from mintcleat.decisions import shift
+from mintcleat.decisions import migration
 
-TARGETS = [shift.Target("u2", 0.0, 50_000, 8000.0)]
-BUSY = shift.Source(wait=10.0, leaving=False, export_rate=60_000.0)
+TARGETS = [migration.Target("u2", 0.0, 50_000, 8000.0)]
+BUSY = migration.Source(wait=10.0, leaving=False, export_rate=60_000.0)
 
 
-def make_held(count: int, moved_at: float = 0.0) -> list[shift.Held]:
+def make_held(count: int, moved_at: float = 0.0) -> list[migration.Held]:
     return [
-        shift.Held(f"p{number}", 5000, 5.0, moved_at) for number in range(count)
+        migration.Held(f"p{number}", 5000, 5.0, moved_at)
+        for number in range(count)
     ]
 
 
@@ -19,13 +20,13 @@
     def test_an_idle_upstream_keeps_its_programs(self) -> None:
         source = BUSY._replace(wait=0.2)
         self.assertEqual(
-            [], shift.Mover().plan(source, make_held(3), TARGETS, 0.0)
+            [], migration.Mover().plan(source, make_held(3), TARGETS, 0.0)
         )
 
     def test_moves_are_bounded_so_that_they_are_not_the_load(self) -> None:
-        mover = shift.Mover()
+        mover = migration.Mover()
         moves = mover.plan(BUSY, make_held(50), TARGETS, 0.0)
-        self.assertThat(moves, matchers.HasLength(shift.MAX_MOVING))
+        self.assertThat(moves, matchers.HasLength(migration.MAX_MOVING))
         self.assertEqual([], mover.plan(BUSY, make_held(50), TARGETS, 1.0))
         mover.finished("p0")
         again = mover.plan(BUSY, make_held(50)[1:], TARGETS, 2.0)
@@ -38,21 +39,21 @@
         """
         target = TARGETS[0]._replace(wait=8.0)
         self.assertEqual(
-            [], shift.Mover().plan(BUSY, make_held(3), [target], 0.0)
+            [], migration.Mover().plan(BUSY, make_held(3), [target], 0.0)
         )
 
     def test_a_program_that_has_just_come_stays(self) -> None:
         held = make_held(3, moved_at=95.0)
-        self.assertEqual([], shift.Mover().plan(BUSY, held, TARGETS, 100.0))
+        self.assertEqual([], migration.Mover().plan(BUSY, held, TARGETS, 100.0))
 
     def test_a_leaving_upstream_hands_over_whatever_the_load(self) -> None:
-        source = shift.Source(wait=0.0, leaving=True)
+        source = migration.Source(wait=0.0, leaving=True)
         held = make_held(3, moved_at=95.0)
-        moves = shift.Mover().plan(source, held, TARGETS, 100.0)
+        moves = migration.Mover().plan(source, held, TARGETS, 100.0)
         self.assertThat(moves, matchers.HasLength(3))
         self.assertEqual({False}, {move.export for move in moves})
 
     def test_a_target_is_not_filled_beyond_its_memory(self) -> None:
         target = TARGETS[0]._replace(free_memory=11_000)
-        moves = shift.Mover().plan(BUSY, make_held(4), [target], 0.0)
+        moves = migration.Mover().plan(BUSY, make_held(4), [target], 0.0)
         self.assertThat(moves, matchers.HasLength(2))
--- a/testing/test_spread.py
+++ b/testing/test_spread.py
@@ -8,41 +8,52 @@
 import testtools
 from testtools import matchers
 
+from mintcleat.decisions import load_balancing
 from mintcleat.decisions import routes
-from mintcleat.decisions import spread
 from mintcleat.domain import manifest
 
 
-def candidates(**running: int) -> list[spread.Candidate]:
-    return [spread.Candidate(name, n, 10) for name, n in running.items()]
+def candidates(**running: int) -> list[load_balancing.Candidate]:
+    return [
+        load_balancing.Candidate(name, n, 10) for name, n in running.items()
+    ]
 
 
 class ChooseTest(testtools.TestCase):
     def test_program_stays_where_its_cache_is(self) -> None:
-        found = spread.choose(candidates(a=2, b=0, c=0), "a", "p", "r")
-        self.assertEqual(spread.Choice("a", spread.RESIDENT), found)
+        found = load_balancing.choose(candidates(a=2, b=0, c=0), "a", "p", "r")
+        self.assertEqual(
+            load_balancing.Choice("a", load_balancing.RESIDENT), found
+        )
 
     def test_program_moves_from_an_upstream_that_is_a_batch_busier(
         self,
     ) -> None:
         # Ten slots: at 11 more requests, reading anew elsewhere is sooner.
-        stays = spread.choose(candidates(a=11, b=1, c=1), "a", "", "r")
+        stays = load_balancing.choose(candidates(a=11, b=1, c=1), "a", "", "r")
         self.assertEqual("a", stays.upstream)
-        moves = spread.choose(candidates(a=12, b=1, c=1), "a", "", "r")
+        moves = load_balancing.choose(candidates(a=12, b=1, c=1), "a", "", "r")
         self.assertNotEqual("a", moves.upstream)
 
     def test_program_moves_from_an_upstream_that_turned_slow(self) -> None:
-        slow = [*candidates(b=3, c=3), spread.Candidate("a", 0, 10, 4.0)]
-        found = spread.choose(slow, "a", "p", "r")
+        slow = [
+            *candidates(b=3, c=3),
+            load_balancing.Candidate("a", 0, 10, 4.0),
+        ]
+        found = load_balancing.choose(slow, "a", "p", "r")
         self.assertNotEqual("a", found.upstream)
 
     def test_slow_upstream_is_better_than_none(self) -> None:
-        slow = [spread.Candidate("a", 0, 10, 4.0)]
-        self.assertEqual("a", spread.choose(slow, "", "p", "r").upstream)
+        slow = [load_balancing.Candidate("a", 0, 10, 4.0)]
+        self.assertEqual(
+            "a", load_balancing.choose(slow, "", "p", "r").upstream
+        )
 
     def test_entries_agree_without_asking(self) -> None:
         found = {
-            spread.choose(candidates(a=n, b=0, c=1), "", "p7", f"r{n}").upstream
+            load_balancing.choose(
+                candidates(a=n, b=0, c=1), "", "p7", f"r{n}"
+            ).upstream
             for n in (0, 1)
         }
         self.assertEqual(1, len(found))
@@ -50,12 +61,14 @@
     def test_programs_spread_over_upstreams(self) -> None:
         counts = dict.fromkeys("abcd", 0)
         for number in range(1000):
-            now = [spread.Candidate(n, 0, 10) for n in counts]
-            counts[spread.choose(now, "", f"p{number}", "r").upstream] += 1
+            now = [load_balancing.Candidate(n, 0, 10) for n in counts]
+            counts[
+                load_balancing.choose(now, "", f"p{number}", "r").upstream
+            ] += 1
         self.assertTrue(min(counts.values()) > 180, counts)
 
     def test_nobody_to_choose_from(self) -> None:
-        self.assertIsNone(spread.choose([], "a", "p", "r"))
+        self.assertIsNone(load_balancing.choose([], "a", "p", "r"))
 
 
 class SlowUpstreamLoad:
@@ -69,7 +82,7 @@
         self.notices = notices
         self.random = random.Random(7)
         self.names = [f"u{n}" for n in range(6)]
-        self.entries = [spread.Speeds() for _ in range(8)]
+        self.entries = [load_balancing.Speeds() for _ in range(8)]
         self.running = [dict.fromkeys(self.names, 0) for _ in self.entries]
         self.events: list = []
         self.numbers = itertools.count()
@@ -91,11 +104,13 @@
         if self.notices:
             slow = self.entries[entry].factors(self.names, now)
         offered = [
-            spread.Candidate(n, self.running[entry][n], 48, slow.get(n, 1.0))
+            load_balancing.Candidate(
+                n, self.running[entry][n], 48, slow.get(n, 1.0)
+            )
             for n in self.names
         ]
         hint = self.random.choice(["", *self.names])
-        name = spread.choose(offered, hint, f"p{number}", "r").upstream
+        name = load_balancing.choose(offered, hint, f"p{number}", "r").upstream
         self.running[entry][name] += 1
         self.piece(now, entry, name, now, 0)
 
@@ -130,17 +145,17 @@
         self.assertTrue(seeing.late < blind.late * 0.3, seeing.late)
 
     def test_upstream_that_recovered_is_tried_again(self) -> None:
-        speeds = spread.Speeds()
+        speeds = load_balancing.Speeds()
         for _ in range(20):
             speeds.observe("a", 0.15, 0.0)
             speeds.observe("b", 0.03, 0.0)
         self.assertTrue(speeds.factors(["a", "b"], 0.0)["a"] > 4.0)
         self.assertTrue(
-            speeds.factors(["a", "b"], 5.0)["a"] < spread.SLOW_LIMIT
+            speeds.factors(["a", "b"], 5.0)["a"] < load_balancing.SLOW_LIMIT
         )
 
     def test_few_observations_convict_nobody(self) -> None:
-        speeds = spread.Speeds()
+        speeds = load_balancing.Speeds()
         speeds.observe("a", 5.0, 0.0)
         for _ in range(20):
             speeds.observe("b", 0.03, 0.0)
--- a/testing/test_standing.py
+++ b/testing/test_standing.py
@@ -8,8 +8,8 @@
 import testtools
 from testtools import matchers
 
-from mintcleat.decisions import spread
-from mintcleat.decisions import standing
+from mintcleat.decisions import load_balancing
+from mintcleat.decisions import upstream_health
 
 UPSTREAMS = [f"u{n}" for n in range(6)]
 SICK = "u0"
@@ -40,17 +40,17 @@
 
     def __init__(self) -> None:
         self.running = dict.fromkeys(UPSTREAMS, 0)
-        self.standings = standing.Standings()
-        self.silences = standing.Silences()
+        self.standings = upstream_health.Standings()
+        self.silences = upstream_health.Silences()
 
     def place(self, request: Request, now: float) -> str:
         names = [name for name in UPSTREAMS if name != request.tried]
-        usable = standing.usable(
+        usable = upstream_health.usable(
             names, self.standings, self.silences, request.repeatable, now
         )
-        found = spread.choose(
+        found = load_balancing.choose(
             [
-                spread.Candidate(name, self.running[name], SLOTS)
+                load_balancing.Candidate(name, self.running[name], SLOTS)
                 for name in usable
             ],
             "",
@@ -153,30 +153,30 @@
 
 class StandingsTest(testtools.TestCase):
     def test_pauses_double_up_to_the_cap(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         found = [standings.failed("a", 0.0).until for _ in range(6)]
         self.assertEqual([0.75, 1.5, 3.0, 6.0, 6.0, 6.0], found)
 
     def test_pause_ends_by_itself(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         standings.failed("a", 0.0)
         self.assertFalse(standings.allows("a", True, 0.74))
         self.assertTrue(standings.allows("a", True, 0.75))
 
     def test_answer_to_an_earlier_request_lifts_no_pause(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         standings.failed("a", 10.0)
         standings.answered("a", 9.0, 10.1)
         self.assertFalse(standings.allows("a", True, 10.2))
 
     def test_answer_to_a_later_request_lifts_the_pause(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         standings.failed("a", 10.0)
         standings.answered("a", 10.05, 10.1)
         self.assertTrue(standings.allows("a", True, 10.1))
 
     def test_failures_that_recur_are_not_forgotten_between(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         for at in (0.0, 1.0, 2.0):
             standings.failed("a", at)
             standings.answered("a", at + 0.1, at + 0.2)
@@ -185,20 +185,20 @@
         )
 
     def test_requests_that_may_not_repeat_keep_away_for_longer(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         standings.failed("a", 0.0)
         self.assertFalse(standings.allows("a", False, 5.9))
         self.assertTrue(standings.allows("a", False, 6.1))
 
     def test_good_answers_bring_all_requests_back(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         standings.failed("a", 0.0)
         for at in (1.0, 1.1):
             standings.answered("a", at, at)
         self.assertTrue(standings.allows("a", False, 1.2))
 
     def test_standing_fades_without_requests(self) -> None:
-        standings = standing.Standings()
+        standings = upstream_health.Standings()
         for _ in range(5):
             standings.failed("a", 0.0)
         self.assertThat(
@@ -208,27 +208,27 @@
 
 class SilencesTest(testtools.TestCase):
     def test_silence_counts_from_the_sending(self) -> None:
-        silences = standing.Silences()
+        silences = upstream_health.Silences()
         silences.began("a", "r1", 0.5, 10.0)
         self.assertFalse(silences.silent("a", 10.5))
         self.assertTrue(silences.silent("a", 10.6))
 
     def test_any_sign_of_life_ends_it(self) -> None:
-        silences = standing.Silences()
+        silences = upstream_health.Silences()
         silences.began("a", "r1", 0.5, 10.0)
         silences.arrived("a", 10.6)
         self.assertFalse(silences.silent("a", 10.7))
         self.assertTrue(silences.silent("a", 11.2))
 
     def test_each_route_has_its_own_patience(self) -> None:
-        silences = standing.Silences()
+        silences = upstream_health.Silences()
         silences.began("a", "slow", 3.0, 10.0)
         self.assertFalse(silences.silent("a", 12.0))
         silences.began("a", "fast", 0.5, 12.0)
         self.assertTrue(silences.silent("a", 12.6))
 
     def test_nothing_under_way_is_no_silence(self) -> None:
-        silences = standing.Silences()
+        silences = upstream_health.Silences()
         silences.began("a", "r1", 0.5, 10.0)
         silences.ended("a", "r1")
         self.assertFalse(silences.silent("a", 20.0))
