--- a/bench/limits.py
+++ b/bench/limits.py
@@ -35,7 +35,7 @@
     """One entry's own part of a way."""
 
     def __init__(self) -> None:
-        self.ahead = decisions.Ahead()
+        self.ahead = decisions.RequestPrefetch()
         self.sent: dict[str, collections.deque[float]] = {}
 
 
@@ -126,7 +126,7 @@
         if self.held.take(customer, program, LIMIT, now) is not None:
             return False
         if self.way == "ahead" and is_turn:
-            wanted = entry.ahead.wanted(customer, now)
+            wanted = entry.ahead.prefetch_count(customer, now)
             given = self.held.hand_out(customer, wanted, LIMIT, now)
             entry.ahead.put(customer, given, now + limits.AHEAD_SECONDS)
         return True
--- a/bench/policy_world.py
+++ b/bench/policy_world.py
@@ -128,7 +128,7 @@
         self.engine = policy_engine.Engine(world.deployment.memory, slow)
         options = policy.gate._replace(memory=world.deployment.memory)
         self.gate = queue.Gate(options, policy_engine.BATCH)
-        self.keeper = cache_retention.Keeper(
+        self.paused_caches = cache_retention.PausedCaches(
             cache_retention.Options(
                 world.deployment.memory,
                 policy_engine.PREFILL_RATE,
@@ -167,7 +167,7 @@
         answer = self.gate.offer(call, now)
         if isinstance(answer, admission.Refuse):
             return answer
-        self.keeper.called(program.spec.name, now)
+        self.paused_caches.called(program.spec.name, now)
         self.jobs[job.call_id] = job
         self.world.admitted += 1
         if isinstance(answer, queue.Admit):
@@ -177,7 +177,7 @@
 
     def pump(self) -> None:
         """Starts what the gate lets start."""
-        self.gate.protect(self.keeper.expected_soon(self.world.now))
+        self.gate.protect(self.paused_caches.expected_soon(self.world.now))
         while (call := self.gate.next(self.world.now)) is not None:
             self._start(self.jobs[call.call_id])
         self._schedule()
@@ -187,7 +187,7 @@
         self.engine.advance(now)
         name = job.program.spec.name
         cached = self.engine.drop(name)
-        self.keeper.started(name)
+        self.paused_caches.started(name)
         imported = 0
         if job.choice and job.choice.export and not cached:
             imported = self.world.take_export(job.program)
@@ -213,7 +213,7 @@
         missing = need - self.engine.free()
         if missing <= 0:
             return
-        for action in self.keeper.victims(missing, self.world.now):
+        for action in self.paused_caches.victims(missing, self.world.now):
             self._act(action)
 
     def _act(self, action: cache_retention.Action) -> None:
@@ -261,7 +261,9 @@
             self._make_room(tokens)
             self.engine.keep(program.spec.name, tokens)
             tool = f"{program.spec.agent}/{job.step.tool}"
-            action = self.keeper.paused(program.spec.name, tool, tokens, now)
+            action = self.paused_caches.paused(
+                program.spec.name, tool, tokens, now
+            )
             self._act(action)
         self.world.at(now + HOP, self.world.answered, job, self.report())
 
@@ -273,9 +275,9 @@
             self.gate.progressed(self.engine.token_time())
         for entry in self.world.entries:
             self.world.at(now + REPORT_DELAY, entry.hear, self.report())
-        for action in self.keeper.sweep(now):
+        for action in self.paused_caches.sweep(now):
             self._act(action)
-            self.gate.left(action.program)
+            self.gate.program_left(action.program)
         for call in self.gate.expire(now):
             job = self.jobs.pop(call.call_id)
             self.world.shed += 1
@@ -286,16 +288,16 @@
 
     def release(self, program: str) -> None:
         """Frees what an ended program holds."""
-        self.keeper.gone(program)
+        self.paused_caches.gone(program)
         self.engine.drop(program)
-        self.gate.left(program)
+        self.gate.program_left(program)
         self.pump()
 
     def release_moved(self, program: str) -> None:
         """Frees a copy that its program left for another upstream."""
-        self.keeper.started(program)
+        self.paused_caches.started(program)
         self.engine.drop(program)
-        self.gate.left(program)
+        self.gate.program_left(program)
         self.pump()
 
 
@@ -307,7 +309,7 @@
         self.name = f"entry{number}"
         self.fleet = placement.Fleet(world.policy.switches)
         self.fleet.watch(sorted(world.sidecars))
-        self.learner = remaining_work.Learner()
+        self.estimator = remaining_work.Estimator()
         self.budget = retry.Budget()
         self.turn = number
         self.sent: dict[str, int] = dict.fromkeys(world.sidecars, 0)
@@ -362,7 +364,7 @@
             )
         choice = placement.choose(
             self.fleet,
-            self.world.call(job, job.step.new, self.learner),
+            self.world.call(job, job.step.new, self.estimator),
             resident,
             self.world.weights,
             self.world.now,
@@ -442,16 +444,19 @@
         self._submit(job)
 
     def _submit(self, job: Job) -> None:
-        pick = calls.fraction(job.call_id, "entry")
+        pick = calls.hash_fraction(job.call_id, "entry")
         entry = self.entries[int(pick * len(self.entries))]
         self.at(self.now + HOP, entry.submit, job)
 
     def call(
-        self, job: Job, new: int, learner: remaining_work.Learner | None = None
+        self,
+        job: Job,
+        new: int,
+        estimator: remaining_work.Estimator | None = None,
     ) -> calls.Call:
         """Returns the call as the decisions see it."""
         program = job.program
-        known = learner or (job.entry and job.entry.learner)
+        known = estimator or (job.entry and job.entry.estimator)
         expected = 150
         if known:
             expected = known.answer_tokens(program.spec.agent, 150)
@@ -510,7 +515,7 @@
         entry.fleet.answered(job.sidecar.name, True, self.now)
         entry.budget.succeeded()
         program = job.program
-        entry.learner.answered(program.spec.agent, job.step.generate)
+        entry.estimator.answered(program.spec.agent, job.step.generate)
         self.late += self.now > job.deadline
         self.useful.append(
             (
@@ -554,7 +559,7 @@
             return
         for sidecar in self.sidecars.values():
             if sidecar.name == program.resident:
-                sidecar.gate.learner.finished(
+                sidecar.gate.estimator.finished(
                     program.spec.agent, program.attained, program.step
                 )
 
--- a/src/mintcleat/decisions/admission.py
+++ b/src/mintcleat/decisions/admission.py
@@ -73,7 +73,7 @@
 
 def retry_after(call: calls.Call, wait: float) -> float:
     """Returns seconds until a retry makes sense, spread by call."""
-    spread = 1 - SPREAD + 2 * SPREAD * calls.fraction(call.call_id)
+    spread = 1 - SPREAD + 2 * SPREAD * calls.hash_fraction(call.call_id)
     return max(MIN_RETRY_AFTER, wait) * spread
 
 
--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -91,7 +91,7 @@
     waiting: bool = False
 
 
-class Keeper:
+class PausedCaches:
     """Caches of paused programs in one engine's memory."""
 
     def __init__(self, options: Options) -> None:
--- a/src/mintcleat/decisions/calls.py
+++ b/src/mintcleat/decisions/calls.py
@@ -64,7 +64,7 @@
     ok: bool = True
 
 
-def fraction(*parts: object) -> float:
+def hash_fraction(*parts: object) -> float:
     """Returns a number in [0, 1) that depends on `parts` only.
 
     Decisions draw from it in place of a random source, so that a test or a
--- a/src/mintcleat/decisions/cold_start.py
+++ b/src/mintcleat/decisions/cold_start.py
@@ -16,10 +16,10 @@
 # Of the time that a caller gives an answer; the rest is for coming back.
 SHARE = 0.25
 # Calls held at once; more would only queue behind each other afterwards.
-MOST_HELD = 256
+MAX_HELD = 256
 
 
-def hold(uptime: float, deadline: float, held: int) -> float:
+def hold_seconds(uptime: float, deadline: float, held: int) -> float:
     """Returns for how long to wait for a configuration; 0 to refuse.
 
     Args:
@@ -27,6 +27,6 @@
         deadline: Seconds that the caller waits for its answer.
         held: Calls that wait here already.
     """
-    if held >= MOST_HELD:
+    if held >= MAX_HELD:
         return 0.0
     return max(0.0, min(START_SECONDS - uptime, SHARE * deadline))
--- a/src/mintcleat/decisions/control_outage.py
+++ b/src/mintcleat/decisions/control_outage.py
@@ -19,7 +19,7 @@
 RETRY_SECONDS = 0.2
 
 
-def hold(lease_left: float) -> float:
+def hold_seconds(lease_left: float) -> float:
     """Returns for how long a request may wait for control to record it.
 
     Args:
--- a/src/mintcleat/decisions/customers.py
+++ b/src/mintcleat/decisions/customers.py
@@ -23,10 +23,10 @@
     priority: int | None = None
 
 
-NOBODY = Caller()
+UNKNOWN_CALLER = Caller()
 
 
-class Register:
+class CallerIndex:
     """The customers of one revision by key; one look a request.
 
     Attributes:
@@ -48,4 +48,4 @@
         Args:
             key: Its digest; empty when none was sent.
         """
-        return self.callers.get(key, NOBODY)
+        return self.callers.get(key, UNKNOWN_CALLER)
--- a/src/mintcleat/decisions/evidence.py
+++ b/src/mintcleat/decisions/evidence.py
@@ -22,16 +22,16 @@
 class Evidence(enum.Enum):
     """For an upstream, against it, or neither."""
 
-    WELL = "well"
-    NONE = "none"
-    FAILED = "failed"
+    SUCCESS = "well"
+    NEUTRAL = "none"
+    FAILURE = "failed"
 
 
 def of_answer(status: int) -> Evidence:
     """Returns what a whole answer with its status says."""
     if status == TIME_OVER_STATUS:
-        return Evidence.NONE
-    return Evidence.FAILED if status >= FAILED_STATUS else Evidence.WELL
+        return Evidence.NEUTRAL
+    return Evidence.FAILURE if status >= FAILED_STATUS else Evidence.SUCCESS
 
 
 def of_error(error: errors.MintcleatError) -> Evidence:
@@ -41,13 +41,13 @@
     upstream's doing.
     """
     if isinstance(error, errors.TurnUnrecorded):
-        return Evidence.WELL
+        return Evidence.SUCCESS
     if isinstance(error, errors.UpstreamBusy):
-        return Evidence.NONE
-    return Evidence.FAILED
+        return Evidence.NEUTRAL
+    return Evidence.FAILURE
 
 
-def of_cut(whole: bool, silent: float, patience: float) -> Evidence:
+def of_cancellation(whole: bool, silent: float, patience: float) -> Evidence:
     """Returns what it says that the caller left or its time was over.
 
     Args:
@@ -56,5 +56,5 @@
         patience: Seconds of silence that are usual for the route.
     """
     if whole:
-        return Evidence.WELL
-    return Evidence.FAILED if silent > patience else Evidence.NONE
+        return Evidence.SUCCESS
+    return Evidence.FAILURE if silent > patience else Evidence.NEUTRAL
--- a/src/mintcleat/decisions/jitter.py
+++ b/src/mintcleat/decisions/jitter.py
@@ -11,7 +11,7 @@
 SPREAD = 0.4
 
 
-def after(request: str, seconds: float) -> float:
+def retry_after(request: str, seconds: float) -> float:
     """Returns when a refused caller should come back, in seconds.
 
     Args:
--- a/src/mintcleat/decisions/limits.py
+++ b/src/mintcleat/decisions/limits.py
@@ -17,7 +17,7 @@
 # take longer, and its program has few tries.
 HOLD_SECONDS = 0.4
 # Requests waiting so at once; more would only queue behind each other.
-MOST_HELD = 64
+MAX_HELD = 64
 # How fast the calls that follow a turn are learned.
 _MEMORY = 0.95
 
@@ -37,7 +37,7 @@
     )
 
 
-def hold(wait: float, waited: float, held: int) -> float:
+def hold_seconds(wait: float, waited: float, held: int) -> float:
     """Returns for how long a request of a program under way waits here.
 
     One whose program has not begun never waits: nothing is lost by sending it
@@ -51,7 +51,7 @@
     Returns:
         Seconds; 0 to refuse it at once.
     """
-    if held >= MOST_HELD or waited + wait > HOLD_SECONDS:
+    if held >= MAX_HELD or waited + wait > HOLD_SECONDS:
         return 0.0
     return wait
 
@@ -63,7 +63,7 @@
     until: float
 
 
-class Ahead:
+class RequestPrefetch:
     """Requests counted ahead of need, and how many to ask for.
 
     Attributes:
@@ -77,7 +77,7 @@
         self.turns = 0.0
         self.calls = 0.0
 
-    def wanted(self, customer: str, now: float) -> int:
+    def prefetch_count(self, customer: str, now: float) -> int:
         """Returns how many to ask for with a turn of a customer."""
         self.turns = self.turns * _MEMORY + 1.0
         self.calls *= _MEMORY
--- a/src/mintcleat/decisions/load_balancing.py
+++ b/src/mintcleat/decisions/load_balancing.py
@@ -104,7 +104,7 @@
     at: float
 
 
-class Speeds:
+class LatencyTracker:
     """How much slower each upstream is than its peers.
 
     Made for an engine that goes on answering at a quarter of its speed. It
@@ -113,28 +113,30 @@
     """
 
     def __init__(self) -> None:
-        self.speeds: dict[str, Speed] = {}
+        self.by_upstream: dict[str, Speed] = {}
 
     def observe(self, upstream: str, seconds: float, now: float) -> None:
         """Takes the pause before a piece, or the time of a whole answer."""
         seconds = max(seconds, MIN_PACE)
-        before = self.speeds.get(upstream)
+        before = self.by_upstream.get(upstream)
         if before is None:
-            self.speeds[upstream] = Speed(seconds, 1, now)
+            self.by_upstream[upstream] = Speed(seconds, 1, now)
             return
         mean = before.mean + SPEED_GAIN * (seconds - before.mean)
-        self.speeds[upstream] = Speed(mean, before.observed + 1, now)
+        self.by_upstream[upstream] = Speed(mean, before.observed + 1, now)
 
     def forget(self, upstream: str) -> None:
         """Drops an upstream that is gone."""
-        self.speeds.pop(upstream, None)
+        self.by_upstream.pop(upstream, None)
 
-    def factors(self, upstreams: Sequence[str], now: float) -> dict[str, float]:
+    def slowdown_factors(
+        self, upstreams: Sequence[str], now: float
+    ) -> dict[str, float]:
         """Returns by how much each is slower than the median; 1 or more."""
         known = {
             name: speed
             for name in upstreams
-            if (speed := self.speeds.get(name)) is not None
+            if (speed := self.by_upstream.get(name)) is not None
             and speed.observed >= MIN_OBSERVED
         }
         if len(known) < 2:
--- a/src/mintcleat/decisions/migration.py
+++ b/src/mintcleat/decisions/migration.py
@@ -58,7 +58,7 @@
     export: bool
 
 
-class Mover:
+class MigrationPlanner:
     """Plans moves off one upstream."""
 
     def __init__(self) -> None:
--- a/src/mintcleat/decisions/placement.py
+++ b/src/mintcleat/decisions/placement.py
@@ -89,7 +89,7 @@
 
     def __init__(self, report: call_messages.LoadReport, now: float) -> None:
         self.report = report
-        self.heard = now
+        self.received_at = now
         self.sent: list[tuple[float, float]] = []
 
     def take(self, report: call_messages.LoadReport, now: float) -> bool:
@@ -98,7 +98,7 @@
         if age < (self.report.sidecar.epoch, self.report.counter):
             return False
         self.report = report
-        self.heard = now
+        self.received_at = now
         self.sent = [item for item in self.sent if item[0] > now - REPORT_LAG]
         return True
 
@@ -161,11 +161,11 @@
         self.upstreams.pop(name, None)
         self.outliers.forget(name)
 
-    def forget_guests(self, now: float) -> None:
+    def forget_silent(self, now: float) -> None:
         """Drops silent upstreams outside the subset; call it each minute."""
         members = set(self.subset)
         for name, known in list(self.upstreams.items()):
-            if name not in members and now - known.heard > GUEST_SECONDS:
+            if name not in members and now - known.received_at > GUEST_SECONDS:
                 self.forget(name)
 
     def _compare(self, name: str, now: float) -> None:
@@ -260,8 +260,10 @@
     total = len(fleet.subset)
     if not total:
         return []
-    first = int(calls.fraction(call.call_id, fleet.counter) * total)
-    step = 1 + int(calls.fraction(fleet.counter, call.call_id) * (total - 1))
+    first = int(calls.hash_fraction(call.call_id, fleet.counter) * total)
+    step = 1 + int(
+        calls.hash_fraction(fleet.counter, call.call_id) * (total - 1)
+    )
     names: list[str] = []
     for start in (first, first + step):
         for offset in range(total):
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -64,7 +64,7 @@
         self.options = options
         self.limit = concurrency.Limit(capacity)
         self.speed = speed.Speed()
-        self.learner = remaining_work.Learner()
+        self.estimator = remaining_work.Estimator()
         self.lines = {klass: class_queue.Line() for klass in CLASS_WEIGHTS}
         self.classes = admission.FairClock()
         self.waiting: dict[str, class_queue.Entry] = {}
@@ -123,7 +123,7 @@
             self.limit.observe(outcome, len(self.slots.running), now)
         entry = running.entry
         if outcome.ok:
-            self.learner.answered(entry.call.agent, outcome.generated)
+            self.estimator.answered(entry.call.agent, outcome.generated)
         self.slots.release(call_id)
         self.slots.working_set.paused(entry.call.program, now)
         line = self.lines[entry.klass]
@@ -142,7 +142,7 @@
         """Takes the size of the caches that are expected back soon."""
         self.slots.protected = tokens
 
-    def left(self, program: str) -> None:
+    def program_left(self, program: str) -> None:
         """Notes that a program ended, moved elsewhere or hung."""
         self.slots.working_set.leave(program)
 
@@ -200,8 +200,8 @@
 
     def _entry(self, call: calls.Call, now: float) -> class_queue.Entry:
         options = self.options
-        remaining = self.learner.remaining(call.agent, call.attained)
-        typical = self.learner.typical
+        remaining = self.estimator.remaining(call.agent, call.attained)
+        typical = self.estimator.typical
         place = order.key(call, remaining, typical, now, options.ordering)
         flow = call.customer if options.fair else ""
         klass = calls.INTERACTIVE
--- a/src/mintcleat/decisions/remaining_work.py
+++ b/src/mintcleat/decisions/remaining_work.py
@@ -67,7 +67,7 @@
         self.total /= 2
 
 
-class Learner:
+class Estimator:
     """Expected rest of programs, by agent program.
 
     Attributes:
--- a/src/mintcleat/decisions/send_interval.py
+++ b/src/mintcleat/decisions/send_interval.py
@@ -14,7 +14,7 @@
 RENEWAL_BUDGET = 1_000.0
 
 
-def interval(least: float, size: float, budget: float) -> float:
+def for_budget(least: float, size: float, budget: float) -> float:
     """Returns the seconds between two sendings.
 
     Args:
--- a/src/mintcleat/decisions/shared_load.py
+++ b/src/mintcleat/decisions/shared_load.py
@@ -20,10 +20,10 @@
 MAX_AGE = 1.0
 # Upstreams that one answer names, the busiest first. It bounds the answer to
 # some 1.5 kB; those left out have less to do than any that is named.
-MOST_TOLD = 64
+MAX_UPSTREAMS = 64
 
 
-class Board:
+class EntryLoads:
     """The newest report of each entry, and their sums.
 
     Attributes:
@@ -59,8 +59,8 @@
             for upstream, count in self.totals.items()
             if count > own.get(upstream, 0)
         }
-        if len(found) > MOST_TOLD:
-            busiest = sorted(found, key=found.__getitem__)[-MOST_TOLD:]
+        if len(found) > MAX_UPSTREAMS:
+            busiest = sorted(found, key=found.__getitem__)[-MAX_UPSTREAMS:]
             found = {upstream: found[upstream] for upstream in busiest}
         return found
 
@@ -72,20 +72,20 @@
                 del self.totals[upstream]
 
 
-class Others:
+class OtherEntriesLoad:
     """What one entry heard of the others' requests, and when."""
 
     def __init__(self) -> None:
         self.running: Mapping[str, int] = {}
-        self.heard = float("-inf")
+        self.received_at = float("-inf")
 
-    def hear(self, running: Mapping[str, int], now: float) -> None:
+    def update(self, running: Mapping[str, int], now: float) -> None:
         """Takes an answer of the leader."""
         self.running = running
-        self.heard = now
+        self.received_at = now
 
-    def known(self, now: float) -> Mapping[str, int]:
+    def current(self, now: float) -> Mapping[str, int]:
         """Returns the others' requests by upstream; empty when too old."""
-        if now - self.heard > MAX_AGE:
+        if now - self.received_at > MAX_AGE:
             return {}
         return self.running
--- a/src/mintcleat/decisions/subset.py
+++ b/src/mintcleat/decisions/subset.py
@@ -32,7 +32,7 @@
         return sorted(member.name for member in members)
     domains: dict[str, list[str]] = {}
     ranked = sorted(
-        members, key=lambda member: calls.fraction(entry, member.name)
+        members, key=lambda member: calls.hash_fraction(entry, member.name)
     )
     for member in ranked:
         domains.setdefault(member.failure_domain, []).append(member.name)
--- a/src/mintcleat/decisions/upstream_health.py
+++ b/src/mintcleat/decisions/upstream_health.py
@@ -30,7 +30,7 @@
 TRUSTED = 0.5
 
 
-class Standing(NamedTuple):
+class FailurePenalty(NamedTuple):
     """What is held against one upstream.
 
     Attributes:
@@ -50,15 +50,15 @@
         return self.failures * 0.5 ** ((now - self.at) / HALF_LIFE)
 
 
-class Standings:
+class FailurePenalties:
     """The standing of each upstream that failed lately."""
 
     def __init__(self) -> None:
-        self.standings: dict[str, Standing] = {}
+        self.by_upstream: dict[str, FailurePenalty] = {}
 
-    def failed(self, upstream: str, now: float) -> Standing:
+    def failed(self, upstream: str, now: float) -> FailurePenalty:
         """Counts a failure; returns the standing with its pause."""
-        before = self.standings.get(upstream)
+        before = self.by_upstream.get(upstream)
         failures = 1.0
         if before is not None:
             failures = min(MOST, before.now(now) + 1.0)
@@ -66,8 +66,8 @@
         until = now + pause
         if before is not None:
             until = max(until, before.until)
-        standing = Standing(failures, now, now, until)
-        self.standings[upstream] = standing
+        standing = FailurePenalty(failures, now, now, until)
+        self.by_upstream[upstream] = standing
         return standing
 
     def answered(self, upstream: str, began: float, now: float) -> None:
@@ -77,15 +77,17 @@
         it lifts no pause; one that began after it shows that the upstream
         can be reached again.
         """
-        before = self.standings.get(upstream)
+        before = self.by_upstream.get(upstream)
         if before is None:
             return
         failures = before.now(now) - FORGIVEN
         if failures <= 0.0:
-            del self.standings[upstream]
+            del self.by_upstream[upstream]
             return
         until = now if began > before.failed else before.until
-        self.standings[upstream] = Standing(failures, now, before.failed, until)
+        self.by_upstream[upstream] = FailurePenalty(
+            failures, now, before.failed, until
+        )
 
     def allows(self, upstream: str, repeatable: bool, now: float) -> bool:
         """Tells whether it gets a request as usual.
@@ -95,7 +97,7 @@
             repeatable: Whether the request may run once more elsewhere.
             now: The clock.
         """
-        standing = self.standings.get(upstream)
+        standing = self.by_upstream.get(upstream)
         if standing is None:
             return True
         if now < standing.until:
@@ -104,7 +106,7 @@
 
     def forget(self, upstream: str) -> None:
         """Drops an upstream that is gone."""
-        self.standings.pop(upstream, None)
+        self.by_upstream.pop(upstream, None)
 
 
 class Wait(NamedTuple):
@@ -119,7 +121,7 @@
     patience: float
 
 
-class Silences:
+class SilenceDetector:
     """Upstreams from which nothing comes though something is due.
 
     Made for an upstream that stands still or lost its power: its connections
@@ -129,47 +131,49 @@
     """
 
     def __init__(self) -> None:
-        self.waits: dict[str, dict[str, Wait]] = {}
-        self.heard: dict[str, float] = {}
+        self.pending_requests: dict[str, dict[str, Wait]] = {}
+        self.last_received: dict[str, float] = {}
 
     def began(
         self, upstream: str, request: str, patience: float, now: float
     ) -> None:
         """Notes that a request was sent."""
-        self.waits.setdefault(upstream, {})[request] = Wait(now, patience)
+        self.pending_requests.setdefault(upstream, {})[request] = Wait(
+            now, patience
+        )
 
     def arrived(self, upstream: str, now: float) -> None:
         """Notes that something came from the upstream."""
-        self.heard[upstream] = now
+        self.last_received[upstream] = now
 
     def ended(self, upstream: str, request: str) -> None:
         """Takes the request back out."""
-        waits = self.waits.get(upstream, {})
+        waits = self.pending_requests.get(upstream, {})
         waits.pop(request, None)
         if not waits:
-            self.waits.pop(upstream, None)
-            self.heard.pop(upstream, None)
+            self.pending_requests.pop(upstream, None)
+            self.last_received.pop(upstream, None)
 
     def waiting(self, upstream: str) -> int:
         """Returns how many requests wait there."""
-        return len(self.waits.get(upstream, ()))
+        return len(self.pending_requests.get(upstream, ()))
 
     def silent(self, upstream: str, now: float) -> bool:
         """Tells whether a request waits there for longer than is usual."""
-        waits = self.waits.get(upstream)
+        waits = self.pending_requests.get(upstream)
         if not waits:
             return False
-        heard = self.heard.get(upstream, 0.0)
+        heard = self.last_received.get(upstream, 0.0)
         return any(
             now - max(wait.since, heard) > wait.patience
             for wait in waits.values()
         )
 
 
-def usable(
+def healthy(
     upstreams: Sequence[str],
-    standings: Standings | None,
-    silences: Silences | None,
+    penalties: FailurePenalties | None,
+    silence_detector: SilenceDetector | None,
     repeatable: bool,
     now: float,
 ) -> list[str]:
@@ -179,15 +183,15 @@
 
     Args:
         upstreams: Those that take new work.
-        standings: What failed lately; None to go without.
-        silences: What keeps silent; None to go without.
+        penalties: What failed lately; None to go without.
+        silence_detector: What keeps silent; None to go without.
         repeatable: Whether the request may run once more elsewhere.
         now: The clock.
     """
     found = [
         name
         for name in upstreams
-        if (standings is None or standings.allows(name, repeatable, now))
-        and (silences is None or not silences.silent(name, now))
+        if (penalties is None or penalties.allows(name, repeatable, now))
+        and (silence_detector is None or not silence_detector.silent(name, now))
     ]
     return found or list(upstreams)
--- a/src/mintcleat/emulator/control.py
+++ b/src/mintcleat/emulator/control.py
@@ -26,12 +26,12 @@
     def __init__(self, env: simpy.Environment) -> None:
         self.env = env
         self.until = 0.0
-        self.board = shared_load.Board()
+        self.entry_loads = shared_load.EntryLoads()
 
     def lose(self, seconds: float) -> None:
         """Takes the leader away."""
         self.until = self.env.now + seconds
-        self.board = shared_load.Board()
+        self.entry_loads = shared_load.EntryLoads()
 
     def ask(self, running: program_messages.Running) -> Any:
         """Commits one request; returns what the other entries have running.
@@ -46,5 +46,5 @@
             yield self.env.timeout(0.02)
         yield self.env.timeout(COMMIT)
         now = self.env.now
-        self.board.report(running.entry, running.by_upstream, now)
-        return self.board.others(running.entry)
+        self.entry_loads.report(running.entry, running.by_upstream, now)
+        return self.entry_loads.others(running.entry)
--- a/src/mintcleat/emulator/entry.py
+++ b/src/mintcleat/emulator/entry.py
@@ -175,13 +175,16 @@
                     raise Failed from None
             except simpy.Interrupt:
                 silent = self.env.now - max(
-                    sent_at, self.loads.silences.heard.get(upstream.life, 0.0)
+                    sent_at,
+                    self.loads.silence_detector.last_received.get(
+                        upstream.life, 0.0
+                    ),
                 )
-                said = evidence.of_cut(False, silent, patience)
+                said = evidence.of_cancellation(False, silent, patience)
                 self._note(upstream, said, sent_at)
                 raise Failed from None
             else:
-                self._note(upstream, evidence.Evidence.WELL, sent_at)
+                self._note(upstream, evidence.Evidence.SUCCESS, sent_at)
                 return upstream.life
             finally:
                 self.loads.ended(upstream.life, request)
@@ -235,7 +238,7 @@
         sent_at: float,
     ) -> None:
         match said:
-            case evidence.Evidence.FAILED:
+            case evidence.Evidence.FAILURE:
                 self.loads.failed(upstream)
-            case evidence.Evidence.WELL:
+            case evidence.Evidence.SUCCESS:
                 self.loads.answered(upstream.life, sent_at)
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -144,7 +144,10 @@
         metrics.gauge("running_calls", self.listener.active)
         metrics.gauge("config_revision", self.follower.revision())
         metrics.gauge("lease_left_seconds", self.follower.lease_left())
-        for upstream, waits in self.gateway.loads.silences.waits.items():
+        for (
+            upstream,
+            waits,
+        ) in self.gateway.loads.silence_detector.pending_requests.items():
             running = len(waits)
             metrics.gauge("upstream_running_calls", running, upstream=upstream)
 
--- a/src/mintcleat/roles/control/programs/service.py
+++ b/src/mintcleat/roles/control/programs/service.py
@@ -70,7 +70,7 @@
             order; the group of a program depends on how many there are.
         machines: The state machine of each group on this instance.
         policies: Returns the policies in force, for the retention.
-        board: What entries have running, as they told with their requests.
+        entry_loads: Running requests by upstream, as reported by the entries.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
             group: GroupClock(held, timer_service)
             for group, held in self.machines.items()
         }
-        self.board = shared_load.Board()
+        self.entry_loads = shared_load.EntryLoads()
         for group, held in self.machines.items():
             replicated_log.attach(group, held)
         for kind in (*commands.MUTATIONS, *READS):
@@ -150,7 +150,7 @@
         for place, entry in entries.items():
             reply = replies[place]
             if isinstance(reply, program_messages.TurnOpened):
-                others = self.board.others(entry)
+                others = self.entry_loads.others(entry)
                 replies[place] = reply._replace(others=others)
         return replies
 
@@ -172,7 +172,9 @@
     def _take_report(self, request: Any) -> Any:
         """Takes what an entry has running, and returns the request without."""
         report = request.running
-        self.board.report(report.entry, report.by_upstream, self.timers.now())
+        self.entry_loads.report(
+            report.entry, report.by_upstream, self.timers.now()
+        )
         return request._replace(running=None)
 
     def _serve_one(self, exchange: streams.Exchange, message: Any) -> None:
--- a/src/mintcleat/roles/entry/allowances.py
+++ b/src/mintcleat/roles/entry/allowances.py
@@ -50,7 +50,7 @@
         self.configuration = configuration
         self.timers = timers
         self.events = events
-        self.ahead = limits.Ahead()
+        self.ahead = limits.RequestPrefetch()
         self.waiting = 0
 
     def limit_of(self, customer: str) -> program_messages.Limit | None:
@@ -110,7 +110,9 @@
         began = self.timers.now()
         while True:
             try:
-                seconds = control_outage.hold(self.configuration.lease_left())
+                seconds = control_outage.hold_seconds(
+                    self.configuration.lease_left()
+                )
                 reply = self.control.ask(scope, request, seconds)
             except errors.ControlUnavailable as error:
                 error.retry_after = control_outage.RETRY_SECONDS
@@ -119,7 +121,9 @@
                 raise
             except errors.LimitReached as error:
                 waited = self.timers.now() - began
-                seconds = limits.hold(error.retry_after, waited, self.waiting)
+                seconds = limits.hold_seconds(
+                    error.retry_after, waited, self.waiting
+                )
                 if not seconds:
                     raise
                 self._wait(seconds)
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -85,7 +85,7 @@
             run.serve(reply)
         except errors.MintcleatError as error:
             if error.retry_after:
-                error.retry_after = jitter.after(
+                error.retry_after = jitter.retry_after(
                     call.request, error.retry_after
                 )
             self._tell_refusal(call, run, error, began)
@@ -153,7 +153,7 @@
         """
         uptime = self.timers.now() - self.started
         deadline = call.deadline or _PATIENT_SECONDS
-        seconds = cold_start.hold(uptime, deadline, self.held)
+        seconds = cold_start.hold_seconds(uptime, deadline, self.held)
         until = self.timers.now() + seconds
         self.held += 1
         try:
--- a/src/mintcleat/roles/entry/identity.py
+++ b/src/mintcleat/roles/entry/identity.py
@@ -61,7 +61,7 @@
         self.timers = timers
         self.events = events
         self.policies = configuration.manifest().policies
-        self.register = customers.Register(self.policies)
+        self.register = customers.CallerIndex(self.policies)
         self.unconfirmed = 0
 
     def caller(self, key: str, public: bool = False) -> customers.Caller | None:
@@ -100,7 +100,7 @@
         found = self.caller(key, public)
         if found is None and not public:
             raise _unauthorized(key)
-        return found or customers.NOBODY
+        return found or customers.UNKNOWN_CALLER
 
     def confirm(self, request: str, key: str, arrived: float) -> None:
         """Waits until this entry knows every push from before a request.
@@ -150,7 +150,7 @@
         policies = self.configuration.manifest().policies
         if policies is not self.policies:
             self.policies = policies
-            self.register = customers.Register(policies)
+            self.register = customers.CallerIndex(policies)
 
 
 def _unauthorized(key: str) -> errors.Unauthorized:
--- a/src/mintcleat/roles/entry/placement.py
+++ b/src/mintcleat/roles/entry/placement.py
@@ -221,7 +221,7 @@
 
     def _forget_guests(self) -> None:
         for service in self.services.values():
-            service.fleet.forget_guests(self.timers.now())
+            service.fleet.forget_silent(self.timers.now())
 
     def _no_upstream(self, name: str) -> errors.NoUpstream:
         return errors.NoUpstream(
--- a/src/mintcleat/roles/entry/routed_answer.py
+++ b/src/mintcleat/roles/entry/routed_answer.py
@@ -103,13 +103,13 @@
         body = answer.body()
         self.status = head.status
         said = evidence.of_answer(head.status)
-        if said is evidence.Evidence.FAILED and may_repeat:
+        if said is evidence.Evidence.FAILURE and may_repeat:
             raise errors.UpstreamFailed(f"The upstream said {head.status}.")
         if self.begun:
             raise errors.UpstreamFailed("The stream did not go on.")
         self.first = self.timers.now()
         self._received()
-        if said is evidence.Evidence.WELL:
+        if said is evidence.Evidence.SUCCESS:
             self.loads.observe(self.life, self.first - sent_at)
         self.begun = True
         reply.whole(head, body)
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -234,7 +234,8 @@
                 silent = self.now - max(self.sent_at, self.answer.piece_at)
                 received = self.answer.received
                 self._note(
-                    upstream, evidence.of_cut(received, silent, patience)
+                    upstream,
+                    evidence.of_cancellation(received, silent, patience),
                 )
                 raise
             else:
@@ -249,9 +250,9 @@
         said: evidence.Evidence,
     ) -> None:
         match said:
-            case evidence.Evidence.FAILED:
+            case evidence.Evidence.FAILURE:
                 self.means.loads.failed(upstream)
-            case evidence.Evidence.WELL:
+            case evidence.Evidence.SUCCESS:
                 self.means.loads.answered(upstream.life, self.sent_at)
 
     def _place(self) -> member_messages.Registration:
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_keeper.py
@@ -134,7 +134,7 @@
         began = self.timers.now()
         ahead = 0
         if limit:
-            ahead = self.allowances.ahead.wanted(call.customer, began)
+            ahead = self.allowances.ahead.prefetch_count(call.customer, began)
         request = program_messages.OpenTurn(
             program.program,
             call.request,
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -71,14 +71,14 @@
     ) -> None:
         self.entry = entry
         self.policy = policy
-        self.others = shared_load.Others()
+        self.others = shared_load.OtherEntriesLoad()
         self.configuration = configuration
         self.timers = timers
         self.events = events
         self.gone = gone
-        self.standings = upstream_health.Standings()
-        self.silences = upstream_health.Silences()
-        self.speeds = load_balancing.Speeds()
+        self.penalties = upstream_health.FailurePenalties()
+        self.silence_detector = upstream_health.SilenceDetector()
+        self.latencies = load_balancing.LatencyTracker()
         self.known: dict[str, member_messages.Registration] = {}
         self.by_service: dict[str, dict[str, member_messages.Registration]] = {}
         configuration.subscribe(self.read)
@@ -90,8 +90,8 @@
         for life in self.known.keys() - entries.keys():
             held = self.known[life]
             self._tell(held._replace(state="gone"), registered.version)
-            self.speeds.forget(life)
-            self.standings.forget(life)
+            self.latencies.forget(life)
+            self.penalties.forget(life)
             self.gone(life)
         for life, item in entries.items():
             held = self.known.get(life)
@@ -110,14 +110,16 @@
         now = self.timers.now()
         ready = self.by_service.get(service, {})
         policy = self.policy
-        names = upstream_health.usable(
+        names = upstream_health.healthy(
             [life for life in ready if life not in tried],
-            self.standings if policy.standing else None,
-            self.silences if policy.silence else None,
+            self.penalties if policy.standing else None,
+            self.silence_detector if policy.silence else None,
             wanted.repeatable,
             now,
         )
-        slow = self.speeds.factors(names, now) if policy.speed else {}
+        slow = (
+            self.latencies.slowdown_factors(names, now) if policy.speed else {}
+        )
         others = self._elsewhere(now)
         candidates = [
             load_balancing.Candidate(
@@ -144,15 +146,15 @@
             request: Its id.
             patience: Seconds of silence that are still usual for its route.
         """
-        self.silences.began(life, request, patience, self.timers.now())
+        self.silence_detector.began(life, request, patience, self.timers.now())
 
     def arrived(self, life: str) -> None:
         """Notes that something came from it."""
-        self.silences.arrived(life, self.timers.now())
+        self.silence_detector.arrived(life, self.timers.now())
 
     def running(self, life: str) -> int:
         """Returns how many requests of this process run there."""
-        return self.silences.waiting(life)
+        return self.silence_detector.waiting(life)
 
     def running_elsewhere(self, life: str) -> int:
         """Returns how many requests other entries have there; 0 if unknown."""
@@ -160,38 +162,38 @@
 
     def heard_age(self) -> float:
         """Returns how old that knowledge is, in seconds; -1 without any."""
-        age = self.timers.now() - self.others.heard
+        age = self.timers.now() - self.others.received_at
         return round(age, 3) if age < FORGOTTEN else -1.0
 
     def report(self) -> program_messages.Running:
         """Returns what this entry has running."""
-        waits = self.silences.waits
+        waits = self.silence_detector.pending_requests
         counts = {life: len(requests) for life, requests in waits.items()}
         return program_messages.Running(self.entry, counts)
 
     def hear(self, others: Mapping[str, int]) -> None:
         """Takes what other entries have running."""
-        self.others.hear(others, self.timers.now())
+        self.others.update(others, self.timers.now())
 
     def ended(self, life: str, request: str) -> None:
         """Takes the request back out of the count; safe to repeat."""
-        self.silences.ended(life, request)
+        self.silence_detector.ended(life, request)
 
     def observe(self, life: str, seconds: float) -> None:
         """Takes the pause before a piece, or the time of a whole answer."""
         if life in self.known:
-            self.speeds.observe(life, seconds, self.timers.now())
+            self.latencies.observe(life, seconds, self.timers.now())
 
     def answered(self, life: str, began: float) -> None:
         """Notes a good answer to a request that was sent at `began`."""
-        self.standings.answered(life, began, self.timers.now())
+        self.penalties.answered(life, began, self.timers.now())
 
     def failed(self, upstream: member_messages.Registration) -> None:
         """Notes that it failed a request, broke off or was not reached."""
         if upstream.life not in self.known:
             return
         now = self.timers.now()
-        held = self.standings.failed(upstream.life, now)
+        held = self.penalties.failed(upstream.life, now)
         self.events.emit(
             event_types.UpstreamAvoided(
                 upstream.upstream,
@@ -202,7 +204,7 @@
         )
 
     def _elsewhere(self, now: float) -> Mapping[str, int]:
-        return self.others.known(now) if self.policy.shared_load else {}
+        return self.others.current(now) if self.policy.shared_load else {}
 
     def _tell(self, item: member_messages.Registration, version: int) -> None:
         self.events.emit(
--- a/src/mintcleat/roles/sidecar/gate.py
+++ b/src/mintcleat/roles/sidecar/gate.py
@@ -60,16 +60,16 @@
     def left(self, programs: list[str]) -> None:
         """Notes that programs hold nothing at the engine any more."""
         for program in programs:
-            self.gate.left(program)
+            self.gate.program_left(program)
         self.pump()
 
     def learn(self, agent: str, tokens: int, turns: int) -> None:
         """Learns from a program that is gone."""
-        self.gate.learner.finished(agent, tokens, turns)
+        self.gate.estimator.finished(agent, tokens, turns)
 
     def usual_answer(self, agent: str) -> int:
         """Returns the tokens that a call of this agent usually generates."""
-        return self.gate.learner.answer_tokens(agent, _USUAL_TOKENS)
+        return self.gate.estimator.answer_tokens(agent, _USUAL_TOKENS)
 
     def enter(
         self, attempt: sidecar_attempts.Attempt, call: calls.Call
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -100,7 +100,9 @@
         self.admission = admission
         self.on_gone = on_gone
         self.ledger = sidecar_ledger.Ledger()
-        self.keeper = cache_retention.Keeper(cache_retention.Options(memory=0))
+        self.paused_caches = cache_retention.PausedCaches(
+            cache_retention.Options(memory=0)
+        )
         self.exports = Exports(export_bytes)
         self.lives: collections.OrderedDict[str, Life] = (
             collections.OrderedDict()
@@ -114,8 +116,12 @@
 
     def resize(self, info: upstream_port.EngineInfo) -> None:
         """Takes the size that the engine announces."""
-        rate = self.keeper.options.prefill_rate * 8 if info.kv_export else 0.0
-        self.keeper.options = cache_retention.Options(
+        rate = (
+            self.paused_caches.options.prefill_rate * 8
+            if info.kv_export
+            else 0.0
+        )
+        self.paused_caches.options = cache_retention.Options(
             memory=info.memory, export_rate=rate
         )
 
@@ -125,16 +131,16 @@
 
     def called(self, program: str) -> int:
         """Notes that a program's next turn waits; returns what is cached."""
-        self.keeper.called(program, self.timers.now())
+        self.paused_caches.called(program, self.timers.now())
         return self.held(program)
 
     def refused(self, program: str) -> None:
         """Notes that the turn is not run here."""
-        self.keeper.refused(program, self.timers.now())
+        self.paused_caches.refused(program, self.timers.now())
 
     def resume(self, program: str) -> None:
         """Prepares the engine for a program's turn that starts now."""
-        self.keeper.started(program)
+        self.paused_caches.started(program)
         blob = self.exports.pop(program)
         if blob is None:
             return
@@ -150,14 +156,14 @@
             return
         self.ledger.ran(program, tokens)
         now = self.timers.now()
-        self._act(self.keeper.paused(program, agent, tokens, now))
-        memory = self.keeper.options.memory
+        self._act(self.paused_caches.paused(program, agent, tokens, now))
+        memory = self.paused_caches.options.memory
         used = self.ledger.total()
         if memory and used > _PRESSURE_HIGH * memory:
             needed = int(used - _PRESSURE_LOW * memory)
-            for action in self.keeper.victims(needed, now):
+            for action in self.paused_caches.victims(needed, now):
                 self._act(action)
-        self.admission.protect(self.keeper.expected_soon(now))
+        self.admission.protect(self.paused_caches.expected_soon(now))
 
     def note(self, program: str, life: Life) -> None:
         """Keeps what a program had, for the learner once it is gone."""
@@ -174,10 +180,10 @@
     def sweep(self) -> None:
         """Puts out what has been paused for too long."""
         now = self.timers.now()
-        for action in self.keeper.sweep(now):
+        for action in self.paused_caches.sweep(now):
             self._act(action)
             self.admission.left([action.program])
-        self.admission.protect(self.keeper.expected_soon(now))
+        self.admission.protect(self.paused_caches.expected_soon(now))
 
     def renew(self) -> None:
         """Asks which programs are gone and releases them."""
@@ -186,7 +192,7 @@
             batch = programs[start : start + _RENEW_BATCH]
             gone = self.control.gone(self.node, batch, _ASK_SECONDS)
             for program in gone:
-                self.keeper.gone(program)
+                self.paused_caches.gone(program)
                 self.exports.pop(program)
                 self.on_gone(program)
                 self._learn(program)
@@ -266,7 +272,7 @@
     def _renew_forever(self, seconds: float) -> None:
         while not self.stopped:
             size = len(self.ledger.tokens) * _RENEWAL_BYTES
-            wait = send_interval.interval(
+            wait = send_interval.for_budget(
                 seconds, size, send_interval.RENEWAL_BUDGET
             )
             self.timers.sleep(wait)
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -242,7 +242,7 @@
             while True:
                 exchange.send(self.load())
                 size = self.watchers * _REPORT_BYTES
-                seconds = send_interval.interval(
+                seconds = send_interval.for_budget(
                     self.options.load_seconds, size, send_interval.REPORT_BUDGET
                 )
                 self.timers.sleep(seconds)
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -24,21 +24,23 @@
 
 class HoldTest(testtools.TestCase):
     def test_call_waits_for_the_rest_of_the_usual_start(self) -> None:
-        self.assertEqual(0.75, cold_start.hold(0.25, 10.0, 0))
+        self.assertEqual(0.75, cold_start.hold_seconds(0.25, 10.0, 0))
 
     def test_call_waits_for_a_share_of_its_own_time_only(self) -> None:
         # It keeps the time to be answered by another entry.
-        self.assertEqual(0.25, cold_start.hold(0.0, 1.0, 0))
+        self.assertEqual(0.25, cold_start.hold_seconds(0.0, 1.0, 0))
 
     def test_entry_that_should_have_started_refuses_at_once(self) -> None:
-        self.assertEqual(0.0, cold_start.hold(1.0, 10.0, 0))
-        self.assertEqual(0.0, cold_start.hold(60.0, 10.0, 0))
+        self.assertEqual(0.0, cold_start.hold_seconds(1.0, 10.0, 0))
+        self.assertEqual(0.0, cold_start.hold_seconds(60.0, 10.0, 0))
 
     def test_calls_held_are_bounded(self) -> None:
-        self.assertEqual(0.0, cold_start.hold(0.0, 4.0, cold_start.MOST_HELD))
+        self.assertEqual(
+            0.0, cold_start.hold_seconds(0.0, 4.0, cold_start.MAX_HELD)
+        )
 
     def test_refused_callers_do_not_come_back_together(self) -> None:
-        found = [jitter.after(f"r{n}", 0.5) for n in range(400)]
+        found = [jitter.retry_after(f"r{n}", 0.5) for n in range(400)]
         self.assertTrue(0.3 <= min(found) < 0.32)
         self.assertTrue(0.68 < max(found) <= 0.7)
         tenths = [int(10 * at) for at in found]
@@ -72,7 +74,7 @@
                 if knows <= at + seconds:
                     at = max(at, knows)
                     break
-                again = jitter.after(f"{number}/{attempt}", 0.5)
+                again = jitter.retry_after(f"{number}/{attempt}", 0.5)
                 if attempt % 2:
                     again = chance.uniform(0.1, 0.4)
                 at += seconds + again
@@ -80,7 +82,7 @@
         return found
 
     def test_calls_are_served_when_service_is_back(self) -> None:
-        held = self.waits(cold_start.hold)
+        held = self.waits(cold_start.hold_seconds)
         refused = self.waits(lambda *given: 0.0)
         # Seconds, mean: 0.02 against 0.28 where all are refused.
         self.assertThat(sum(held) / 600, matchers.LessThan(0.05))
--- a/testing/test_evidence.py
+++ b/testing/test_evidence.py
@@ -20,11 +20,11 @@
         }
         self.assertEqual(
             {
-                200: Evidence.WELL,
-                404: Evidence.WELL,
-                500: Evidence.FAILED,
-                503: Evidence.FAILED,
-                504: Evidence.NONE,
+                200: Evidence.SUCCESS,
+                404: Evidence.SUCCESS,
+                500: Evidence.FAILURE,
+                503: Evidence.FAILURE,
+                504: Evidence.NEUTRAL,
             },
             found,
         )
@@ -37,14 +37,25 @@
             evidence.of_error(errors.WrongUpstream("")),
         ]
         self.assertEqual(
-            [Evidence.WELL, Evidence.NONE, Evidence.FAILED, Evidence.FAILED],
+            [
+                Evidence.SUCCESS,
+                Evidence.NEUTRAL,
+                Evidence.FAILURE,
+                Evidence.FAILURE,
+            ],
             found,
         )
 
     def test_caller_that_leaves_tells_of_silence_only(self) -> None:
-        self.assertEqual(Evidence.NONE, evidence.of_cut(False, 0.4, 0.5))
-        self.assertEqual(Evidence.FAILED, evidence.of_cut(False, 0.6, 0.5))
-        self.assertEqual(Evidence.WELL, evidence.of_cut(True, 9.0, 0.5))
+        self.assertEqual(
+            Evidence.NEUTRAL, evidence.of_cancellation(False, 0.4, 0.5)
+        )
+        self.assertEqual(
+            Evidence.FAILURE, evidence.of_cancellation(False, 0.6, 0.5)
+        )
+        self.assertEqual(
+            Evidence.SUCCESS, evidence.of_cancellation(True, 9.0, 0.5)
+        )
 
 
 class ControlOutageTest(testtools.TestCase):
@@ -86,9 +97,9 @@
         silent = [
             life
             for life in self.loads.known
-            if self.loads.silences.silent(life, now + 60.0)
+            if self.loads.silence_detector.silent(life, now + 60.0)
         ]
         self.assertEqual([], silent)
         self.assertEqual([False] * 6, [turn.wait().whole for turn in turns])
         self.assertEqual([], self.system.told.of(events.UpstreamAvoided))
-        self.assertEqual({}, self.loads.standings.standings)
+        self.assertEqual({}, self.loads.penalties.by_upstream)
--- a/testing/test_hosted.py
+++ b/testing/test_hosted.py
@@ -224,11 +224,11 @@
         late = functools.partial(_fail, status=b"504 Late")
         (engine,) = self.ready(("e1", "desk", late))
         self.assertEqual(504, self.call(0))
-        standings = self.system.entry.gateway.loads.standings
-        self.assertEqual({}, standings.standings)
+        penalties = self.system.entry.gateway.loads.penalties
+        self.assertEqual({}, penalties.by_upstream)
         engine.script = _fail
         self.assertEqual(500, self.call(1))
-        self.assertEqual(["e1"], list(standings.standings))
+        self.assertEqual(["e1"], list(penalties.by_upstream))
 
     def test_upstreams_word_that_time_is_over_is_passed_on(self) -> None:
         late = functools.partial(_fail, status=b"504 Late")
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -76,9 +76,9 @@
         now = self.system.entry_common.timers.now()
         life = f"e1#{SECOND}"
         self.assertEqual({life}, set(loads.known))
-        self.assertTrue(loads.standings.allows(life, False, now))
-        self.assertEqual({}, loads.standings.standings)
-        self.assertEqual({}, loads.speeds.speeds)
+        self.assertTrue(loads.penalties.allows(life, False, now))
+        self.assertEqual({}, loads.penalties.by_upstream)
+        self.assertEqual({}, loads.latencies.by_upstream)
 
     def test_failure_of_the_old_life_is_not_held_against_the_new(self) -> None:
         """A request is under way when the engine starts again elsewhere.
--- a/testing/test_identity.py
+++ b/testing/test_identity.py
@@ -147,7 +147,7 @@
     def test_public_route_needs_no_key_and_no_control(self) -> None:
         self.configuration.keys_left = 0.0
         self.assertEqual(
-            customers.NOBODY, self.identities.caller(sent(""), True)
+            customers.UNKNOWN_CALLER, self.identities.caller(sent(""), True)
         )
 
     def test_public_route_is_not_served_under_a_key_that_may_be_void(
@@ -162,7 +162,7 @@
         self.configuration.held = manifest.Manifest()
         self.configuration.keys_left = 0.0
         self.assertEqual(
-            customers.NOBODY, self.identities.caller(sent("any"), False)
+            customers.UNKNOWN_CALLER, self.identities.caller(sent("any"), False)
         )
 
     def test_unknown_key_is_sure_after_word_from_control(self) -> None:
@@ -200,7 +200,7 @@
             for n in range(4200)
         }
         base = manifest.Policies(require_keys=True)
-        register = customers.Register(
+        register = customers.CallerIndex(
             msgspec.structs.replace(base, customers=many)
         )
         self.assertEqual("c4199", register.find(keys.digest("4199")).customer)
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -155,7 +155,7 @@
     """An entry that may freeze between a count and the sending of it."""
 
     def __init__(self) -> None:
-        self.ahead = decisions.Ahead()
+        self.ahead = decisions.RequestPrefetch()
         self.frozen_until = 0.0
 
 
@@ -288,7 +288,7 @@
         self.assertGreater(found, 10)
 
     def test_entry_that_slept_sends_nothing_it_held_before(self) -> None:
-        ahead = decisions.Ahead()
+        ahead = decisions.RequestPrefetch()
         ahead.put("farmers", 3, until=1.0)
         self.assertTrue(ahead.take("farmers", 0.9))
         self.assertFalse(ahead.take("farmers", 6.0))
--- a/testing/test_load_outcomes.py
+++ b/testing/test_load_outcomes.py
@@ -159,8 +159,8 @@
         self.report(name)
         tokens = self.courses[call.program].tokens
         if len(self.answers[call.program]) == len(tokens):
-            learner = self.gates[name].learner
-            learner.finished("agent", sum(tokens), len(tokens))
+            estimator = self.gates[name].estimator
+            estimator.finished("agent", sum(tokens), len(tokens))
         else:
             self.at(self.now + 0.5, "send", call.program)
         self.pump(name)
--- a/testing/test_pace.py
+++ b/testing/test_pace.py
@@ -9,13 +9,13 @@
     def test_small_deployment_keeps_the_least_interval(self) -> None:
         self.assertEqual(
             0.5,
-            send_interval.interval(0.5, 4 * 90, send_interval.REPORT_BUDGET),
+            send_interval.for_budget(0.5, 4 * 90, send_interval.REPORT_BUDGET),
         )
 
     def test_bytes_a_second_stay_within_the_budget(self) -> None:
         for watchers in (50, 220, 860):
             size = watchers * 90.0
-            seconds = send_interval.interval(
+            seconds = send_interval.for_budget(
                 0.5, size, send_interval.REPORT_BUDGET
             )
             self.assertLessEqual(size / seconds, send_interval.REPORT_BUDGET)
--- a/testing/test_shared_load.py
+++ b/testing/test_shared_load.py
@@ -36,14 +36,14 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.running = dict.fromkeys(ENGINES, 0)
-        self.others = shared_load.Others()
+        self.others = shared_load.OtherEntriesLoad()
 
     def place(self, turn: str, now: float) -> str:
         return load_balancing.choose(
             [
                 load_balancing.Candidate(
                     name,
-                    self.running[name] + self.others.known(now).get(name, 0),
+                    self.running[name] + self.others.current(now).get(name, 0),
                     SLOTS,
                 )
                 for name in ENGINES
@@ -58,7 +58,7 @@
     """Plays 20 s of turns of 0.27 s: a queue at one engine helps nobody."""
     chance = random.Random(5)
     entries = [Entry(f"e{n}") for n in range(ENTRIES)]
-    board = shared_load.Board()
+    entry_loads = shared_load.EntryLoads()
     numbers = itertools.count()
     due: list[tuple] = []
     at = 0.0
@@ -73,11 +73,11 @@
         running = {name: n for name, n in entry.running.items() if n}
         if outage and 8.0 < now < 10.0:
             # The leader is lost; its successor starts with nothing.
-            board = shared_load.Board()
+            entry_loads = shared_load.EntryLoads()
         elif shared:
-            board.report(entry.name, running, now)
+            entry_loads.report(entry.name, running, now)
             if kind == "open":
-                entry.others.hear(board.others(entry.name), now)
+                entry.others.update(entry_loads.others(entry.name), now)
         if kind == "open":
             event = (now + OPENING, next(numbers), "place", entry, "")
             heapq.heappush(due, event)
@@ -123,43 +123,43 @@
 
 class BoardTest(testtools.TestCase):
     def test_others_are_all_but_the_asker(self) -> None:
-        board = shared_load.Board()
-        board.report("a", {"u": 3, "v": 1}, 0.0)
-        board.report("b", {"u": 2}, 0.0)
-        self.assertEqual({"u": 2}, board.others("a"))
-        self.assertEqual({"u": 3, "v": 1}, board.others("b"))
-        self.assertEqual({"u": 5, "v": 1}, board.others("c"))
+        entry_loads = shared_load.EntryLoads()
+        entry_loads.report("a", {"u": 3, "v": 1}, 0.0)
+        entry_loads.report("b", {"u": 2}, 0.0)
+        self.assertEqual({"u": 2}, entry_loads.others("a"))
+        self.assertEqual({"u": 3, "v": 1}, entry_loads.others("b"))
+        self.assertEqual({"u": 5, "v": 1}, entry_loads.others("c"))
 
     def test_newest_report_replaces_the_one_before(self) -> None:
-        board = shared_load.Board()
-        board.report("a", {"u": 3}, 0.0)
-        board.report("a", {"v": 1}, 0.1)
-        self.assertEqual({"v": 1}, board.others("b"))
-        board.report("a", {}, 0.2)
-        self.assertEqual({}, board.others("b"))
+        entry_loads = shared_load.EntryLoads()
+        entry_loads.report("a", {"u": 3}, 0.0)
+        entry_loads.report("a", {"v": 1}, 0.1)
+        self.assertEqual({"v": 1}, entry_loads.others("b"))
+        entry_loads.report("a", {}, 0.2)
+        self.assertEqual({}, entry_loads.others("b"))
 
     def test_entry_that_tells_nothing_any_more_ages(self) -> None:
-        board = shared_load.Board()
-        board.report("a", {"u": 3}, 0.0)
-        board.report("b", {"u": 1}, shared_load.MAX_AGE)
-        self.assertEqual({"u": 3}, board.others("b"))
-        board.report("b", {"u": 1}, shared_load.MAX_AGE + 0.1)
-        self.assertEqual({}, board.others("b"))
+        entry_loads = shared_load.EntryLoads()
+        entry_loads.report("a", {"u": 3}, 0.0)
+        entry_loads.report("b", {"u": 1}, shared_load.MAX_AGE)
+        self.assertEqual({"u": 3}, entry_loads.others("b"))
+        entry_loads.report("b", {"u": 1}, shared_load.MAX_AGE + 0.1)
+        self.assertEqual({}, entry_loads.others("b"))
 
     def test_answer_is_bounded_and_names_the_busiest(self) -> None:
-        board = shared_load.Board()
-        board.report("a", {f"u{n}": n + 1 for n in range(1000)}, 0.0)
-        found = board.others("b")
-        self.assertEqual(shared_load.MOST_TOLD, len(found))
+        entry_loads = shared_load.EntryLoads()
+        entry_loads.report("a", {f"u{n}": n + 1 for n in range(1000)}, 0.0)
+        found = entry_loads.others("b")
+        self.assertEqual(shared_load.MAX_UPSTREAMS, len(found))
         self.assertIn("u999", found)
 
     def test_what_was_heard_ages(self) -> None:
-        others = shared_load.Others()
-        self.assertEqual(0, others.known(0.0).get("u", 0))
-        others.hear({"u": 4}, 10.0)
+        others = shared_load.OtherEntriesLoad()
+        self.assertEqual(0, others.current(0.0).get("u", 0))
+        others.update({"u": 4}, 10.0)
         self.assertEqual(
-            4, others.known(10.0 + shared_load.MAX_AGE).get("u", 0)
+            4, others.current(10.0 + shared_load.MAX_AGE).get("u", 0)
         )
         self.assertEqual(
-            0, others.known(10.1 + shared_load.MAX_AGE).get("u", 0)
+            0, others.current(10.1 + shared_load.MAX_AGE).get("u", 0)
         )
--- a/testing/test_shift.py
+++ b/testing/test_shift.py
@@ -20,11 +20,14 @@
     def test_an_idle_upstream_keeps_its_programs(self) -> None:
         source = BUSY._replace(wait=0.2)
         self.assertEqual(
-            [], migration.Mover().plan(source, make_held(3), TARGETS, 0.0)
+            [],
+            migration.MigrationPlanner().plan(
+                source, make_held(3), TARGETS, 0.0
+            ),
         )
 
     def test_moves_are_bounded_so_that_they_are_not_the_load(self) -> None:
-        mover = migration.Mover()
+        mover = migration.MigrationPlanner()
         moves = mover.plan(BUSY, make_held(50), TARGETS, 0.0)
         self.assertThat(moves, matchers.HasLength(migration.MAX_MOVING))
         self.assertEqual([], mover.plan(BUSY, make_held(50), TARGETS, 1.0))
@@ -39,21 +42,28 @@
         """
         target = TARGETS[0]._replace(wait=8.0)
         self.assertEqual(
-            [], migration.Mover().plan(BUSY, make_held(3), [target], 0.0)
+            [],
+            migration.MigrationPlanner().plan(
+                BUSY, make_held(3), [target], 0.0
+            ),
         )
 
     def test_a_program_that_has_just_come_stays(self) -> None:
         held = make_held(3, moved_at=95.0)
-        self.assertEqual([], migration.Mover().plan(BUSY, held, TARGETS, 100.0))
+        self.assertEqual(
+            [], migration.MigrationPlanner().plan(BUSY, held, TARGETS, 100.0)
+        )
 
     def test_a_leaving_upstream_hands_over_whatever_the_load(self) -> None:
         source = migration.Source(wait=0.0, leaving=True)
         held = make_held(3, moved_at=95.0)
-        moves = migration.Mover().plan(source, held, TARGETS, 100.0)
+        moves = migration.MigrationPlanner().plan(source, held, TARGETS, 100.0)
         self.assertThat(moves, matchers.HasLength(3))
         self.assertEqual({False}, {move.export for move in moves})
 
     def test_a_target_is_not_filled_beyond_its_memory(self) -> None:
         target = TARGETS[0]._replace(free_memory=11_000)
-        moves = migration.Mover().plan(BUSY, make_held(4), [target], 0.0)
+        moves = migration.MigrationPlanner().plan(
+            BUSY, make_held(4), [target], 0.0
+        )
         self.assertThat(moves, matchers.HasLength(2))
--- a/testing/test_spread.py
+++ b/testing/test_spread.py
@@ -82,7 +82,7 @@
         self.notices = notices
         self.random = random.Random(7)
         self.names = [f"u{n}" for n in range(6)]
-        self.entries = [load_balancing.Speeds() for _ in range(8)]
+        self.entries = [load_balancing.LatencyTracker() for _ in range(8)]
         self.running = [dict.fromkeys(self.names, 0) for _ in self.entries]
         self.events: list = []
         self.numbers = itertools.count()
@@ -102,7 +102,7 @@
         entry = number % len(self.entries)
         slow = {}
         if self.notices:
-            slow = self.entries[entry].factors(self.names, now)
+            slow = self.entries[entry].slowdown_factors(self.names, now)
         offered = [
             load_balancing.Candidate(
                 n, self.running[entry][n], 48, slow.get(n, 1.0)
@@ -145,21 +145,22 @@
         self.assertTrue(seeing.late < blind.late * 0.3, seeing.late)
 
     def test_upstream_that_recovered_is_tried_again(self) -> None:
-        speeds = load_balancing.Speeds()
+        speeds = load_balancing.LatencyTracker()
         for _ in range(20):
             speeds.observe("a", 0.15, 0.0)
             speeds.observe("b", 0.03, 0.0)
-        self.assertTrue(speeds.factors(["a", "b"], 0.0)["a"] > 4.0)
+        self.assertTrue(speeds.slowdown_factors(["a", "b"], 0.0)["a"] > 4.0)
         self.assertTrue(
-            speeds.factors(["a", "b"], 5.0)["a"] < load_balancing.SLOW_LIMIT
+            speeds.slowdown_factors(["a", "b"], 5.0)["a"]
+            < load_balancing.SLOW_LIMIT
         )
 
     def test_few_observations_convict_nobody(self) -> None:
-        speeds = load_balancing.Speeds()
+        speeds = load_balancing.LatencyTracker()
         speeds.observe("a", 5.0, 0.0)
         for _ in range(20):
             speeds.observe("b", 0.03, 0.0)
-        self.assertEqual({}, speeds.factors(["a", "b"], 0.0))
+        self.assertEqual({}, speeds.slowdown_factors(["a", "b"], 0.0))
 
 
 class RoutesTest(testtools.TestCase):
--- a/testing/test_standing.py
+++ b/testing/test_standing.py
@@ -40,13 +40,17 @@
 
     def __init__(self) -> None:
         self.running = dict.fromkeys(UPSTREAMS, 0)
-        self.standings = upstream_health.Standings()
-        self.silences = upstream_health.Silences()
+        self.penalties = upstream_health.FailurePenalties()
+        self.silence_detector = upstream_health.SilenceDetector()
 
     def place(self, request: Request, now: float) -> str:
         names = [name for name in UPSTREAMS if name != request.tried]
-        usable = upstream_health.usable(
-            names, self.standings, self.silences, request.repeatable, now
+        usable = upstream_health.healthy(
+            names,
+            self.penalties,
+            self.silence_detector,
+            request.repeatable,
+            now,
         )
         found = load_balancing.choose(
             [
@@ -58,7 +62,7 @@
             request.name,
         )
         self.running[found.upstream] += 1
-        self.silences.began(found.upstream, request.name, PATIENCE, now)
+        self.silence_detector.began(found.upstream, request.name, PATIENCE, now)
         return found.upstream
 
     def ended(
@@ -70,12 +74,12 @@
         now: float,
     ) -> None:
         self.running[upstream] -= 1
-        self.silences.ended(upstream, request.name)
+        self.silence_detector.ended(upstream, request.name)
         if ok:
-            self.silences.arrived(upstream, now)
-            self.standings.answered(upstream, began, now)
+            self.silence_detector.arrived(upstream, now)
+            self.penalties.answered(upstream, began, now)
         else:
-            self.standings.failed(upstream, now)
+            self.penalties.failed(upstream, now)
 
 
 def play(share: float, how: str, seed: int = 1) -> Outcome:
@@ -153,82 +157,82 @@
 
 class StandingsTest(testtools.TestCase):
     def test_pauses_double_up_to_the_cap(self) -> None:
-        standings = upstream_health.Standings()
-        found = [standings.failed("a", 0.0).until for _ in range(6)]
+        penalties = upstream_health.FailurePenalties()
+        found = [penalties.failed("a", 0.0).until for _ in range(6)]
         self.assertEqual([0.75, 1.5, 3.0, 6.0, 6.0, 6.0], found)
 
     def test_pause_ends_by_itself(self) -> None:
-        standings = upstream_health.Standings()
-        standings.failed("a", 0.0)
-        self.assertFalse(standings.allows("a", True, 0.74))
-        self.assertTrue(standings.allows("a", True, 0.75))
+        penalties = upstream_health.FailurePenalties()
+        penalties.failed("a", 0.0)
+        self.assertFalse(penalties.allows("a", True, 0.74))
+        self.assertTrue(penalties.allows("a", True, 0.75))
 
     def test_answer_to_an_earlier_request_lifts_no_pause(self) -> None:
-        standings = upstream_health.Standings()
-        standings.failed("a", 10.0)
-        standings.answered("a", 9.0, 10.1)
-        self.assertFalse(standings.allows("a", True, 10.2))
+        penalties = upstream_health.FailurePenalties()
+        penalties.failed("a", 10.0)
+        penalties.answered("a", 9.0, 10.1)
+        self.assertFalse(penalties.allows("a", True, 10.2))
 
     def test_answer_to_a_later_request_lifts_the_pause(self) -> None:
-        standings = upstream_health.Standings()
-        standings.failed("a", 10.0)
-        standings.answered("a", 10.05, 10.1)
-        self.assertTrue(standings.allows("a", True, 10.1))
+        penalties = upstream_health.FailurePenalties()
+        penalties.failed("a", 10.0)
+        penalties.answered("a", 10.05, 10.1)
+        self.assertTrue(penalties.allows("a", True, 10.1))
 
     def test_failures_that_recur_are_not_forgotten_between(self) -> None:
-        standings = upstream_health.Standings()
+        penalties = upstream_health.FailurePenalties()
         for at in (0.0, 1.0, 2.0):
-            standings.failed("a", at)
-            standings.answered("a", at + 0.1, at + 0.2)
+            penalties.failed("a", at)
+            penalties.answered("a", at + 0.1, at + 0.2)
         self.assertThat(
-            standings.failed("a", 3.0).until - 3.0, matchers.GreaterThan(2.0)
+            penalties.failed("a", 3.0).until - 3.0, matchers.GreaterThan(2.0)
         )
 
     def test_requests_that_may_not_repeat_keep_away_for_longer(self) -> None:
-        standings = upstream_health.Standings()
-        standings.failed("a", 0.0)
-        self.assertFalse(standings.allows("a", False, 5.9))
-        self.assertTrue(standings.allows("a", False, 6.1))
+        penalties = upstream_health.FailurePenalties()
+        penalties.failed("a", 0.0)
+        self.assertFalse(penalties.allows("a", False, 5.9))
+        self.assertTrue(penalties.allows("a", False, 6.1))
 
     def test_good_answers_bring_all_requests_back(self) -> None:
-        standings = upstream_health.Standings()
-        standings.failed("a", 0.0)
+        penalties = upstream_health.FailurePenalties()
+        penalties.failed("a", 0.0)
         for at in (1.0, 1.1):
-            standings.answered("a", at, at)
-        self.assertTrue(standings.allows("a", False, 1.2))
+            penalties.answered("a", at, at)
+        self.assertTrue(penalties.allows("a", False, 1.2))
 
     def test_standing_fades_without_requests(self) -> None:
-        standings = upstream_health.Standings()
+        penalties = upstream_health.FailurePenalties()
         for _ in range(5):
-            standings.failed("a", 0.0)
+            penalties.failed("a", 0.0)
         self.assertThat(
-            standings.failed("a", 60.0).until, matchers.LessThan(60.8)
+            penalties.failed("a", 60.0).until, matchers.LessThan(60.8)
         )
 
 
 class SilencesTest(testtools.TestCase):
     def test_silence_counts_from_the_sending(self) -> None:
-        silences = upstream_health.Silences()
-        silences.began("a", "r1", 0.5, 10.0)
-        self.assertFalse(silences.silent("a", 10.5))
-        self.assertTrue(silences.silent("a", 10.6))
+        silence_detector = upstream_health.SilenceDetector()
+        silence_detector.began("a", "r1", 0.5, 10.0)
+        self.assertFalse(silence_detector.silent("a", 10.5))
+        self.assertTrue(silence_detector.silent("a", 10.6))
 
     def test_any_sign_of_life_ends_it(self) -> None:
-        silences = upstream_health.Silences()
-        silences.began("a", "r1", 0.5, 10.0)
-        silences.arrived("a", 10.6)
-        self.assertFalse(silences.silent("a", 10.7))
-        self.assertTrue(silences.silent("a", 11.2))
+        silence_detector = upstream_health.SilenceDetector()
+        silence_detector.began("a", "r1", 0.5, 10.0)
+        silence_detector.arrived("a", 10.6)
+        self.assertFalse(silence_detector.silent("a", 10.7))
+        self.assertTrue(silence_detector.silent("a", 11.2))
 
     def test_each_route_has_its_own_patience(self) -> None:
-        silences = upstream_health.Silences()
-        silences.began("a", "slow", 3.0, 10.0)
-        self.assertFalse(silences.silent("a", 12.0))
-        silences.began("a", "fast", 0.5, 12.0)
-        self.assertTrue(silences.silent("a", 12.6))
+        silence_detector = upstream_health.SilenceDetector()
+        silence_detector.began("a", "slow", 3.0, 10.0)
+        self.assertFalse(silence_detector.silent("a", 12.0))
+        silence_detector.began("a", "fast", 0.5, 12.0)
+        self.assertTrue(silence_detector.silent("a", 12.6))
 
     def test_nothing_under_way_is_no_silence(self) -> None:
-        silences = upstream_health.Silences()
-        silences.began("a", "r1", 0.5, 10.0)
-        silences.ended("a", "r1")
-        self.assertFalse(silences.silent("a", 20.0))
+        silence_detector = upstream_health.SilenceDetector()
+        silence_detector.began("a", "r1", 0.5, 10.0)
+        silence_detector.ended("a", "r1")
+        self.assertFalse(silence_detector.silent("a", 20.0))
--- a/testing/test_workingset.py
+++ b/testing/test_workingset.py
@@ -46,7 +46,7 @@
         gate = three_programs()
         self.assertIsInstance(gate.offer(first_call(3), 1.0), queue.Queued)
         self.assertIs(None, gate.next(1.0))
-        gate.left("p0")
+        gate.program_left("p0")
         self.assertIsNot(None, gate.next(1.0))
 
     def test_a_hung_program_loses_its_place(self) -> None:
