--- a/src/mintcleat/decisions/admission.py
+++ b/src/mintcleat/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Whether a call may wait here at all, and whose turn it is among customers.
+"""Admission control, and fair queueing among customers.
 
-Made for customers who send large batches without warning, and for an offered
-load above capacity. Both would otherwise fill the queue with work that ends
-after its deadline, and put every other customer behind it.
+Handles customers that send large batches without warning, and an offered load
+above capacity. Either would otherwise fill the queue with calls that miss
+their deadlines, ahead of the calls of every other customer.
 """
 
 from typing import NamedTuple
@@ -11,38 +11,38 @@
 
 from mintcleat.decisions import calls
 
-# A program that has not started is refused at this share of the wait that a
-# started one may still queue for. Work already done for a program is lost if
-# its next call is refused, so an overload is shed at the first calls.
+# Fraction of the maximum wait at which a program's first call is refused.
+# Refusing a later call wastes the work done for the program so far, so an
+# overload is shed at first calls.
 NEW_PROGRAM_SHARE = 1 / 3
-# Predictions err; a call is admitted only when it would still meet its
-# deadline with wait and service this much longer than predicted.
+# Safety factor on predicted times: a call is admitted only if it meets its
+# deadline even when wait and service take this many times the prediction.
 MARGIN = 1.5
-# Retries are spread over [1 - SPREAD, 1 + SPREAD] of the advised time, so
-# that callers refused in the same burst don't come back as one.
+# Jitter: `retry_after` is multiplied by a factor in [1 - SPREAD, 1 + SPREAD),
+# so that callers refused in the same burst don't retry together.
 SPREAD = 0.5
-MIN_RETRY_AFTER = 1.0
+MIN_RETRY_AFTER = 1.0  # In seconds, before jitter.
 
 
 class Refuse(NamedTuple):
-    """The call will not run here.
+    """The call is refused.
 
     Attributes:
         kind: Kind of the typed error in `domain.errors`.
-        retry_after: Seconds after which a retry makes sense.
+        retry_after: Seconds after which the caller should retry.
     """
 
     kind: str
     retry_after: float = 0.0
 
 
-class Facts(NamedTuple):
-    """What a verdict rests on; times in seconds.
+class Inputs(NamedTuple):
+    """Inputs of an admission decision; times in seconds.
 
     Attributes:
         wait: Predicted wait in the queue.
         service: Predicted service time.
-        max_wait: Wait beyond which nothing is queued.
+        max_wait: Predicted wait above which calls are refused.
         over_share: Whether the customer uses more than its share.
     """
 
@@ -52,100 +52,101 @@
     over_share: bool
 
 
-def verdict(call: calls.Call, facts: Facts, now: float) -> Refuse | None:
-    """Returns the refusal of a call, or None when it may wait.
+def decide(call: calls.Call, inputs: Inputs, now: float) -> Refuse | None:
+    """Returns the refusal of a call, or None to admit it.
 
-    The queue is bounded by time, not by count: a hundred short calls are a
-    shorter queue than ten long ones, and it is the wait that callers feel.
-    A refusal is final at once, so that the caller can go elsewhere.
+    The queue is bounded by wait rather than by length, since a hundred short
+    calls can take less time than ten long ones. A call is refused before it
+    waits, so that the caller can try another upstream.
     """
-    needed = MARGIN * (facts.wait + facts.service)
+    needed = MARGIN * (inputs.wait + inputs.service)
     if now + needed > call.deadline_at:
-        return Refuse("deadline_unmet", retry_after(call, facts.wait))
-    bound = facts.max_wait
+        return Refuse("deadline_unmet", retry_after(call, inputs.wait))
+    bound = inputs.max_wait
     if call.attained == 0:
         bound *= NEW_PROGRAM_SHARE
-    if facts.wait <= bound:
+    if inputs.wait <= bound:
         return None
-    kind = "share_exceeded" if facts.over_share else "overloaded"
-    return Refuse(kind, retry_after(call, facts.wait))
+    kind = "share_exceeded" if inputs.over_share else "overloaded"
+    return Refuse(kind, retry_after(call, inputs.wait))
 
 
 def retry_after(call: calls.Call, wait: float) -> float:
-    """Returns seconds until a retry makes sense, spread by call."""
+    """Returns the seconds until a retry, with jitter by call id."""
     spread = 1 - SPREAD + 2 * SPREAD * calls.hash_fraction(call.call_id)
     return max(MIN_RETRY_AFTER, wait) * spread
 
 
-# Flows at rest that are kept without looking at them.
-_REMEMBERED = 64
+# `drop_idle` does nothing while there are no more idle flows than this.
+_MAX_IDLE_FLOWS = 64
 
 
 class FairClock:
-    """Start-time fair queueing among flows (customers or classes).
+    """Start-time fair queueing among flows (customers or priority classes).
 
-    Each backlogged flow gets service in proportion to its weight (published
-    as start-time fair queueing, a form of weighted fair queueing). What idle
-    flows leave is borrowed by the others; a flow that comes back starts at
-    the clock's present, so it neither pays for borrowing nor saves up.
+    Each backlogged flow gets service in proportion to its weight; the share
+    of idle flows goes to the others. A flow that becomes backlogged again
+    starts at the current virtual time: it isn't charged for idle shares that
+    it used, and gathers no credit while idle.
 
     Attributes:
-        virtual: Start tag of the flow served last.
-        starts: Start tag of each flow's next call.
+        virtual_time: Start tag of the flow served last.
+        start_tags: Start tag of each flow's next call.
         weights: Weight of each backlogged flow.
         backlog: Pairs of start tag and backlogged flow, in order.
+        active_weight: Sum of `weights`.
     """
 
     def __init__(self) -> None:
-        self.virtual = 0.0
-        self.starts: dict[str, float] = {}
+        self.virtual_time = 0.0
+        self.start_tags: dict[str, float] = {}
         self.weights: dict[str, float] = {}
         self.backlog: sortedcontainers.SortedList = (
             sortedcontainers.SortedList()
         )
         self.active_weight = 0.0
 
-    def wake(self, flow: str, weight: float) -> None:
+    def activate(self, flow: str, weight: float) -> None:
         """Marks a flow as backlogged."""
-        start = max(self.virtual, self.starts.get(flow, 0.0))
-        self.starts[flow] = start
+        start = max(self.virtual_time, self.start_tags.get(flow, 0.0))
+        self.start_tags[flow] = start
         self.weights[flow] = weight
         self.active_weight += weight
         self.backlog.add((start, flow))
 
-    def rest(self, flow: str) -> None:
-        """Marks a flow as having nothing to send."""
-        self.backlog.remove((self.starts[flow], flow))
+    def deactivate(self, flow: str) -> None:
+        """Marks a flow as idle."""
+        self.backlog.remove((self.start_tags[flow], flow))
         self.active_weight -= self.weights.pop(flow)
         if not self.backlog:
             self.active_weight = 0.0
 
     def serve(self, flow: str, weight: float, service: float) -> None:
-        """Counts service that a flow starts to receive."""
-        start = max(self.virtual, self.starts.get(flow, 0.0))
-        self.virtual = start
+        """Charges a flow for a call that starts, by its expected service."""
+        start = max(self.virtual_time, self.start_tags.get(flow, 0.0))
+        self.virtual_time = start
         self._move(flow, start + service / weight)
 
     def correct(self, flow: str, weight: float, difference: float) -> None:
-        """Settles how much longer the service was than expected."""
-        start = self.starts.get(flow)
+        """Charges a flow for service beyond (or below) the expectation."""
+        start = self.start_tags.get(flow)
         if start is not None:
             self._move(flow, start + difference / weight)
 
-    def forget_idle(self) -> None:
-        """Forgets flows at rest whose tag the clock has passed.
+    def drop_idle(self) -> None:
+        """Drops idle flows whose start tag lies in the past.
 
-        Thousands of customers come and go; the few that matter are those with
-        calls waiting or ahead of the clock.
+        It bounds the memory that thousands of occasional customers take. Only
+        flows that are backlogged or ahead of the virtual time carry state.
         """
-        if len(self.starts) <= _REMEMBERED + len(self.weights):
+        if len(self.start_tags) <= _MAX_IDLE_FLOWS + len(self.weights):
             return
-        for flow, start in list(self.starts.items()):
-            if start <= self.virtual and flow not in self.weights:
-                del self.starts[flow]
+        for flow, start in list(self.start_tags.items()):
+            if start <= self.virtual_time and flow not in self.weights:
+                del self.start_tags[flow]
 
     def _move(self, flow: str, start: float) -> None:
         if flow in self.weights:
-            self.backlog.remove((self.starts[flow], flow))
+            self.backlog.remove((self.start_tags[flow], flow))
             self.backlog.add((start, flow))
-        self.starts[flow] = start
+        self.start_tags[flow] = start
--- a/src/mintcleat/decisions/class_queue.py
+++ b/src/mintcleat/decisions/class_queue.py
@@ -1,4 +1,4 @@
-"""Waiting calls of one class: customers by fair share, calls by order."""
+"""The queue of one priority class: fair queueing among its customers."""
 
 from typing import NamedTuple
 
@@ -7,27 +7,31 @@
 from mintcleat.decisions import admission
 from mintcleat.decisions import calls
 
-# Sorts after every call id, so that calls with equal keys count as ahead.
+# Sorts after every call id, so that calls with an equal key count as earlier.
 _LAST = chr(0x10FFFF)
 
 
-# What a call needs of the engine's memory. A resident call's history is
-# cached here; a returning one's is not, and neither is there one for a
-# newcomer, the first call of its program.
+# Memory needs of a call. The history of a `RESIDENT` call is cached here, that
+# of a `RETURNING` call was evicted or is elsewhere, and `NEW_PROGRAM` is the
+# first call of a program, which has no history.
 RESIDENT = 0
 RETURNING = 1
-NEWCOMER = 2
+NEW_PROGRAM = 2
 
 
-class Entry(NamedTuple):
-    """A held call.
+class QueueItem(NamedTuple):
+    """A call with the values that it is scheduled by; times in seconds.
 
     Attributes:
-        arrived: When it was offered.
-        need: `RESIDENT`, `RETURNING` or `NEWCOMER`.
+        key: Sort key within the customer's calls; see `order.key`.
+        call: The call.
+        flow: Customer, or empty when customers share one queue.
+        klass: Priority class, `calls.INTERACTIVE` or `calls.BATCH`.
+        arrived: When the call was offered.
+        need: `RESIDENT`, `RETURNING` or `NEW_PROGRAM`.
         service: Expected service time.
-        latest: Last moment at which a start still meets the deadline.
-        footprint: Tokens that its program will hold over its life, on average.
+        latest: Latest start that still meets the deadline.
+        footprint: Mean tokens of context over the life of the program.
     """
 
     key: float
@@ -42,87 +46,97 @@
 
 
 class Flow:
-    """Waiting calls of one customer, in a list for each kind of need."""
+    """Waiting calls of one customer.
+
+    Attributes:
+        by_need: A sorted list of items for each memory need.
+        work: Expected service of the calls, in seconds.
+    """
 
     def __init__(self) -> None:
-        self.parts = [
+        self.by_need = [
             sortedcontainers.SortedKeyList(key=_place)
-            for _ in (RESIDENT, RETURNING, NEWCOMER)
+            for _ in (RESIDENT, RETURNING, NEW_PROGRAM)
         ]
         self.work = 0.0
 
     def __len__(self) -> int:
-        return sum(map(len, self.parts))
+        return sum(map(len, self.by_need))
 
-    def heads(self) -> list[Entry]:
-        """Returns the first of each list, the one to start first ahead."""
-        return sorted((part[0] for part in self.parts if part), key=_place)
+    def heads(self) -> list[QueueItem]:
+        """Returns the first item of each list, in scheduling order."""
+        return sorted((part[0] for part in self.by_need if part), key=_place)
 
-    def before(self, key: float) -> int:
-        """Returns how many calls start before one with this key."""
+    def count_before(self, key: float) -> int:
+        """Returns how many calls are scheduled before one with this key."""
         place = (key, _LAST)
-        return sum(part.bisect_key_right(place) for part in self.parts)
+        return sum(part.bisect_key_right(place) for part in self.by_need)
+
 
+class ClassQueue:
+    """Queue of one priority class.
 
-class Line:
-    """Queue of one class: customers by fair share, their calls by order.
+    Customers are served by fair queueing, the calls of one customer by key.
 
     Attributes:
-        total: Expected service of all waiting calls, in seconds.
-        needs: Waiting calls of each kind of need.
-        prompts: Prompt tokens that the waiting calls must compute.
+        clock: Fair queueing among customers.
+        flows: Waiting calls by customer.
+        total_service: Expected service of all waiting calls, in seconds.
+        count: Number of waiting calls.
+        need_counts: Waiting calls by memory need.
+        prompt_tokens: Prompt tokens that the waiting calls must compute.
     """
 
     def __init__(self) -> None:
         self.clock = admission.FairClock()
         self.flows: dict[str, Flow] = {}
-        self.total = 0.0
+        self.total_service = 0.0
         self.count = 0
-        self.needs = [0, 0, 0]
-        self.prompts = 0
+        self.need_counts = [0, 0, 0]
+        self.prompt_tokens = 0
 
-    def add(self, entry: Entry, weight: float) -> None:
+    def add(self, item: QueueItem, weight: float) -> None:
         """Adds a waiting call."""
-        flow = self.flows.get(entry.flow)
+        flow = self.flows.get(item.flow)
         if flow is None:
-            flow = self.flows[entry.flow] = Flow()
-            self.clock.wake(entry.flow, weight)
-        flow.parts[entry.need].add(entry)
-        flow.work += entry.service
-        self.total += entry.service
+            flow = self.flows[item.flow] = Flow()
+            self.clock.activate(item.flow, weight)
+        flow.by_need[item.need].add(item)
+        flow.work += item.service
+        self.total_service += item.service
         self.count += 1
-        self.needs[entry.need] += 1
-        self.prompts += entry.call.new_tokens
+        self.need_counts[item.need] += 1
+        self.prompt_tokens += item.call.new_tokens
 
-    def remove(self, entry: Entry) -> None:
+    def remove(self, item: QueueItem) -> None:
         """Removes a waiting call."""
-        flow = self.flows[entry.flow]
-        flow.parts[entry.need].remove(entry)
-        flow.work -= entry.service
-        self.total -= entry.service
+        flow = self.flows[item.flow]
+        flow.by_need[item.need].remove(item)
+        flow.work -= item.service
+        self.total_service -= item.service
         self.count -= 1
-        self.needs[entry.need] -= 1
-        self.prompts -= entry.call.new_tokens
+        self.need_counts[item.need] -= 1
+        self.prompt_tokens -= item.call.new_tokens
         if not flow:
-            del self.flows[entry.flow]
-            self.clock.rest(entry.flow)
+            del self.flows[item.flow]
+            self.clock.deactivate(item.flow)
         if not self.count:
-            self.total = 0.0
+            self.total_service = 0.0
 
-    def ahead(self, flow: str, key: float) -> float:
-        """Returns the flow's own work that would start before `key`."""
+    def service_before(self, flow: str, key: float) -> float:
+        """Returns the flow's service scheduled before `key`, in seconds."""
         known = self.flows.get(flow)
         if known is None:
             return 0.0
-        return known.work * known.before(key) / len(known)
+        return known.work * known.count_before(key) / len(known)
 
     def share(self, flow: str, weight: float) -> float:
-        """Returns the part of this line's service that the flow would get."""
+        """Returns the fraction of this queue's service the flow would get."""
         active = self.clock.active_weight
         if flow not in self.flows:
             active += weight
         return weight / active
 
 
-def _place(entry: Entry) -> tuple[float, str]:
-    return entry.key, entry.call.call_id
+def _place(item: QueueItem) -> tuple[float, str]:
+    return item.key, item.call.call_id
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -1,6 +1,7 @@
-"""The sidecar's queue and admission in one object, driven with explicit time.
+"""Admission control and scheduling of calls at one upstream.
 
-The sidecar calls `offer` for each call, `next` whenever one may start (after
+The gate reads no clock: every method takes the current time in seconds. The
+sidecar calls `offer` for each call, `next` whenever one may start (after
 `offer`, `finished`, `cancel` and `configure`), `finished` when a started call
 ends, and `expire` a few times a second.
 """
@@ -18,35 +19,51 @@
 from mintcleat.decisions import slots
 from mintcleat.decisions import speed
 
-# Batch gets a tenth while interactive calls queue, so that it never starves.
+# Share of each priority class while both queue. Batch calls keep a tenth, so
+# that they never starve.
 CLASS_WEIGHTS = {calls.INTERACTIVE: 0.9, calls.BATCH: 0.1}
-# Customers looked at for one that may start. The fair clock puts those under
-# their share first, so a longer search finds nothing more often.
+# Customers examined for a call that may start. Fair queueing orders those
+# below their share first, so a longer search rarely finds one.
 _LOOKAHEAD = 8
-# A batch call may wait longer: no person is waiting for it.
+# Factor on the maximum wait of a batch call, as no user waits for its answer.
 BATCH_WAIT_FACTOR = 4.0
 
 
-# Stands for a call of which nothing is known.
-_USUAL = calls.Call("", "", "", "", "")
-_STARTED = _USUAL._replace(attained=1, prompt_tokens=1)
+# Placeholders for predicting the wait of an average call: the first call of a
+# program, and a later one.
+_NEW_PROGRAM_CALL = calls.Call("", "", "", "", "")
+_RUNNING_PROGRAM_CALL = _NEW_PROGRAM_CALL._replace(attained=1, prompt_tokens=1)
 
 
 Options = slots.Options
 
 
 class Admit(NamedTuple):
-    """The call starts now; it counts as running."""
+    """The call starts now and counts as running."""
 
 
 class Queued(NamedTuple):
-    """The call waits; `next` will return it, or `expire` will."""
+    """The call waits until `next` or `expire` returns it.
+
+    Attributes:
+        wait: Predicted wait in seconds.
+    """
 
     wait: float
 
 
 class Load(NamedTuple):
-    """Load of the gate, as `messages.LoadReport` carries it."""
+    """Load of the gate, as sent in `call_messages.LoadReport`.
+
+    Attributes:
+        running: Calls that have started and not ended.
+        queued: Calls that wait.
+        limit: Concurrency limit in force.
+        wait: Predicted wait of a later call of a program, in seconds.
+        token_time: Measured seconds per token; 0 if not measured.
+        prefill_rate: Measured prompt tokens per second; 0 if not measured.
+        new_wait: Predicted wait of a program's first call, in seconds.
+    """
 
     running: int
     queued: int
@@ -58,22 +75,31 @@
 
 
 class Gate:
-    """Admission, queue and concurrency limit of one upstream."""
+    """Admission, queues and concurrency limit of one upstream.
+
+    Attributes:
+        queues: Waiting calls by priority class.
+        waiting: Waiting calls by call id, suspects included.
+        latest: Pairs of latest start time and call id of all waiting calls.
+        suspects: Waiting suspect calls, oldest first; they run one at a time.
+    """
 
     def __init__(self, options: Options, capacity: int) -> None:
         self.options = options
         self.limit = concurrency.Limit(capacity)
         self.speed = speed.Speed()
         self.estimator = remaining_work.Estimator()
-        self.lines = {klass: class_queue.Line() for klass in CLASS_WEIGHTS}
+        self.queues = {
+            klass: class_queue.ClassQueue() for klass in CLASS_WEIGHTS
+        }
         self.classes = admission.FairClock()
-        self.waiting: dict[str, class_queue.Entry] = {}
+        self.waiting: dict[str, class_queue.QueueItem] = {}
         self.latest: sortedcontainers.SortedList = sortedcontainers.SortedList()
         self.slots = slots.Slots(options, self.speed)
-        self.suspects: list[class_queue.Entry] = []
+        self.suspects: list[class_queue.QueueItem] = []
 
     def configure(self, options: Options) -> None:
-        """Puts other policies in force; what waits keeps its place."""
+        """Replaces the options; waiting calls keep their position."""
         self.options = options
         self.slots.configure(options)
 
@@ -86,105 +112,109 @@
             ValueError: The gate already holds a call with this id.
         """
         if call.call_id in self.waiting or call.call_id in self.slots.running:
-            raise ValueError(f"The gate holds the call {call.call_id!r}.")
+            raise ValueError(
+                f"Call id {call.call_id!r} is already waiting or running here;"
+                " offer each call once."
+            )
         service = self.speed.service
-        self.slots.working_set.back(call.program, service, now)
-        entry = self._entry(call, now)
-        wait = self._wait(entry, now)
+        self.slots.working_set.resumed(call.program, service, now)
+        item = self._queue_item(call, now)
+        wait = self._wait(item, now)
         if self.options.bounded:
-            refusal = self._verdict(entry, wait, now)
+            refusal = self._refusal(item, wait, now)
             if refusal is not None:
                 return refusal
         idle = not self.waiting
-        if idle and self._ready(entry, now):
-            self._start(entry, now)
+        if idle and self._ready(item, now):
+            self._start(item, now)
             return Admit()
-        self._enqueue(entry)
+        self._enqueue(item)
         return Queued(wait)
 
     def next(self, now: float) -> calls.Call | None:
-        """Returns a call to start now, or None; call it until None."""
-        entry = self._pick(now)
-        if entry is None:
+        """Returns a call to start now; call it until it returns None."""
+        item = self._pick(now)
+        if item is None:
             return None
-        self._dequeue(entry)
-        self._start(entry, now)
-        return entry.call
+        self._dequeue(item)
+        self._start(item, now)
+        return item.call
 
     def finished(
         self, call_id: str, now: float, outcome: calls.Outcome
     ) -> None:
-        """Ends a started call; unknown ids are ignored, so it may repeat."""
+        """Ends a started call. Unknown ids are ignored, so it is idempotent."""
         running = self.slots.running.get(call_id)
         if running is None:
             return
         self.speed.observe(outcome, running.backlog)
         if self.options.adaptive:
             self.limit.observe(outcome, len(self.slots.running), now)
-        entry = running.entry
+        item = running.item
         if outcome.ok:
-            self.estimator.answered(entry.call.agent, outcome.generated)
+            self.estimator.answered(item.call.agent, outcome.generated)
         self.slots.release(call_id)
-        self.slots.working_set.paused(entry.call.program, now)
-        line = self.lines[entry.klass]
-        weight = self.slots.weight(entry.flow)
-        line.clock.correct(entry.flow, weight, outcome.seconds - entry.service)
+        self.slots.working_set.paused(item.call.program, now)
+        queue = self.queues[item.klass]
+        weight = self.slots.weight(item.flow)
+        queue.clock.correct(item.flow, weight, outcome.seconds - item.service)
 
     def first_token(self, call_id: str) -> None:
-        """Notes that a started call's prompt is computed."""
+        """Records that a started call's prompt is computed."""
         self.slots.prefilled(call_id)
 
     def progressed(self, token_time: float) -> None:
-        """Learns the pace of a stream under way; see `Speed.observe_gap`."""
+        """Updates the seconds per token from a stream that is running."""
         self.speed.observe_gap(token_time)
 
     def protect(self, tokens: int) -> None:
-        """Takes the size of the caches that are expected back soon."""
+        """Sets the tokens of paused caches that will be used again soon."""
         self.slots.protected = tokens
 
     def program_left(self, program: str) -> None:
-        """Notes that a program ended, moved elsewhere or hung."""
+        """Removes a program that ended, moved elsewhere or hung."""
         self.slots.working_set.leave(program)
 
     def cancel(self, call_id: str) -> bool:
-        """Drops a call, waiting or running; tells whether it was held.
+        """Drops a waiting or running call; returns whether it was known.
 
-        A running call's slot is free at once; cancel it at the upstream too.
+        The slot of a running call is freed at once. The caller must cancel it
+        at the upstream as well.
         """
-        entry = self.waiting.get(call_id)
-        if entry is not None:
-            self._dequeue(entry)
+        item = self.waiting.get(call_id)
+        if item is not None:
+            self._dequeue(item)
             return True
         return self.slots.release(call_id)
 
     def expire(self, now: float) -> list[calls.Call]:
-        """Removes the waiting calls that can no longer meet their deadline.
+        """Removes and returns waiting calls that can't meet their deadline.
 
-        They are refused here and now (`deadline_unmet`), before they spend
-        the upstream's time on an answer that comes too late.
+        The sidecar refuses them with `deadline_unmet`, before the upstream
+        spends time on an answer that would come too late.
         """
-        self.slots.working_set.absent(now)
-        for line in self.lines.values():
-            line.clock.forget_idle()
+        self.slots.working_set.expire_absent(now)
+        for queue in self.queues.values():
+            queue.clock.drop_idle()
         late = []
         while self.latest and self.latest[0][0] < now:
-            entry = self.waiting[self.latest[0][1]]
-            self._dequeue(entry)
-            late.append(entry.call)
+            item = self.waiting[self.latest[0][1]]
+            self._dequeue(item)
+            late.append(item.call)
         return late
 
     def drain(self) -> list[calls.Call]:
-        """Removes every waiting call, for an upstream that leaves."""
+        """Removes and returns every waiting call, before a planned stop."""
         entries = list(self.waiting.values())
-        for entry in entries:
-            self._dequeue(entry)
-        return [entry.call for entry in entries]
+        for item in entries:
+            self._dequeue(item)
+        return [item.call for item in entries]
 
     def predicted_wait(self, now: float) -> float:
-        """Returns the wait of a program's first call, in seconds."""
-        entry = self._entry(_USUAL, now)
-        context = self.slots.working_set.usual_context
-        return self._wait(entry._replace(footprint=context), now)
+        """Returns the predicted wait of a program's first call in seconds."""
+        item = self._queue_item(_NEW_PROGRAM_CALL, now)
+        context = self.slots.working_set.mean_context
+        return self._wait(item._replace(footprint=context), now)
 
     def load(self, now: float) -> Load:
         """Returns the load to report."""
@@ -192,13 +222,15 @@
             len(self.slots.running),
             len(self.waiting),
             self.limit.current(),
-            self._wait(self._entry(_STARTED, now), now),
+            self._wait(self._queue_item(_RUNNING_PROGRAM_CALL, now), now),
             self.speed.measured_token_time(),
             self.speed.measured_prefill_rate(),
             self.predicted_wait(now),
         )
 
-    def _entry(self, call: calls.Call, now: float) -> class_queue.Entry:
+    def _queue_item(
+        self, call: calls.Call, now: float
+    ) -> class_queue.QueueItem:
         options = self.options
         remaining = self.estimator.remaining(call.agent, call.attained)
         typical = self.estimator.typical
@@ -211,146 +243,150 @@
         footprint = slots.context(call)
         if remaining.known:
             footprint += remaining.tokens / 2
-        return class_queue.Entry(
+        return class_queue.QueueItem(
             place,
             call,
             flow,
             klass,
             now,
-            _need(call),
+            _memory_need(call),
             service,
             call.deadline_at - service,
             footprint,
         )
 
-    def _verdict(
-        self, entry: class_queue.Entry, wait: float, now: float
+    def _refusal(
+        self, item: class_queue.QueueItem, wait: float, now: float
     ) -> admission.Refuse | None:
         max_wait = self.options.max_wait
-        if entry.klass == calls.BATCH:
+        if item.klass == calls.BATCH:
             max_wait *= BATCH_WAIT_FACTOR
-        facts = admission.Facts(
+        inputs = admission.Inputs(
             wait,
-            entry.service,
+            item.service,
             max_wait,
-            self.slots.over_share(entry.flow, self.limit.current()),
+            self.slots.over_share(item.flow, self.limit.current()),
         )
-        return admission.verdict(entry.call, facts, now)
+        return admission.decide(item.call, inputs, now)
 
-    def _wait(self, entry: class_queue.Entry, now: float) -> float:
-        """Predicts the wait: work that starts before it over the slots.
-
-        Work of other customers counts only as far as their shares let them
-        go first, so one customer's burst refuses that customer's calls only.
-        """
-        line = self.lines[entry.klass]
+    def _wait(self, item: class_queue.QueueItem, now: float) -> float:
+        """Returns the longest of the waits for memory, a slot and prefill."""
+        queue = self.queues[item.klass]
         memory_wait = 0.0
-        if entry.need == class_queue.NEWCOMER and not self.slots.has_room(
-            entry
+        if (
+            item.need == class_queue.NEW_PROGRAM
+            and not self.slots.fits_working_set(item)
         ):
-            ahead = line.needs[class_queue.NEWCOMER]
+            ahead = queue.need_counts[class_queue.NEW_PROGRAM]
             memory_wait = self.slots.working_set.wait(ahead, now)
         return max(
-            memory_wait, self._slot_wait(entry, line), self._prefill_wait(line)
+            memory_wait, self._slot_wait(item, queue), self._prefill_wait(queue)
         )
 
-    def _prefill_wait(self, line: class_queue.Line) -> float:
-        """Predicts the wait for the prompts that are ahead."""
-        if not self.options.prefill or not line.count:
+    def _prefill_wait(self, queue: class_queue.ClassQueue) -> float:
+        """Returns the seconds to compute the prompts ahead of a new call."""
+        if not self.options.prefill or not queue.count:
             return 0.0
-        tokens = self.slots.computing_tokens + line.prompts
+        tokens = self.slots.prefill_tokens + queue.prompt_tokens
         return tokens / max(self.speed.prefill_rate, 1.0)
 
     def _slot_wait(
-        self, entry: class_queue.Entry, line: class_queue.Line
+        self, item: class_queue.QueueItem, queue: class_queue.ClassQueue
     ) -> float:
+        """Returns the service time scheduled earlier, divided by the slots.
+
+        Calls of other customers count only as far as fair queueing serves
+        them first, so a burst leads to refusals for its own customer only.
+        """
         limit = self.limit.current()
         if len(self.slots.running) < limit:
             return 0.0
-        weight = self.slots.weight(entry.flow)
-        own = line.ahead(entry.flow, entry.key) + self._mean_service(entry)
-        shared = min(line.total + own, own / line.share(entry.flow, weight))
-        other = self._other(entry.klass)
+        weight = self.slots.weight(item.flow)
+        own = queue.service_before(item.flow, item.key) + self._mean_service(
+            item
+        )
+        shared = min(
+            queue.total_service + own, own / queue.share(item.flow, weight)
+        )
+        other = self._other(item.klass)
         if other.count:
-            part = CLASS_WEIGHTS[entry.klass]
-            shared = min(shared + other.total, shared / part)
+            part = CLASS_WEIGHTS[item.klass]
+            shared = min(shared + other.total_service, shared / part)
         return shared / limit
 
-    def _other(self, klass: str) -> class_queue.Line:
+    def _other(self, klass: str) -> class_queue.ClassQueue:
         if klass == calls.BATCH:
-            return self.lines[calls.INTERACTIVE]
-        return self.lines[calls.BATCH]
+            return self.queues[calls.INTERACTIVE]
+        return self.queues[calls.BATCH]
 
-    def _mean_service(self, entry: class_queue.Entry) -> float:
-        """Returns what the calls that run now will still take, about."""
-        return self.speed.service if self.speed.samples else entry.service
+    def _mean_service(self, item: class_queue.QueueItem) -> float:
+        """Estimates the time until a running call frees its slot."""
+        return self.speed.service if self.speed.samples else item.service
 
-    def _ready(self, entry: class_queue.Entry, now: float) -> bool:
+    def _ready(self, item: class_queue.QueueItem, now: float) -> bool:
         limit = self.limit.current()
-        return self.slots.allows(entry, limit) and self.slots.fits(entry, now)
+        return self.slots.allows(item, limit) and self.slots.fits(item, now)
 
-    def _pick(self, now: float) -> class_queue.Entry | None:
+    def _pick(self, now: float) -> class_queue.QueueItem | None:
         if len(self.slots.running) >= self.limit.current():
             return None
         if self.suspects and self._ready(self.suspects[0], now):
             return self.suspects[0]
         for _, klass in list(self.classes.backlog):
-            line = self.lines[klass]
-            for _, flow in line.clock.backlog[:_LOOKAHEAD]:
-                for entry in line.flows[flow].heads():
-                    if self._ready(entry, now):
-                        return entry
-                    if self._holds_back(entry, now):
+            queue = self.queues[klass]
+            for _, flow in queue.clock.backlog[:_LOOKAHEAD]:
+                for item in queue.flows[flow].heads():
+                    if self._ready(item, now):
+                        return item
+                    if self._blocks_others(item, now):
                         return None
         return None
 
-    def _holds_back(self, entry: class_queue.Entry, now: float) -> bool:
-        """Tells whether nothing else may start until this call does.
+    def _blocks_others(self, item: class_queue.QueueItem, now: float) -> bool:
+        """Returns whether no other call may start before this one.
 
-        A large context is passed over while smaller ones fit. They would go
-        on coming, and it would wait without bound.
+        Without it, a call with a large context starves: smaller ones that fit
+        into the free memory keep overtaking it.
         """
-        if entry.need == class_queue.NEWCOMER:
+        if item.need == class_queue.NEW_PROGRAM:
             return False
-        if now - entry.arrived < slots.HOLD_BACK_SECONDS:
+        if now - item.arrived < slots.STARVATION_SECONDS:
             return False
-        return self.slots.allows(entry, self.limit.current())
+        return self.slots.allows(item, self.limit.current())
 
-    def _enqueue(self, entry: class_queue.Entry) -> None:
-        self.waiting[entry.call.call_id] = entry
-        self.latest.add((entry.latest, entry.call.call_id))
-        if entry.call.suspect:
-            self.suspects.append(entry)
+    def _enqueue(self, item: class_queue.QueueItem) -> None:
+        self.waiting[item.call.call_id] = item
+        self.latest.add((item.latest, item.call.call_id))
+        if item.call.suspect:
+            self.suspects.append(item)
             return
-        line = self.lines[entry.klass]
-        if not line.count:
-            self.classes.wake(entry.klass, CLASS_WEIGHTS[entry.klass])
-        line.add(entry, self.slots.weight(entry.flow))
-
-    def _dequeue(self, entry: class_queue.Entry) -> None:
-        del self.waiting[entry.call.call_id]
-        self.latest.remove((entry.latest, entry.call.call_id))
-        if entry.call.suspect:
-            self.suspects.remove(entry)
+        queue = self.queues[item.klass]
+        if not queue.count:
+            self.classes.activate(item.klass, CLASS_WEIGHTS[item.klass])
+        queue.add(item, self.slots.weight(item.flow))
+
+    def _dequeue(self, item: class_queue.QueueItem) -> None:
+        del self.waiting[item.call.call_id]
+        self.latest.remove((item.latest, item.call.call_id))
+        if item.call.suspect:
+            self.suspects.remove(item)
             return
-        line = self.lines[entry.klass]
-        line.remove(entry)
-        if not line.count:
-            self.classes.rest(entry.klass)
-
-    def _start(self, entry: class_queue.Entry, now: float) -> None:
-        self.slots.start(entry, now)
-        line = self.lines[entry.klass]
-        weight = self.slots.weight(entry.flow)
-        line.clock.serve(entry.flow, weight, entry.service)
-        self.classes.serve(
-            entry.klass, CLASS_WEIGHTS[entry.klass], entry.service
-        )
+        queue = self.queues[item.klass]
+        queue.remove(item)
+        if not queue.count:
+            self.classes.deactivate(item.klass)
+
+    def _start(self, item: class_queue.QueueItem, now: float) -> None:
+        self.slots.start(item, now)
+        queue = self.queues[item.klass]
+        weight = self.slots.weight(item.flow)
+        queue.clock.serve(item.flow, weight, item.service)
+        self.classes.serve(item.klass, CLASS_WEIGHTS[item.klass], item.service)
 
 
-def _need(call: calls.Call) -> int:
+def _memory_need(call: calls.Call) -> int:
     if call.attained == 0:
-        return class_queue.NEWCOMER
+        return class_queue.NEW_PROGRAM
     if call.new_tokens < call.prompt_tokens:
         return class_queue.RESIDENT
     return class_queue.RETURNING
--- a/src/mintcleat/decisions/slots.py
+++ b/src/mintcleat/decisions/slots.py
@@ -1,7 +1,7 @@
-"""Which waiting call may start now: slots, customers, memory and prefill.
+"""Checks whether a waiting call may start: slots, memory and prefill.
 
-Slots are not preempted, so each rule here keeps something free for the call
-that will come next.
+A running call is never preempted, so some slots and memory are kept free for
+calls of customers below their share and for interactive calls.
 """
 
 from collections.abc import Iterable
@@ -13,39 +13,45 @@
 from mintcleat.decisions import speed
 from mintcleat.decisions import workingset
 
-# Of the slots, the part that a customer over its share may not take. Without
-# it a burst fills all of them, and the next call of another customer waits for
-# one to end.
+# Fraction of the slots that a customer above its share may not take. Without
+# it a burst fills all slots, and the next call of another customer waits until
+# one of them ends.
 HEADROOM = 1 / 8
-# Of the slots, the part that batch calls may not take, for the same reason.
-INTERACTIVE_ONLY = 1 / 4
-# Prompt computing that may be under way at once, in seconds of the engine.
-# More would only queue inside the engine, where each call already holds its
-# memory and no order is kept.
+# Fraction of the slots that batch calls may not take, for the same reason.
+INTERACTIVE_RESERVE = 1 / 4
+# Prompt tokens that may be in prefill at once, in seconds of engine time. More
+# would queue inside the engine, where each call already holds memory and the
+# scheduling order no longer applies.
 PREFILL_SECONDS = 1.0
-RESIDENT_FACTOR = 3.0
-# A returning call that waited so long may evict caches expected back soon.
-PATIENCE = 20.0
-# One that waited so long holds all others back until it fits.
-HOLD_BACK_SECONDS = 30.0
+# The same limit for calls whose history is cached is this many times as high.
+# They add few tokens, and their cache stays pinned while they wait.
+RESIDENT_PREFILL_FACTOR = 3.0
+# After this wait, a returning call may evict caches that will be used soon.
+PROTECTED_WAIT_SECONDS = 20.0
+# After this wait, a call of a started program blocks others until it starts.
+STARVATION_SECONDS = 30.0
 
 
 class Options(NamedTuple):
-    """Policies in force; replaced whole when the manifest changes.
+    """Scheduling options; replaced as a whole when the manifest changes.
 
     Attributes:
         shares: Weight by customer; others have `default_share`.
+        default_share: Weight of customers that `shares` does not list.
         max_running: Calls of a customer that may run here at once; 0 or
             absent for no limit.
         max_wait: Longest predicted wait in the queue, in seconds.
         memory: Tokens of context that the upstream can hold; 0 for no limit.
-        working_set: Whether newcomers wait for room in `memory`.
-        prefill: Seconds of prompt computing under way at once; 0 for any.
-        protect: Whether calls wait for caches that are expected back soon.
-        adaptive: Whether the concurrency limit is learned.
+        working_set: Whether first calls wait until their program fits into
+            `memory` together with the programs in progress.
+        prefill: Limit on concurrent prefill, in seconds; 0 for no limit.
+        protect: Whether calls wait rather than evict caches that will be used
+            again soon.
+        adaptive: Whether the concurrency limit adapts to latency.
         fair: Whether customers get fair shares; else one common queue.
         bounded: Whether calls are refused by predicted wait and deadline.
-        classes: Whether interactive calls go before batch calls.
+        classes: Whether interactive calls take precedence over batch calls.
+        ordering: Parts of the scheduling order within a customer.
     """
 
     shares: dict[str, float] = {}
@@ -64,19 +70,31 @@
 
 
 class Running(NamedTuple):
-    """A started call; `backlog` is the prompt tokens ahead of its own."""
+    """A started call.
 
-    entry: class_queue.Entry
+    Attributes:
+        item: The call with its scheduling values.
+        started: When it started, in seconds.
+        backlog: Prompt tokens of other calls in prefill at its start.
+    """
+
+    item: class_queue.QueueItem
     started: float
     backlog: int
 
 
 class Slots:
-    """The calls at the upstream, and what they take of it.
+    """The running calls of one upstream and the resources they hold.
 
     Attributes:
-        protected: Tokens of paused caches that are expected back soon.
-        computing: Prompt tokens of started calls before their first token.
+        running: Running calls by call id.
+        running_of: Number of running calls by customer.
+        batch: Number of running batch calls.
+        suspects: Number of running suspect calls.
+        tokens: Context tokens of all running calls.
+        protected: Tokens of paused caches that will be used again soon.
+        prefilling: Prompt tokens by call id, of calls without a first token.
+        prefill_tokens: Sum of `prefilling`.
     """
 
     def __init__(self, options: Options, pace: speed.Speed) -> None:
@@ -89,143 +107,147 @@
         self.suspects = 0
         self.tokens = 0
         self.protected = 0
-        self.computing: dict[str, int] = {}
-        self.computing_tokens = 0
+        self.prefilling: dict[str, int] = {}
+        self.prefill_tokens = 0
 
     def configure(self, options: Options) -> None:
-        """Puts other policies in force."""
+        """Replaces the options."""
         self.options = options
 
-    def start(self, entry: class_queue.Entry, now: float) -> None:
+    def start(self, item: class_queue.QueueItem, now: float) -> None:
         """Counts a call as started."""
-        call = entry.call
-        backlog = self.computing_tokens
-        self.running[call.call_id] = Running(entry, now, backlog)
-        self.running_of[entry.flow] = self.running_of.get(entry.flow, 0) + 1
-        self.batch += entry.klass == calls.BATCH
+        call = item.call
+        backlog = self.prefill_tokens
+        self.running[call.call_id] = Running(item, now, backlog)
+        self.running_of[item.flow] = self.running_of.get(item.flow, 0) + 1
+        self.batch += item.klass == calls.BATCH
         self.suspects += call.suspect
         self.tokens += context(call)
-        self.computing[call.call_id] = call.new_tokens
-        self.computing_tokens += call.new_tokens
+        self.prefilling[call.call_id] = call.new_tokens
+        self.prefill_tokens += call.new_tokens
         self.working_set.enter(
-            call.program, call.agent, entry.flow, entry.footprint
+            call.program, call.agent, item.flow, item.footprint
         )
-        if entry.need == class_queue.NEWCOMER:
-            self.working_set.let_in(entry.footprint, entry.arrived, now)
+        if item.need == class_queue.NEW_PROGRAM:
+            self.working_set.admitted(item.footprint, item.arrived, now)
 
     def prefilled(self, call_id: str) -> None:
-        """Notes that a call's prompt is computed."""
-        self.computing_tokens -= self.computing.pop(call_id, 0)
+        """Records that a call's prompt is computed."""
+        self.prefill_tokens -= self.prefilling.pop(call_id, 0)
 
     def release(self, call_id: str) -> bool:
-        """Frees the slot of a started call; tells whether there was one."""
+        """Frees the slot of a started call; returns whether it had one."""
         running = self.running.pop(call_id, None)
         if running is None:
             return False
         self.prefilled(call_id)
-        entry = running.entry
-        self.running_of[entry.flow] -= 1
-        if not self.running_of[entry.flow]:
-            del self.running_of[entry.flow]
-        self.batch -= entry.klass == calls.BATCH
-        self.suspects -= entry.call.suspect
-        self.tokens -= context(entry.call)
+        item = running.item
+        self.running_of[item.flow] -= 1
+        if not self.running_of[item.flow]:
+            del self.running_of[item.flow]
+        self.batch -= item.klass == calls.BATCH
+        self.suspects -= item.call.suspect
+        self.tokens -= context(item.call)
         return True
 
     def weight(self, flow: str) -> float:
-        """Returns the share that the manifest gives a customer."""
+        """Returns the customer's weight in the manifest."""
         weight = self.options.shares.get(flow, self.options.default_share)
         return max(weight, 1e-6)
 
     def over_share(self, flow: str, limit: int) -> bool:
-        """Tells whether the customer holds more slots than its weight earns.
+        """Returns whether the customer has used up its share of the slots.
 
-        The weights are those of customers with calls running here.
+        The share is its weight relative to all customers with running calls.
         """
         share = self._share(flow, self.running_of)
         return self.running_of.get(flow, 0) >= limit * share
 
-    def allows(self, entry: class_queue.Entry, limit: int) -> bool:
-        """Tells whether the call may take a slot."""
+    def allows(self, item: class_queue.QueueItem, limit: int) -> bool:
+        """Returns whether the call may take a slot, memory aside."""
         free = limit - len(self.running)
         if free <= 0:
             return False
-        if entry.call.suspect and self.suspects:
+        if item.call.suspect and self.suspects:
             return False
-        top = self.options.max_running.get(entry.call.customer, 0)
-        if top and self.running_of.get(entry.flow, 0) >= top:
+        top = self.options.max_running.get(item.call.customer, 0)
+        if top and self.running_of.get(item.flow, 0) >= top:
             return False
-        if entry.klass == calls.BATCH:
-            batch_slots = max(1, limit - int(limit * INTERACTIVE_ONLY))
+        if item.klass == calls.BATCH:
+            batch_slots = max(1, limit - int(limit * INTERACTIVE_RESERVE))
             if self.batch >= batch_slots:
                 return False
         if not self.options.fair or free > int(limit * HEADROOM):
             return True
-        return not self.over_share(entry.flow, limit)
+        return not self.over_share(item.flow, limit)
 
-    def fits(self, entry: class_queue.Entry, now: float) -> bool:
-        """Tells whether memory and prefill have room for the call.
+    def fits(self, item: class_queue.QueueItem, now: float) -> bool:
+        """Returns whether the call fits into memory and the prefill limit.
 
-        An idle upstream takes any call: whatever it evicts belongs to a
-        program that is paused, and idling would serve nobody.
+        An idle upstream accepts any call: it can evict only caches of paused
+        programs, which is better than staying idle.
         """
         if not self.running:
             return True
-        if entry.need == class_queue.NEWCOMER and not self.has_room(entry):
+        if item.need == class_queue.NEW_PROGRAM and not self.fits_working_set(
+            item
+        ):
             return False
-        return self._memory_fits(entry, now) and self._prefill_fits(entry)
+        return self._memory_fits(item, now) and self._prefill_fits(item)
 
-    def has_room(self, entry: class_queue.Entry) -> bool:
-        """Tells whether a newcomer fits among the programs under way."""
+    def fits_working_set(self, item: class_queue.QueueItem) -> bool:
+        """Returns whether a new program fits beside those in progress."""
         if not self.options.memory or not self.options.working_set:
             return True
         if not self.running:
             return True
         members = self.working_set
-        memory = self.options.memory * workingset.PART
-        footprint = members.footprint(entry.call.agent, entry.footprint)
+        memory = self.options.memory * workingset.MEMORY_FACTOR
+        footprint = members.footprint(item.call.agent, item.footprint)
         if self.options.fair:
-            used = members.used.get(entry.flow, 0.0) + footprint
-            if used > memory * self._share(entry.flow, members.used):
-                memory *= 1 - workingset.HEADROOM
+            used = members.used.get(item.flow, 0.0) + footprint
+            if used > memory * self._share(item.flow, members.used):
+                memory *= 1 - workingset.OVER_SHARE_HEADROOM
         return members.fits(footprint, memory)
 
     def _share(self, flow: str, active: Iterable[str]) -> float:
-        """Returns a customer's part of what the active ones share."""
+        """Returns a customer's fraction of the weight of active customers."""
         weight = self.weight(flow)
         others = sum(self.weight(other) for other in active if other != flow)
         return weight / (weight + others)
 
-    def _memory_fits(self, entry: class_queue.Entry, now: float) -> bool:
-        """Tells whether the contexts fit the engine's memory together.
+    def _memory_fits(self, item: class_queue.QueueItem, now: float) -> bool:
+        """Returns whether the engine's memory can hold all contexts.
 
-        Beyond it the engine would evict what running calls still need, or
-        what programs need that are about to come back.
+        Otherwise the engine would evict tokens that running calls need, or
+        caches of programs that are about to resume.
         """
         memory = self.options.memory
         if not memory:
             return True
-        need = context(entry.call)
+        need = context(item.call)
         if self.tokens + need > memory:
             return False
-        if not self.options.protect or entry.need == class_queue.RESIDENT:
+        if not self.options.protect or item.need == class_queue.RESIDENT:
             return True
-        waited = now - entry.arrived
-        if entry.need == class_queue.RETURNING and waited >= PATIENCE:
+        waited = now - item.arrived
+        if (
+            item.need == class_queue.RETURNING
+            and waited >= PROTECTED_WAIT_SECONDS
+        ):
             return True
         return self.tokens + self.protected + need <= memory
 
-    def _prefill_fits(self, entry: class_queue.Entry) -> bool:
+    def _prefill_fits(self, item: class_queue.QueueItem) -> bool:
         seconds = self.options.prefill
-        if not seconds or not self.computing_tokens:
+        if not seconds or not self.prefill_tokens:
             return True
-        if entry.need == class_queue.RESIDENT:
-            # It takes little, and its cache stays locked while it waits.
-            seconds *= RESIDENT_FACTOR
-        tokens = self.computing_tokens + entry.call.new_tokens
+        if item.need == class_queue.RESIDENT:
+            seconds *= RESIDENT_PREFILL_FACTOR
+        tokens = self.prefill_tokens + item.call.new_tokens
         return tokens <= seconds * self.speed.prefill_rate
 
 
 def context(call: calls.Call) -> int:
-    """Returns the tokens that a call holds at its end."""
+    """Returns the tokens of context that a call holds when it ends."""
     return call.prompt_tokens + call.expected_tokens
--- a/src/mintcleat/decisions/workingset.py
+++ b/src/mintcleat/decisions/workingset.py
@@ -1,37 +1,37 @@
-"""How many programs may be under way at one upstream, by its memory.
-
-Made for engines whose memory cannot hold the histories of all programs that
-would like to run. Past that point each program that returns evicts another's
-cache, the rebuilds slow every turn, slower programs stay longer, and the
-memory is shorter still: the engine is busy and programs hardly advance. A
-program not yet started waits instead, as processes do in a system that keeps
-working sets in memory; it loses nothing, for it has no history to lose.
+"""Working-set admission: how many programs may be in progress at one upstream.
+
+Without a limit, an engine whose memory can't hold the histories of all its
+programs starts to thrash: each program that resumes evicts the cache of
+another, recomputing histories slows every turn, and slower programs hold
+memory for longer. As in operating systems that admit processes by working set,
+a program that has not started waits until its context fits. It has no cached
+history yet, so the wait costs no recomputation.
 """
 
 from typing import NamedTuple
 
-# Part of the memory that the footprints may take. At 1.4, more than one call
-# in a hundred that an overload let in missed its deadline; at 0.8, programs
-# waited outside while the engines had time for them.
-PART = 1.1
-# Of that, what a customer that has more than its share leaves free. A program
-# stays for minutes, so a burst that may fill the memory keeps the programs of
-# other customers out for as long.
-HEADROOM = 0.5
-# A pause counts as memory held for this long at most; in longer ones another
-# program's cache takes the place.
-HELD_SECONDS = 8.0
-# A program that has paused so long counts as absent until it comes back: its
-# tool may hang, and its place would be lost for as long.
+# Sum of the footprints that is allowed, as a multiple of the memory. At 1.4,
+# more than one in a hundred calls admitted under overload missed its deadline;
+# at 0.8, programs waited although the engines had capacity for them.
+MEMORY_FACTOR = 1.1
+# Fraction of that sum that a customer above its share must leave free.
+# Programs last for minutes, so a burst that filled the memory would block the
+# programs of other customers for as long.
+OVER_SHARE_HEADROOM = 0.5
+# Seconds of each pause that count as memory in use. In a longer pause the
+# cache is usually evicted in favour of another program.
+MAX_COUNTED_PAUSE = 8.0
+# A program paused for longer is removed until its next call. Its tool may
+# hang, and its memory would be reserved for nothing.
 ABSENT_SECONDS = 60.0
-# Until newcomers have waited, one is expected to be let in each second.
+# Assumed seconds between two admissions until some were measured.
 _FIRST_INTERVAL = 1.0
 _GAIN = 1 / 8
 _DUTY_GAIN = 1 / 32
 
 
 class Member(NamedTuple):
-    """A program under way."""
+    """A program in progress; `flow` is its customer, `footprint` in tokens."""
 
     agent: str
     flow: str
@@ -39,17 +39,20 @@
 
 
 class WorkingSet:
-    """Footprints of the programs under way at one upstream.
+    """Memory footprints of the programs in progress at one upstream.
 
     Attributes:
-        members: By program.
+        members: Programs in progress, by program id.
         pauses: When the last call ended, by paused program, oldest first.
-        tokens: Sum of the footprints.
-        used: The same by customer.
-        duty: By agent, the part of a program's life in which it needs memory.
-        interval: Moving average of a newcomer's seconds as first in line.
-        usual_context: Moving average of newcomers' contexts.
-        blocked_at: When a newcomer last found the line empty.
+        tokens: Sum of the footprints in tokens.
+        used: Sum of the footprints by customer.
+        duty_cycle: By agent, the fraction of a program's life in which it
+            needs memory.
+        interval: Moving average of the seconds that a new program waits at
+            the head of the queue.
+        last_admission: When a new program last started.
+        blocked_at: When `wait` was last asked with an empty queue.
+        mean_context: Moving average of the contexts of new programs.
     """
 
     def __init__(self) -> None:
@@ -57,22 +60,22 @@
         self.pauses: dict[str, float] = {}
         self.tokens = 0.0
         self.used: dict[str, float] = {}
-        self.duty: dict[str, float] = {}
+        self.duty_cycle: dict[str, float] = {}
         self.interval = _FIRST_INTERVAL
-        self.last_newcomer = 0.0
+        self.last_admission = 0.0
         self.blocked_at = 0.0
-        self.usual_context = 0.0
+        self.mean_context = 0.0
 
     def enter(
         self, program: str, agent: str, flow: str, context: float
     ) -> None:
-        """Adds a program whose call starts, or renews its footprint.
+        """Adds a program whose call starts, or updates its footprint.
 
         Args:
-            program: The program.
-            agent: Its agent program.
+            program: Program id.
+            agent: Name of its agent program.
             flow: Its customer.
-            context: Tokens that it will hold on average, when it holds any.
+            context: Mean tokens that it holds while it holds any.
         """
         self.leave(program)
         footprint = self.footprint(agent, context)
@@ -81,25 +84,31 @@
         self.used[flow] = self.used.get(flow, 0.0) + footprint
 
     def footprint(self, agent: str, context: float) -> float:
-        """Returns the memory that a program takes, averaged over its life."""
-        return context * self.duty.get(agent, 1.0)
+        """Returns the tokens that a program holds, averaged over its life."""
+        return context * self.duty_cycle.get(agent, 1.0)
 
     def paused(self, program: str, now: float) -> None:
-        """Notes the end of a program's call."""
+        """Records the end of a program's call."""
         if program in self.members:
             self.pauses.pop(program, None)
             self.pauses[program] = now
 
-    def absent(self, now: float) -> None:
-        """Removes the programs that have paused too long."""
+    def expire_absent(self, now: float) -> None:
+        """Removes programs that have been paused for `ABSENT_SECONDS`."""
         while self.pauses:
             program, ended = next(iter(self.pauses.items()))
             if now - ended < ABSENT_SECONDS:
                 return
             self.leave(program)
 
-    def back(self, program: str, service: float, now: float) -> None:
-        """Learns the agent's duty from a pause and the service before it."""
+    def resumed(self, program: str, service: float, now: float) -> None:
+        """Updates the agent's duty cycle when a program's pause ends.
+
+        Args:
+            program: Program id.
+            service: Mean service time of a call, in seconds.
+            now: The current time.
+        """
         ended = self.pauses.pop(program, None)
         if ended is None:
             return
@@ -108,17 +117,17 @@
         whole = service + pause
         if whole <= 0:
             return
-        duty = (service + min(pause, HELD_SECONDS)) / whole
-        known = self.duty.get(agent, 1.0)
-        # Weighted by time: a long pause frees memory for as long as it is.
-        weight = min(1.0, whole / (service + HELD_SECONDS))
-        self.duty[agent] = known + (duty - known) * weight * _DUTY_GAIN
+        duty = (service + min(pause, MAX_COUNTED_PAUSE)) / whole
+        known = self.duty_cycle.get(agent, 1.0)
+        # Weighted by duration, as a long pause frees memory for longer.
+        weight = min(1.0, whole / (service + MAX_COUNTED_PAUSE))
+        self.duty_cycle[agent] = known + (duty - known) * weight * _DUTY_GAIN
 
     def leave(self, program: str) -> None:
         """Removes a program that ended, moved or hung.
 
-        One whose cache was evicted stays: it will be back, and its duty
-        counts the pauses already.
+        A program whose cache was evicted stays a member: it will resume, and
+        its duty cycle already accounts for the pause.
         """
         self.pauses.pop(program, None)
         member = self.members.pop(program, None)
@@ -129,24 +138,25 @@
         if self.used[member.flow] < 1.0:
             del self.used[member.flow]
 
-    def let_in(self, context: float, arrived: float, now: float) -> None:
-        """Notes that a newcomer started; learns its time as the first."""
-        gap = now - max(self.last_newcomer, arrived)
-        self.last_newcomer = now
+    def admitted(self, context: float, arrived: float, now: float) -> None:
+        """Records that a new program started, and the interval before it."""
+        gap = now - max(self.last_admission, arrived)
+        self.last_admission = now
         self.interval += (gap - self.interval) * _GAIN
-        self.usual_context += (context - self.usual_context) * _GAIN
+        self.mean_context += (context - self.mean_context) * _GAIN
 
     def fits(self, footprint: float, memory: float) -> bool:
-        """Tells whether a newcomer fits; into an empty set, any does."""
+        """Returns whether a new program fits; an empty set takes any."""
         return not self.members or self.tokens + footprint <= memory
 
     def wait(self, ahead: int, now: float) -> float:
-        """Predicts a newcomer's wait with so many before it.
+        """Returns the predicted wait of a new program behind `ahead` others.
 
-        While they wait and none is let in, that time counts too; else a
-        stop would go unnoticed and the queue fill beyond its bound.
+        The time since the last admission counts as well. Otherwise the
+        prediction would not rise when admissions stall, and the queue would
+        grow beyond its limit.
         """
         if not ahead:
             self.blocked_at = now
-        gap = now - max(self.last_newcomer, self.blocked_at)
+        gap = now - max(self.last_admission, self.blocked_at)
         return (ahead + 1) * max(self.interval, gap)
--- a/testing/test_load_outcomes.py
+++ b/testing/test_load_outcomes.py
@@ -1,6 +1,7 @@
-"""Callers' outcomes under load: real decisions, virtual time, fixed courses.
+"""Outcomes for callers under load, simulated in virtual time.
 
-Each upstream serves up to its capacity at once, each call for a given time.
+The decision code is real. Each simulated upstream runs as many calls at once
+as it has slots, each for a fixed time.
 """
 
 import heapq
@@ -33,8 +34,8 @@
 FULL = queue.Options(max_wait=10.0)
 
 
-class Course(NamedTuple):
-    """A program: when it comes and the tokens of each of its calls."""
+class ProgramSpec(NamedTuple):
+    """A program: its arrival time and the tokens of each of its calls."""
 
     name: str
     customer: str
@@ -43,7 +44,15 @@
 
 
 class Deployment:
-    """Gates, one entry's fleet, and callers that resend what is refused."""
+    """Gates, the fleet of one entry, and callers that retry when refused.
+
+    Attributes:
+        naive: Whether calls go to the upstreams in turn, without deadlines.
+        patience: Refusals of a first call after which its caller gives up.
+        speeds: Factor on the time of each call, by upstream.
+        resident: Upstream of each program's last call.
+        late: Answers after their deadline.
+    """
 
     def __init__(
         self,
@@ -61,7 +70,7 @@
         self.fleet.watch(list(self.gates))
         self.events: list[tuple] = []
         self.answers: dict[str, list[tuple[int, float]]] = {}
-        self.courses: dict[str, Course] = {}
+        self.specs: dict[str, ProgramSpec] = {}
         self.resident: dict[str, str] = {}
         self.refusals: dict[str, int] = {}
         self.late = 0
@@ -73,19 +82,19 @@
         self.sent += 1
         heapq.heappush(self.events, (when, self.sent, event))
 
-    def run(self, courses: list[Course]) -> dict[str, float]:
-        """Returns whole-program latencies; refused for good is absent."""
-        for course in courses:
-            self.courses[course.name] = course
-            self.answers[course.name] = []
-            self.at(course.arrives, "send", course.name)
+    def run(self, specs: list[ProgramSpec]) -> dict[str, float]:
+        """Returns the latency in seconds of each program that completed."""
+        for spec in specs:
+            self.specs[spec.name] = spec
+            self.answers[spec.name] = []
+            self.at(spec.arrives, "send", spec.name)
         while self.events:
             self.now, _, (kind, *rest) = heapq.heappop(self.events)
             getattr(self, kind)(*rest)
         return {
-            course.name: self.answers[course.name][-1][1] - course.arrives
-            for course in courses
-            if len(self.answers[course.name]) == len(course.tokens)
+            spec.name: self.answers[spec.name][-1][1] - spec.arrives
+            for spec in specs
+            if len(self.answers[spec.name]) == len(spec.tokens)
         }
 
     def report(self, name: str) -> None:
@@ -106,18 +115,18 @@
         self.fleet.report(report, self.now)
 
     def send(self, program: str) -> None:
-        course = self.courses[program]
+        spec = self.specs[program]
         turn = len(self.answers[program])
         call = calls.Call(
             f"{program}/{turn}",
             program,
             program,
-            course.customer,
+            spec.customer,
             "agent",
             deadline_at=math.inf if self.naive else self.now + 60.0,
-            attained=sum(course.tokens[:turn]),
+            attained=sum(spec.tokens[:turn]),
             prompt_tokens=100,
-            expected_tokens=course.tokens[turn],
+            expected_tokens=spec.tokens[turn],
         )
         name = self.choose(call)
         self.resident[program] = name
@@ -157,7 +166,7 @@
         self.answers[call.program].append((turn, self.now))
         self.late += self.now > call.deadline_at
         self.report(name)
-        tokens = self.courses[call.program].tokens
+        tokens = self.specs[call.program].tokens
         if len(self.answers[call.program]) == len(tokens):
             estimator = self.gates[name].estimator
             estimator.finished("agent", sum(tokens), len(tokens))
@@ -170,9 +179,13 @@
             self.start(name, call)
 
 
-def steady(customer: str, count: int, gap: float, turns: int) -> list[Course]:
+def steady(
+    customer: str, count: int, gap: float, turns: int
+) -> list[ProgramSpec]:
     return [
-        Course(f"{customer}{n}", customer, n * gap, [50 + n * 37 % 100] * turns)
+        ProgramSpec(
+            f"{customer}{n}", customer, n * gap, [50 + n * 37 % 100] * turns
+        )
         for n in range(count)
     ]
 
@@ -185,77 +198,81 @@
     def test_a_burst_slows_its_own_customer_only(self) -> None:
         """One customer sends 200 programs at once, ten times its share.
 
-        The others' programs still find slots: the burst queues behind its
-        own share, and what it borrowed comes back as its calls end.
+        The programs of others still get slots: the burst queues behind its
+        own share, and the idle slots it used are freed as its calls end.
         """
         others = steady("calm", 100, 0.8, 3)
-        burst = [Course(f"b{n}", "b", 10.0, [100] * 3) for n in range(200)]
+        burst = [ProgramSpec(f"b{n}", "b", 10.0, [100] * 3) for n in range(200)]
         quiet = Deployment(FULL, [1.0] * 4).run(others)
         loud = Deployment(FULL, [1.0] * 4).run(others + burst)
         naive = Deployment(FIFO, [1.0] * 4, naive=True).run(others + burst)
         before, with_burst, without_shares = (
-            percentile([found[course.name] for course in others], 0.95)
+            percentile([found[spec.name] for spec in others], 0.95)
             for found in (quiet, loud, naive)
         )
         self.assertThat(with_burst, matchers.LessThan(1.2 * before))
         self.assertThat(without_shares, matchers.GreaterThan(2 * before))
 
     def test_skewed_demand_spreads(self) -> None:
-        """Every program's history lies at one of four upstreams.
+        """Every program's history is cached at one of four upstreams.
 
-        Staying there would make that one the queue of all.
+        If all programs stayed there, that upstream would be overloaded while
+        the others are idle.
         """
-        courses = steady("calm", 60, 0.1, 4)
+        specs = steady("calm", 60, 0.1, 4)
         skewed = Deployment(FULL, [1.0] * 4)
-        skewed.resident = {course.name: "u0" for course in courses}
-        even = Deployment(FULL, [1.0] * 4).run(courses)
-        found = skewed.run(courses)
+        skewed.resident = {spec.name: "u0" for spec in specs}
+        even = Deployment(FULL, [1.0] * 4).run(specs)
+        found = skewed.run(specs)
         self.assertThat(
             percentile(list(found.values()), 0.95),
             matchers.LessThan(1.5 * percentile(list(even.values()), 0.95)),
         )
 
-    def test_one_slow_upstream_is_left_alone(self) -> None:
-        courses = steady("calm", 200, 0.5, 4)
-        healthy = Deployment(FULL, [1.0] * 5).run(courses)
-        slow = Deployment(FULL, [10.0, 1.0, 1.0, 1.0, 1.0]).run(courses)
+    def test_one_slow_upstream_gets_few_calls(self) -> None:
+        specs = steady("calm", 200, 0.5, 4)
+        healthy = Deployment(FULL, [1.0] * 5).run(specs)
+        slow = Deployment(FULL, [10.0, 1.0, 1.0, 1.0, 1.0]).run(specs)
         self.assertThat(
             percentile(list(slow.values()), 0.95),
             matchers.LessThan(1.3 * percentile(list(healthy.values()), 0.95)),
         )
 
     def test_short_programs_do_not_wait_for_long_ones(self) -> None:
-        """Long and short programs share one upstream beyond its capacity.
+        """Long and short programs share one upstream above its capacity.
 
-        The short ones finish sooner than in arrival order, and the long ones
+        The short ones finish sooner than with FIFO order, and the long ones
         finish too.
         """
-        long = [Course(f"l{n}", "a", n * 0.1, [200] * 10) for n in range(12)]
-        short = [Course(f"s{n}", "a", n * 0.6, [30] * 3) for n in range(80)]
+        long = [
+            ProgramSpec(f"l{n}", "a", n * 0.1, [200] * 10) for n in range(12)
+        ]
+        short = [
+            ProgramSpec(f"s{n}", "a", n * 0.6, [30] * 3) for n in range(80)
+        ]
         options = FIFO._replace(ordering=order.ALL_ON)
         ordered = Deployment(options, [1.0]).run(long + short)
         fifo = Deployment(FIFO, [1.0]).run(long + short)
         ours, theirs = (
-            sum(found[course.name] for course in short)
-            for found in (ordered, fifo)
+            sum(found[spec.name] for spec in short) for found in (ordered, fifo)
         )
         self.assertThat(ours, matchers.LessThan(0.8 * theirs))
         self.assertEqual(92, len(ordered))
 
     def test_twice_the_capacity_is_shed_at_first_calls(self) -> None:
-        """Programs come at twice the capacity; a refused one goes away.
+        """Programs arrive at twice the capacity; a refused one gives up.
 
-        What is let in finishes, within its deadlines; the upstreams stay
-        busy; and what is refused hears it at once.
+        Admitted programs finish within their deadlines, the upstreams stay
+        busy, and a program is refused at its first call or not at all.
         """
-        courses = [
-            Course(f"p{n}", f"customer{n % 4}", n * 0.14, [100] * 4)
+        specs = [
+            ProgramSpec(f"p{n}", f"customer{n % 4}", n * 0.14, [100] * 4)
             for n in range(600)
         ]
         run = Deployment(FULL, [1.0] * 2, patience=1)
-        found = run.run(courses)
+        found = run.run(specs)
         done = len(found) * 4 * 100 * TOKEN_TIME
-        refused = sum(not run.answers[course.name] for course in courses)
+        refused = sum(not run.answers[spec.name] for spec in specs)
         self.assertEqual(0, run.late)
         self.assertEqual(600, len(found) + refused)
         self.assertThat(done, matchers.GreaterThan(0.9 * 84.0 * 2 * SLOTS))
@@ -276,26 +293,25 @@
     def test_every_call_is_answered_once_and_in_order(
         self, drawn: list[tuple]
     ) -> None:
-        """Naive scheduling answers each call once, in order; so must this.
+        """Each call is answered once and in order, as with FIFO scheduling.
 
-        Refused calls come back after the advice, and none waits longer than
-        all the work there is, its retries and the ageing bound.
+        Refused calls are retried after `retry_after`. No program takes longer
+        than all the work, its retries and the ageing limit together.
         """
-        courses = [
-            Course(f"p{n}", customer, arrives, tokens)
+        specs = [
+            ProgramSpec(f"p{n}", customer, arrives, tokens)
             for n, (customer, arrives, tokens) in enumerate(drawn)
         ]
-        bound = 300.0 + sum(sum(course.tokens) for course in courses) * 0.03
+        bound = 300.0 + sum(sum(spec.tokens) for spec in specs) * 0.03
         for options, naive in ((FULL, False), (FIFO, True)):
             run = Deployment(options, [1.0, 2.0], naive=naive)
-            found = run.run(courses)
+            found = run.run(specs)
             turns = {
-                course.name: [turn for turn, _ in run.answers[course.name]]
-                for course in courses
+                spec.name: [turn for turn, _ in run.answers[spec.name]]
+                for spec in specs
             }
             expected = {
-                course.name: list(range(len(course.tokens)))
-                for course in courses
+                spec.name: list(range(len(spec.tokens))) for spec in specs
             }
             self.assertEqual(expected, turns)
             self.assertTrue(all(time < bound for time in found.values()))
--- a/testing/test_queue.py
+++ b/testing/test_queue.py
@@ -1,4 +1,4 @@
-"""Outcomes for callers at one upstream's gate."""
+"""Admission and scheduling of calls at one upstream."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -45,7 +45,7 @@
         assert first is not None
         self.assertEqual("c3", first.call_id)
 
-    def test_a_long_program_overtakes_later_short_ones_in_time(self) -> None:
+    def test_a_long_program_is_not_overtaken_for_ever(self) -> None:
         gate = queue.Gate(OPTIONS, 1)
         gate.offer(make_call(1), 0.0)
         gate.offer(make_call(2, attained=10**9), 0.0)
@@ -55,16 +55,16 @@
         assert first is not None
         self.assertEqual("c2", first.call_id)
 
-    def test_refuses_at_once_what_cannot_meet_its_deadline(self) -> None:
+    def test_refuses_a_call_that_cannot_meet_its_deadline(self) -> None:
         gate = queue.Gate(OPTIONS, 1)
         answer = gate.offer(make_call(1, deadline_at=1.0), 0.0)
         self.assertThat(answer, matchers.IsInstance(admission.Refuse))
 
-    def test_a_burst_is_refused_to_its_own_customer_only(self) -> None:
+    def test_a_burst_leads_to_refusals_of_its_own_customer_only(self) -> None:
         """One customer sends a thousand calls at once.
 
-        Its own calls beyond the bound are refused; a call of another customer
-        that comes after all of them is queued and starts next.
+        Its calls beyond the maximum wait are refused. A later call of another
+        customer is queued and starts next.
         """
         gate = queue.Gate(OPTIONS, 4)
         fill(gate, 1000, "burst", expected_tokens=1000)
@@ -78,11 +78,11 @@
         assert first is not None
         self.assertEqual("c2", first.call_id)
 
-    def test_a_large_context_is_not_passed_over_for_ever(self) -> None:
-        """Small calls keep coming, one of them always runs.
+    def test_a_large_context_is_not_starved(self) -> None:
+        """Guards against starvation of a call that needs most of the memory.
 
-        A call that needs nearly all of the memory fits only when they stop;
-        after half a minute they are held back until it has started.
+        Small calls keep arriving and one of them always runs, so the large
+        one never fits. After 30 s they are blocked until it has started.
         """
         gate = queue.Gate(OPTIONS._replace(memory=10_000), 8)
         gate.offer(make_call(0, attained=1, prompt_tokens=2000), 0.0)
@@ -101,7 +101,7 @@
         self.assertThat(started, matchers.GreaterThan(29.0))
         self.assertThat(started, matchers.LessThan(35.0))
 
-    def test_calls_that_gate_their_program_go_first(self) -> None:
+    def test_calls_that_block_their_program_go_first(self) -> None:
         gate = queue.Gate(OPTIONS, 1)
         gate.offer(make_call(1), 0.0)
         gate.offer(make_call(2, gating=False), 0.0)
@@ -121,14 +121,14 @@
         gate_starts = isinstance(answer, queue.Admit) or gate.next(0.0)
         self.assertTrue(gate_starts)
 
-    def test_options_take_effect_on_what_waits(self) -> None:
+    def test_new_options_apply_to_waiting_calls(self) -> None:
         gate = queue.Gate(OPTIONS._replace(max_running={"a": 1}), 4)
         fill(gate, 2, "a")
         self.assertIs(None, gate.next(0.0))
         gate.configure(OPTIONS)
         self.assertIsNot(None, gate.next(0.0))
 
-    def test_late_calls_are_taken_out_before_they_cost_anything(self) -> None:
+    def test_calls_that_would_be_late_expire_before_they_start(self) -> None:
         gate = queue.Gate(OPTIONS, 1)
         gate.offer(make_call(1), 0.0)
         gate.offer(make_call(2, deadline_at=20.0), 0.0)
@@ -136,7 +136,7 @@
         self.assertEqual(["c2"], [call.call_id for call in gate.expire(19.0)])
         self.assertIs(None, gate.next(19.0))
 
-    def test_suspects_never_run_together(self) -> None:
+    def test_suspect_calls_never_run_together(self) -> None:
         gate = queue.Gate(OPTIONS, 4)
         gate.offer(make_call(1, suspect=True), 0.0)
         gate.offer(make_call(2, suspect=True), 0.0)
@@ -159,11 +159,11 @@
             max_size=60,
         )
     )
-    def test_no_call_is_lost_or_doubled(self, steps: list[tuple]) -> None:
-        """The naive queue starts each accepted call once, and so must this.
+    def test_no_call_is_lost_or_started_twice(self, steps: list[tuple]) -> None:
+        """Each accepted call that is not cancelled starts exactly once.
 
-        Offers, cancels and ends come in any order; after them all calls end
-        one by one. Each accepted call that was not cancelled starts once.
+        Offers, cancellations and ends are drawn in any order; after them all
+        calls end one by one.
         """
         gate = queue.Gate(OPTIONS, 3)
         accepted: set[str] = set()
--- a/testing/test_workingset.py
+++ b/testing/test_workingset.py
@@ -1,4 +1,4 @@
-"""How many programs may be under way at one upstream."""
+"""Working-set admission of programs at one upstream."""
 
 import testtools
 
@@ -37,11 +37,11 @@
 
 
 class WorkingSetTest(testtools.TestCase):
-    def test_newcomers_wait_until_a_program_ends(self) -> None:
-        """Three programs fill the memory; two of them pause.
+    def test_a_new_program_waits_until_another_ends(self) -> None:
+        """Three programs fill the memory and two of them pause.
 
-        A fourth one would evict a cache that is needed again within seconds;
-        it starts when one of the three ends.
+        A fourth one would evict a cache that is needed again within seconds,
+        so it starts only when one of the three ends.
         """
         gate = three_programs()
         self.assertIsInstance(gate.offer(first_call(3), 1.0), queue.Queued)
@@ -49,13 +49,13 @@
         gate.program_left("p0")
         self.assertIsNot(None, gate.next(1.0))
 
-    def test_a_hung_program_loses_its_place(self) -> None:
+    def test_a_hung_program_frees_its_memory(self) -> None:
         gate = three_programs()
         gate.offer(first_call(3), 1.0)
         gate.expire(1.0 + workingset.ABSENT_SECONDS)
         self.assertIsNot(None, gate.next(1.0 + workingset.ABSENT_SECONDS))
 
-    def test_a_customer_over_its_share_leaves_room(self) -> None:
+    def test_a_customer_above_its_share_leaves_memory_free(self) -> None:
         gate = queue.Gate(OPTIONS, 8)
         gate.offer(first_call(0, "burst"), 0.0)
         gate.offer(first_call(1, "calm"), 0.0)
@@ -66,23 +66,24 @@
         assert ready is not None
         self.assertEqual("c3", ready.call_id)
 
-    def test_agents_that_mostly_pause_take_less(self) -> None:
+    def test_agents_that_mostly_pause_have_a_small_footprint(self) -> None:
         members = workingset.WorkingSet()
         now = 0.0
         for _ in range(200):
             members.enter("p", "agent", "farms", 1000.0)
             members.paused("p", now)
             now += 95.0
-            members.back("p", 5.0, now)
+            members.resumed("p", 5.0, now)
         members.enter("p", "agent", "farms", 1000.0)
         self.assertTrue(100.0 < members.tokens < 200.0)
 
 
 class IdleTest(testtools.TestCase):
-    def test_idle_upstream_takes_a_newcomer_over_its_memory(self) -> None:
-        """Programs that pause fill the memory and no call runs.
+    def test_idle_upstream_accepts_a_program_beyond_its_memory(self) -> None:
+        """Paused programs fill the memory and no call runs.
 
-        A newcomer was refused as too late while the engine stood idle.
+        Guards against refusing a new program while the engine is idle, because
+        memory counts as taken.
         """
         gate = queue.Gate(slots.Options(memory=100), capacity=4)
         for number in range(3):
