--- a/src/mintcleat/decisions/evidence.py
+++ b/src/mintcleat/decisions/evidence.py
@@ -1,26 +1,25 @@
-"""What the end of an attempt says of the upstream that was asked.
-
-Made for the moments in which something else fails. When the leader that
-records turns is lost, each answer ends late and without its record, though
-the upstream gave it whole: taken for failures of upstreams, a second without
-a leader puts every healthy upstream out of use at every entry, and the work
-that comes next piles up on whichever failed last. Only what came from an
-upstream, or was due from it, is evidence about it.
+"""What the end of an attempt says about the health of its upstream.
+
+Only what an upstream sent, or failed to send, is evidence about it. When the
+leader that records turns is lost, answers end late and unrecorded although the
+upstream delivered them completely. If they counted as failures, one second
+without a leader would exclude every healthy upstream at every entry, and the
+next requests would pile up on the upstream that failed last.
 """
 
 import enum
 
 from mintcleat.domain import errors
 
-# Answers from here on say that the upstream failed while it ran the request.
-FAILED_STATUS = 500
-# What an upstream answers when the request's time ends while it runs. No other
-# upstream has time for it either, and its caller set the time.
-TIME_OVER_STATUS = 504
+# Answers with this status or a higher one are failures of the upstream.
+MIN_FAILURE_STATUS = 500
+# The status of a request whose deadline passed while it ran. The caller set the
+# deadline, and no other upstream could have met it either.
+TIMEOUT_STATUS = 504
 
 
 class Evidence(enum.Enum):
-    """For an upstream, against it, or neither."""
+    """Whether an attempt counts as a success of its upstream."""
 
     SUCCESS = "well"
     NEUTRAL = "none"
@@ -28,17 +27,19 @@
 
 
 def of_answer(status: int) -> Evidence:
-    """Returns what a whole answer with its status says."""
-    if status == TIME_OVER_STATUS:
+    """Returns the evidence of a complete answer, by its HTTP status."""
+    if status == TIMEOUT_STATUS:
         return Evidence.NEUTRAL
-    return Evidence.FAILURE if status >= FAILED_STATUS else Evidence.SUCCESS
+    return (
+        Evidence.FAILURE if status >= MIN_FAILURE_STATUS else Evidence.SUCCESS
+    )
 
 
 def of_error(error: errors.MintcleatError) -> Evidence:
-    """Returns what an attempt's failure says.
+    """Returns the evidence of a failed attempt.
 
-    A full upstream is no sick one, and what control could not do is not the
-    upstream's doing.
+    A busy upstream isn't unhealthy, and a turn that control could not record
+    doesn't count against the upstream that answered it.
     """
     if isinstance(error, errors.TurnUnrecorded):
         return Evidence.SUCCESS
@@ -47,14 +48,16 @@
     return Evidence.FAILURE
 
 
-def of_cancellation(whole: bool, silent: float, patience: float) -> Evidence:
-    """Returns what it says that the caller left or its time was over.
+def of_cancellation(
+    complete: bool, silent: float, silence_timeout: float
+) -> Evidence:
+    """Returns the evidence of a caller that left or timed out.
 
     Args:
-        whole: Whether the upstream's answer had come to its end.
-        silent: Seconds since something came from it for this request.
-        patience: Seconds of silence that are usual for the route.
+        complete: Whether the upstream's answer was complete.
+        silent: Seconds since the last data for this request.
+        silence_timeout: Seconds of silence that are normal for the route.
     """
-    if whole:
+    if complete:
         return Evidence.SUCCESS
-    return Evidence.FAILURE if silent > patience else Evidence.NEUTRAL
+    return Evidence.FAILURE if silent > silence_timeout else Evidence.NEUTRAL
--- a/src/mintcleat/decisions/load_balancing.py
+++ b/src/mintcleat/decisions/load_balancing.py
@@ -1,11 +1,10 @@
-"""Which upstream gets a routed request.
-
-Made for upstreams before several entries that tell each other what they have
-running. An upstream that has become much slower than its peers is left to
-those entries that have not noticed yet. A program's next turn goes where the
-one before left its cache, unless that upstream has a whole batch more to do
-than another. Everything else goes to the one with the least to do of a few that
-the request's id chooses.
+"""Load balancing of routed requests among the upstreams of a service.
+
+Several entries share the upstreams and exchange what they have running. An
+upstream that is much slower than its peers is avoided. The next turn of a
+program goes to the upstream that has its cache, unless that one is busier than
+another by a whole batch. All other requests go to the least loaded of a few
+upstreams that a hash of the request id selects.
 """
 
 from collections.abc import Sequence
@@ -13,55 +12,60 @@
 
 import xxhash
 
+# Reasons of a choice.
 RESIDENT = "resident"
 AFFINITY = "affinity"
 LEAST = "least"
-# By how many batches a program's upstream may be busier than another. Reading a
-# conversation anew takes a batch as long as some requests of it do, and every
-# request there waits meanwhile; a queue costs only those behind it.
-RESIDENT_SLACK = 1.0
-# Upstreams that a request compares, chosen by its id. What entries know of each
-# other is some ten milliseconds old: if all chose the least of all, they would
-# meet there.
+# By how many batches the upstream with a program's cache may be busier than the
+# least loaded one. Recomputing a conversation elsewhere takes as long as
+# several requests and delays every request of that batch, whereas a queue
+# delays only the requests behind it.
+MAX_RESIDENT_EXCESS = 1.0
+# Number of upstreams compared for a request. The load of other entries is known
+# with a delay of tens of milliseconds; if each entry picked the least loaded
+# of all upstreams, all would pick the same one.
 CHOICES = 3
-# An object's warmth in a plain service halves its work at best.
-AFFINITY_SLACK = 0.2
-# An upstream whose pieces take so many times as long as its peers' (median) is
-# passed over. Load alone makes an engine slower by less than that.
-SLOW_LIMIT = 2.0
-# Weight of a new observation, and how many must come before they count: about
-# as many as one answer has pieces.
-SPEED_GAIN = 0.15
-MIN_OBSERVED = 8
-# Without observations, what an upstream is slower by halves in this time, so
-# that it is tried again.
-SPEED_HALF_LIFE = 2.0
-# Pieces that arrive together have no pause between them.
-MIN_PACE = 0.001
+# The same limit for requests with an affinity, in batches. A warm cache in a
+# plain service halves the work of a request at best.
+MAX_AFFINITY_EXCESS = 0.2
+# An upstream this many times slower than the median of its peers is avoided.
+# Load alone slows an engine down by less.
+MAX_SLOWDOWN = 2.0
+# Weight of a new sample, and the samples needed before an upstream is compared:
+# about as many as one streamed answer has chunks.
+LATENCY_GAIN = 0.15
+MIN_SAMPLES = 8
+# Without new samples, the excess of a slowdown halves in this many seconds, so
+# that an avoided upstream is tried again.
+SLOWDOWN_HALF_LIFE = 2.0
+# Lower bound of a sample in seconds, as chunks that arrive together have no
+# delay between them.
+MIN_LATENCY = 0.001
 
 
 class Candidate(NamedTuple):
     """An upstream that could take the request.
 
     Attributes:
-        running: Requests there, as far as this entry knows.
-        slots: Requests that it runs at once.
-        slow: Factor by which it is slower than its peers, or 1.
+        upstream: Its name.
+        running: Requests running there, as far as this entry knows.
+        slots: Requests that it can run at once.
+        slowdown: Latency divided by the median of its peers; at least 1.
     """
 
     upstream: str
     running: int
     slots: int
-    slow: float = 1.0
+    slowdown: float = 1.0
 
     @property
     def load(self) -> float:
-        """Work there against its size; one more request counted in."""
-        return (self.running + 1) * self.slow / max(1, self.slots)
+        """Load in batches with one more request, weighted by the slowdown."""
+        return (self.running + 1) * self.slowdown / max(1, self.slots)
 
 
 class Choice(NamedTuple):
-    """The upstream chosen, and why."""
+    """The chosen upstream and the reason: one of the constants above."""
 
     upstream: str
     reason: str
@@ -73,21 +77,21 @@
     """Returns the upstream for a request, or None without candidates.
 
     Args:
-        candidates: Upstreams that take new work and were not tried yet.
-        hint: Where the program ran last; empty for none.
-        affinity: Object that requests have in common; empty for none.
-        request: Id of the request, for what is left to chance.
+        candidates: Upstreams that accept requests and were not tried yet.
+        hint: Upstream of the program's previous turn; empty for none.
+        affinity: Key that related requests share; empty for none.
+        request: Id of the request; hashed where there is no affinity.
     """
     if not candidates:
         return None
-    fast = [c for c in candidates if c.slow < SLOW_LIMIT]
+    fast = [c for c in candidates if c.slowdown < MAX_SLOWDOWN]
     candidates = fast or candidates
     loads = {candidate.upstream: candidate.load for candidate in candidates}
     least = min(loads.values())
-    if hint in loads and loads[hint] <= least + RESIDENT_SLACK:
+    if hint in loads and loads[hint] <= least + MAX_RESIDENT_EXCESS:
         return Choice(hint, RESIDENT)
     ranked = sorted(loads, key=lambda name: _rank(affinity or request, name))
-    if affinity and loads[ranked[0]] <= least + AFFINITY_SLACK:
+    if affinity and loads[ranked[0]] <= least + MAX_AFFINITY_EXCESS:
         return Choice(ranked[0], AFFINITY)
     return Choice(min(ranked[:CHOICES], key=loads.__getitem__), LEAST)
 
@@ -96,57 +100,68 @@
     return xxhash.xxh3_64_intdigest(f"{key}|{upstream}".encode())
 
 
-class Speed(NamedTuple):
-    """What was seen of one upstream: mean seconds, how often, and when."""
+class Latency(NamedTuple):
+    """Latency of one upstream.
+
+    Attributes:
+        mean: Moving average in seconds.
+        samples: Number of samples.
+        updated_at: Time of the last sample.
+    """
 
     mean: float
-    observed: int
-    at: float
+    samples: int
+    updated_at: float
 
 
 class LatencyTracker:
-    """How much slower each upstream is than its peers.
+    """Tracks how much slower each upstream is than its peers.
 
-    Made for an engine that goes on answering at a quarter of its speed. It
-    refuses nothing and breaks nothing off; its few requests look like little
-    load, and every program that stays there misses its aim.
+    Detects an engine that still answers, but at a quarter of its speed. It
+    refuses and aborts nothing, its few requests look like a low load, and every
+    program that stays there misses its latency target.
     """
 
     def __init__(self) -> None:
-        self.by_upstream: dict[str, Speed] = {}
+        self.by_upstream: dict[str, Latency] = {}
 
     def observe(self, upstream: str, seconds: float, now: float) -> None:
-        """Takes the pause before a piece, or the time of a whole answer."""
-        seconds = max(seconds, MIN_PACE)
+        """Adds a sample: the delay before a chunk or of a whole answer."""
+        seconds = max(seconds, MIN_LATENCY)
         before = self.by_upstream.get(upstream)
         if before is None:
-            self.by_upstream[upstream] = Speed(seconds, 1, now)
+            self.by_upstream[upstream] = Latency(seconds, 1, now)
             return
-        mean = before.mean + SPEED_GAIN * (seconds - before.mean)
-        self.by_upstream[upstream] = Speed(mean, before.observed + 1, now)
+        mean = before.mean + LATENCY_GAIN * (seconds - before.mean)
+        self.by_upstream[upstream] = Latency(mean, before.samples + 1, now)
 
     def forget(self, upstream: str) -> None:
-        """Drops an upstream that is gone."""
+        """Drops an upstream that no longer exists."""
         self.by_upstream.pop(upstream, None)
 
     def slowdown_factors(
         self, upstreams: Sequence[str], now: float
     ) -> dict[str, float]:
-        """Returns by how much each is slower than the median; 1 or more."""
+        """Returns latency divided by the median, at least 1, by upstream.
+
+        Upstreams with fewer than `MIN_SAMPLES` are left out. If fewer than two
+        remain, the result is empty.
+        """
         known = {
-            name: speed
+            name: latency
             for name in upstreams
-            if (speed := self.by_upstream.get(name)) is not None
-            and speed.observed >= MIN_OBSERVED
+            if (latency := self.by_upstream.get(name)) is not None
+            and latency.samples >= MIN_SAMPLES
         }
         if len(known) < 2:
             return {}
-        means = sorted(speed.mean for speed in known.values())
-        # The lower one of two: of two upstreams, one can be slow.
+        means = sorted(latency.mean for latency in known.values())
+        # For an even number the lower median, so that of two upstreams the
+        # slower one is compared with the faster.
         median = means[(len(means) - 1) // 2]
         found = {}
-        for name, speed in known.items():
-            excess = max(0.0, speed.mean / median - 1.0)
-            age = 0.5 ** ((now - speed.at) / SPEED_HALF_LIFE)
+        for name, latency in known.items():
+            excess = max(0.0, latency.mean / median - 1.0)
+            age = 0.5 ** ((now - latency.updated_at) / SLOWDOWN_HALF_LIFE)
             found[name] = 1.0 + excess * age
         return found
--- a/src/mintcleat/decisions/outliers.py
+++ b/src/mintcleat/decisions/outliers.py
@@ -1,121 +1,142 @@
-"""Ejection of slow or failing upstreams, and their probing return.
+"""Ejection of slow or failing upstreams, and probes to bring them back.
 
-Made for one upstream that answers, but ten times slower than its peers, or
-that fails each call at once and so always looks idle. Left in, the one
-swallows programs whose every turn is late, the other swallows all new calls.
+Handles an upstream that is ten times slower than its peers, and one that fails
+every call immediately and therefore always looks idle. Without ejection, every
+turn of a program at the former is late, and the latter attracts all new calls.
 """
 
 from typing import NamedTuple
 
-# Slower than the median by this factor is no longer the spread of load.
+# Factor over the median latency that load alone doesn't explain.
 SLOW_FACTOR = 4.0
-# Share of recent calls that failed, and calls needed before it counts.
-FAILING = 0.5
+# Fraction of failed calls above which an upstream is ejected, and the number of
+# calls needed before the fraction counts.
+FAILURE_SHARE = 0.5
 MIN_CALLS = 4
-# At most this share is ejected: when many look bad, the cause is common to
-# them (overload, a bad deployment), and the rest would only drown next.
+# Maximum fraction of ejected upstreams. If more look bad, they have a common
+# cause (overload, a bad deployment), and ejecting them would overload the rest.
 MAX_EJECTED = 0.25
-# An ejection ends after this many seconds, doubled each time up to the cap.
+# Duration of the first ejection; it doubles each time up to the maximum.
 EJECT_SECONDS = 5.0
 MAX_EJECT_SECONDS = 120.0
 _GAIN = 1 / 4
 
 
 class Record(NamedTuple):
-    """What is known of one upstream.
+    """Health of one upstream.
 
     Attributes:
-        failures: Moving share of failed calls.
-        until: End of the ejection; 0 when not ejected.
-        times: Ejections in a row.
-        probing: Since when a probe is under way; 0 for none.
+        failures: Moving average of failed calls, from 0 to 1.
+        samples: Number of calls in that average.
+        slow: Whether it was slower than `SLOW_FACTOR` allows.
+        ejected_until: End of the ejection; 0 when not ejected.
+        ejections: Consecutive ejections.
+        probe_started_at: When the pending probe was sent; 0 for none.
     """
 
     failures: float = 0.0
     samples: int = 0
     slow: bool = False
-    until: float = 0.0
-    times: int = 0
-    probing: float = 0.0
+    ejected_until: float = 0.0
+    ejections: int = 0
+    probe_started_at: float = 0.0
 
 
-_NEW = Record()
-# A probe that has not come back by then counts as lost.
+_NEW_RECORD = Record()
+# A probe without a result after this many seconds counts as lost.
 PROBE_TIMEOUT = 30.0
 
 
 class Outliers:
-    """Which upstreams of one service get no calls for now."""
+    """The ejected upstreams of one service.
+
+    Attributes:
+        records: Health by upstream.
+        ejected: Names of the ejected upstreams.
+    """
 
     def __init__(self) -> None:
         self.records: dict[str, Record] = {}
         self.ejected: set[str] = set()
 
-    def compared(
+    def report_slowness(
         self, name: str, slowness: float, total: int, now: float
     ) -> None:
-        """Takes an upstream's slowness relative to the median of `total`."""
-        record = self.records.get(name, _NEW)
+        """Records an upstream's latency as a multiple of the median.
+
+        Args:
+            name: The upstream.
+            slowness: Its latency divided by the median.
+            total: Number of upstreams among which it may be ejected.
+            now: The current time.
+        """
+        record = self.records.get(name, _NEW_RECORD)
         record = record._replace(slow=slowness > SLOW_FACTOR)
         self.records[name] = record
         if record.slow:
             self._eject(name, total, now)
 
     def answered(self, name: str, ok: bool, total: int, now: float) -> None:
-        """Counts the end of a call; a good probe brings the upstream back."""
-        record = self.records.get(name, _NEW)
+        """Records the result of a call; a successful probe ends an ejection."""
+        record = self.records.get(name, _NEW_RECORD)
         failures = record.failures + (float(not ok) - record.failures) * _GAIN
         record = record._replace(failures=failures, samples=record.samples + 1)
         self.records[name] = record
         if name in self.ejected:
-            self._judge_probe(name, ok, now)
-        elif failures > FAILING and record.samples >= MIN_CALLS:
+            self._end_probe(name, ok, now)
+        elif failures > FAILURE_SHARE and record.samples >= MIN_CALLS:
             self._eject(name, total, now)
 
     def allows(self, name: str) -> bool:
-        """Tells whether the upstream gets calls as usual."""
+        """Returns whether the upstream is not ejected."""
         return name not in self.ejected
 
     def probe_due(self, now: float) -> str | None:
-        """Returns an ejected upstream whose time is up, to try one call."""
+        """Returns an ejected upstream to probe with one call, or None."""
         for name in sorted(self.ejected):
             record = self.records[name]
-            idle = now - record.probing >= PROBE_TIMEOUT
-            if now >= record.until and (not record.probing or idle):
+            idle = now - record.probe_started_at >= PROBE_TIMEOUT
+            if now >= record.ejected_until and (
+                not record.probe_started_at or idle
+            ):
                 return name
         return None
 
-    def probe(self, name: str, now: float) -> None:
-        """Notes that a call was sent to try the upstream."""
-        self.records[name] = self.records[name]._replace(probing=now)
+    def probe_sent(self, name: str, now: float) -> None:
+        """Records that a call was sent to probe the upstream."""
+        self.records[name] = self.records[name]._replace(probe_started_at=now)
 
     def forget(self, name: str) -> None:
-        """Drops an upstream that is gone."""
+        """Drops an upstream that no longer exists."""
         self.records.pop(name, None)
         self.ejected.discard(name)
 
     def _eject(self, name: str, total: int, now: float) -> None:
-        room = max(1, int(total * MAX_EJECTED)) if total > 1 else 0
-        if name in self.ejected or len(self.ejected) >= room:
+        max_ejected = max(1, int(total * MAX_EJECTED)) if total > 1 else 0
+        if name in self.ejected or len(self.ejected) >= max_ejected:
             return
         record = self.records[name]
         self.ejected.add(name)
         self.records[name] = record._replace(
-            until=now + _term(record.times), times=record.times + 1, probing=0.0
+            ejected_until=now + _ejection_seconds(record.ejections),
+            ejections=record.ejections + 1,
+            probe_started_at=0.0,
         )
 
-    def _judge_probe(self, name: str, ok: bool, now: float) -> None:
+    def _end_probe(self, name: str, ok: bool, now: float) -> None:
         record = self.records[name]
-        if not record.probing:
+        if not record.probe_started_at:
             return
         if ok and not record.slow:
             self.ejected.discard(name)
-            self.records[name] = Record(times=max(0, record.times - 1))
+            self.records[name] = Record(ejections=max(0, record.ejections - 1))
             return
         self.records[name] = record._replace(
-            until=now + _term(record.times), times=record.times + 1, probing=0.0
+            ejected_until=now + _ejection_seconds(record.ejections),
+            ejections=record.ejections + 1,
+            probe_started_at=0.0,
         )
 
 
-def _term(times: int) -> float:
-    return min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2.0 ** min(times, 10))
+def _ejection_seconds(ejections: int) -> float:
+    return min(MAX_EJECT_SECONDS, EJECT_SECONDS * 2.0 ** min(ejections, 10))
--- a/src/mintcleat/decisions/placement.py
+++ b/src/mintcleat/decisions/placement.py
@@ -1,9 +1,10 @@
-"""The entry's choice of an upstream for one call.
+"""An entry's choice of an upstream for one call.
 
-Made for programs whose history is cached at one upstream while others are
-idle, and for load reports that lag. Always the resident upstream overloads
-it; always the least loaded rebuilds the history at each turn, and sends every
-entry's calls to the same one until the next report.
+Weighs the prefix cache against load. Calls that always went to the upstream
+with the cached history would overload it while others are idle. Calls that
+always went to the least loaded upstream would recompute the history at each
+turn, and since load reports lag, all entries would pick the same upstream
+until the next report.
 """
 
 import statistics
@@ -13,34 +14,35 @@
 from mintcleat.decisions import outliers
 from mintcleat.domain import call_messages
 
-# A report that arrives now left before the calls of this last moment reached
-# the sidecar, so they are still counted as sent since the report.
+# Seconds that a load report takes to arrive. Calls sent this shortly before it
+# came had not reached the sidecar, so the report doesn't include them.
 REPORT_LAG = 0.01
-# A full upstream generates about this much slower per call than an idle one.
-CROWDING = 0.5
-# At even weights, a move must gain this many times what a rebuild takes, also
-# where the cache can be imported: predictions err, the copy takes memory that
-# others need, and the next report may send the program back.
-STAY = 6.0
-# Known upstreams outside the subset are forgotten after this silence.
-GUEST_SECONDS = 600.0
+# A full batch slows down the generation of each call by about this fraction.
+FULL_BATCH_SLOWDOWN = 0.5
+# With equal weights, moving a program must save this many times the duration of
+# recomputing its history, even where the cache can be imported: predictions
+# err, the copy takes memory that others need, and the next load report may
+# move the program back.
+MOVE_PENALTY = 6.0
+# Upstreams outside the subset are dropped when no report came for this long.
+FORGET_SECONDS = 600.0
 READY = "ready"
 
 
 class Weights(NamedTuple):
-    """The manifest's weights; only their ratio counts."""
+    """The weights of the two costs in the manifest; only their ratio counts."""
 
     program_latency: float = 1.0
     wasted_cache: float = 1.0
 
 
 class Resident(NamedTuple):
-    """Where a program's history is cached.
+    """The upstream that holds a program's history in its prefix cache.
 
     Attributes:
         name: Instance name of the sidecar.
         tokens: Tokens of the call's context that are cached there.
-        export: Seconds to export and import the cache; 0 if impossible.
+        export: Seconds to export and import the cache; 0 if not possible.
     """
 
     name: str
@@ -49,13 +51,14 @@
 
 
 class Choice(NamedTuple):
-    """Where to send a call.
+    """The upstream that a call is sent to.
 
     Attributes:
-        moved: Whether the history must be rebuilt or imported there.
-        export: Whether importing the cache beats rebuilding it.
-        wait: Predicted wait.
-        finish: Predicted seconds to the end of the answer.
+        name: Instance name of the sidecar.
+        moved: Whether the history must be recomputed or imported there.
+        export: Whether importing the cache is faster than recomputing it.
+        wait: Predicted wait in seconds.
+        finish: Predicted seconds until the end of the answer.
         probe: Whether the call tries an ejected upstream.
     """
 
@@ -68,7 +71,14 @@
 
 
 class Switches(NamedTuple):
-    """Parts of the choice; a bench turns each off to show what it earns."""
+    """Parts of the choice that a benchmark can turn off one by one.
+
+    Attributes:
+        residency: Whether the upstream with the cached history is a candidate.
+        lag: Whether calls sent since the last load report are counted.
+        speeds: Whether measured speeds of single upstreams are used.
+        ejection: Whether slow and failing upstreams are ejected.
+    """
 
     residency: bool = True
     lag: bool = True
@@ -80,11 +90,12 @@
 
 
 class Upstream:
-    """What an entry has learned of one upstream.
+    """What an entry knows about one upstream.
 
     Attributes:
-        sent: Time and expected service of calls since the report.
-        heard: When the report came.
+        report: The newest load report.
+        received_at: When the report arrived, on the entry's clock.
+        sent: Time and expected service of each call sent since the report.
     """
 
     def __init__(self, report: call_messages.LoadReport, now: float) -> None:
@@ -93,7 +104,7 @@
         self.sent: list[tuple[float, float]] = []
 
     def take(self, report: call_messages.LoadReport, now: float) -> bool:
-        """Takes a report unless it is older than the one held."""
+        """Stores a report; returns False if it is older than the current."""
         age = (report.sidecar.epoch, report.counter)
         if age < (self.report.sidecar.epoch, self.report.counter):
             return False
@@ -103,9 +114,12 @@
         return True
 
     def wait(self, first: bool, lag: bool) -> float:
-        """Returns the predicted wait, with what was sent since the report.
+        """Returns the predicted wait in seconds.
 
-        A program's first call may also wait for memory.
+        Args:
+            first: Whether it is a program's first call, which may also have
+                to wait for memory.
+            lag: Whether to add the calls sent since the report.
         """
         report = self.report
         reported = report.new_wait if first else report.wait
@@ -117,15 +131,24 @@
         extra = sum(service for _, service in self.sent)
         return reported + extra / limit
 
-    def crowding(self) -> float:
-        """Returns the factor by which a full batch slows the call."""
+    def batch_slowdown(self) -> float:
+        """Returns the factor by which concurrent calls slow down a call."""
         report = self.report
         busy = report.running + len(self.sent)
-        return 1.0 + CROWDING * min(1.0, busy / max(1, report.limit))
+        return 1.0 + FULL_BATCH_SLOWDOWN * min(1.0, busy / max(1, report.limit))
 
 
 class Fleet:
-    """The upstreams of one service as one entry knows them."""
+    """The upstreams of one service as one entry knows them.
+
+    Attributes:
+        upstreams: Upstreams with a load report, by instance name.
+        subset: Names of the upstreams that this entry chooses among.
+        outliers: Which upstreams are ejected.
+        token_time: Median seconds per token in the subset.
+        prefill_rate: Median prompt tokens per second in the subset.
+        counter: Number of choices so far; varies the hash of each choice.
+    """
 
     def __init__(self, switches: Switches = ALL_ON) -> None:
         self.switches = switches
@@ -143,17 +166,17 @@
         self.subset = list(subset)
 
     def report(self, report: call_messages.LoadReport, now: float) -> None:
-        """Takes a load report, pushed or with an answer."""
+        """Stores a load report, either pushed or sent with an answer."""
         name = report.sidecar.instance
-        known = self.upstreams.get(name)
-        if known is None:
+        upstream = self.upstreams.get(name)
+        if upstream is None:
             self.upstreams[name] = Upstream(report, now)
-        elif not known.take(report, now):
+        elif not upstream.take(report, now):
             return
-        self._compare(name, now)
+        self._update_outliers(name, now)
 
     def answered(self, name: str, ok: bool, now: float) -> None:
-        """Counts the end of a call; refusals are not counted."""
+        """Records whether a call succeeded; refusals are not recorded."""
         self.outliers.answered(name, ok, len(self.subset), now)
 
     def forget(self, name: str) -> None:
@@ -162,13 +185,16 @@
         self.outliers.forget(name)
 
     def forget_silent(self, now: float) -> None:
-        """Drops silent upstreams outside the subset; call it each minute."""
+        """Drops silent upstreams outside the subset; call it every minute."""
         members = set(self.subset)
-        for name, known in list(self.upstreams.items()):
-            if name not in members and now - known.received_at > GUEST_SECONDS:
+        for name, upstream in list(self.upstreams.items()):
+            if (
+                name not in members
+                and now - upstream.received_at > FORGET_SECONDS
+            ):
                 self.forget(name)
 
-    def _compare(self, name: str, now: float) -> None:
+    def _update_outliers(self, name: str, now: float) -> None:
         ready = [
             self.upstreams[other].report
             for other in self.subset
@@ -187,11 +213,11 @@
             (report.token_time or self.token_time) / self.token_time,
             self.prefill_rate / (report.prefill_rate or self.prefill_rate),
         )
-        self.outliers.compared(name, slowness, len(self.subset), now)
+        self.outliers.report_slowness(name, slowness, len(self.subset), now)
 
 
 def _median(values: list[float], otherwise: float) -> float:
-    """Returns the median of what was measured; 0 stands for not measured."""
+    """Returns the median of the values above 0, which means not measured."""
     measured = [value for value in values if value > 0]
     return statistics.median(measured) if measured else otherwise
 
@@ -207,26 +233,26 @@
 ) -> Choice | None:
     """Chooses an upstream and counts the call as sent there.
 
-    Compared are the resident upstream and two others drawn by a hash of the
-    call (the published power of two choices): a constant cost whatever the
-    size of the fleet, and no rush of all entries to one least loaded.
+    Compares the upstream with the cached history and two others drawn by a
+    hash of the call ("power of two choices"). The cost doesn't depend on the
+    size of the fleet, and entries don't all pick the least loaded upstream.
 
     Args:
         fleet: The service's upstreams as this entry knows them.
-        call: Its `new_tokens` count what is new since the last turn.
+        call: The call; `new_tokens` are those since the last turn.
         resident: Where the history is cached; None for the first turn.
         weights: The manifest's weights.
-        now: The entry's clock.
-        exclude: Upstreams that refused or failed this call already.
+        now: The current time on the entry's clock.
+        exclude: Upstreams that have already refused or failed this call.
 
     Returns:
-        None when no upstream may take the call.
+        The choice, or None if no upstream can take the call.
     """
     fleet.counter += 1
-    probe = _probe(fleet, call, resident, now, exclude)
+    probe = _probe_choice(fleet, call, resident, now, exclude)
     if probe is not None:
-        return _sent(fleet, probe, now)
-    names = _draw(fleet, call, exclude)
+        return _record_sent(fleet, probe, now)
+    names = _draw_candidates(fleet, call, exclude)
     names.extend(_resident_name(fleet, resident, names, exclude))
     if not names:
         return None
@@ -234,28 +260,30 @@
         (_cost(fleet, name, call, resident, weights), name) for name in names
     ]
     _, name = min(scored)
-    return _sent(fleet, _choice(fleet, name, call, resident), now)
+    return _record_sent(fleet, _choice(fleet, name, call, resident), now)
 
 
-def _usable(fleet: Fleet, name: str, exclude: frozenset[str]) -> bool:
+def _accepts_calls(fleet: Fleet, name: str, exclude: frozenset[str]) -> bool:
     if not _ready(fleet, name, exclude):
         return False
     return not fleet.switches.ejection or fleet.outliers.allows(name)
 
 
 def _ready(fleet: Fleet, name: str, exclude: frozenset[str]) -> bool:
-    known = fleet.upstreams.get(name)
+    upstream = fleet.upstreams.get(name)
     return (
-        known is not None
-        and known.report.state == READY
+        upstream is not None
+        and upstream.report.state == READY
         and name not in exclude
     )
 
 
-def _draw(fleet: Fleet, call: calls.Call, exclude: frozenset[str]) -> list[str]:
-    """Returns up to two usable upstreams, drawn by a hash of the call.
+def _draw_candidates(
+    fleet: Fleet, call: calls.Call, exclude: frozenset[str]
+) -> list[str]:
+    """Returns up to two upstreams that accept calls, by a hash of the call.
 
-    When only ejected ones are ready, they are better than a refusal.
+    If all ready upstreams are ejected, they are used rather than refusing.
     """
     total = len(fleet.subset)
     if not total:
@@ -268,7 +296,7 @@
     for start in (first, first + step):
         for offset in range(total):
             name = fleet.subset[(start + offset) % total]
-            if name not in names and _usable(fleet, name, exclude):
+            if name not in names and _accepts_calls(fleet, name, exclude):
                 names.append(name)
                 break
     return names or _ejected_but_ready(fleet, exclude)
@@ -290,25 +318,27 @@
 ) -> list[str]:
     if resident is None or not fleet.switches.residency:
         return []
-    if resident.name in names or not _usable(fleet, resident.name, exclude):
+    if resident.name in names or not _accepts_calls(
+        fleet, resident.name, exclude
+    ):
         return []
     return [resident.name]
 
 
-def _missing(
+def _tokens_to_rebuild(
     fleet: Fleet, name: str, call: calls.Call, resident: Resident | None
 ) -> int:
-    """Returns the cached tokens that the upstream would lack."""
+    """Returns the cached tokens that are missing at the upstream."""
     if resident is None or resident.name == name:
         return 0
     return resident.tokens
 
 
-def _rebuild(
+def _rebuild_seconds(
     fleet: Fleet, name: str, call: calls.Call, resident: Resident | None
 ) -> tuple[float, bool]:
-    """Returns seconds to get the history there, and whether by export."""
-    missing = _missing(fleet, name, call, resident)
+    """Returns the seconds to get the history there, and whether by export."""
+    missing = _tokens_to_rebuild(fleet, name, call, resident)
     if not missing:
         return 0.0, False
     rebuild = missing / _prefill_rate(fleet, name)
@@ -320,18 +350,18 @@
 def _prefill_rate(fleet: Fleet, name: str) -> float:
     if not fleet.switches.speeds:
         return max(fleet.prefill_rate, 1.0)
-    # An upstream that has not been measured is taken to be like the rest:
-    # were it taken as slower it would never get a call and never be measured.
-    known = fleet.upstreams[name].report.prefill_rate
-    return max(known or fleet.prefill_rate, 1.0)
+    # An upstream that isn't measured yet counts as average. If it counted as
+    # slower, it would get no calls and never be measured.
+    measured = fleet.upstreams[name].report.prefill_rate
+    return max(measured or fleet.prefill_rate, 1.0)
 
 
-def _service(fleet: Fleet, name: str, call: calls.Call) -> float:
-    known = fleet.upstreams[name]
+def _service_seconds(fleet: Fleet, name: str, call: calls.Call) -> float:
+    upstream = fleet.upstreams[name]
     token_time = fleet.token_time
     if fleet.switches.speeds:
-        token_time = known.report.token_time or fleet.token_time
-    generate = call.expected_tokens * token_time * known.crowding()
+        token_time = upstream.report.token_time or fleet.token_time
+    generate = call.expected_tokens * token_time * upstream.batch_slowdown()
     return call.new_tokens / _prefill_rate(fleet, name) + generate
 
 
@@ -342,56 +372,57 @@
     resident: Resident | None,
     weights: Weights,
 ) -> float:
-    """Returns seconds that the choice costs, under the weights.
+    """Returns the weighted cost of an upstream in seconds.
 
-    A rebuild counts as the caller's latency, and so does an import; and as
-    wasted cache, which is memory and engine time taken from everybody.
+    Recomputing or importing the history counts twice: as latency of this call,
+    and as wasted cache, which costs all others memory and engine time.
     """
     total = max(weights.program_latency + weights.wasted_cache, 1e-9)
     latency = 2 * weights.program_latency / total
     waste = 2 * weights.wasted_cache / total
-    rebuild, _ = _rebuild(fleet, name, call, resident)
-    service = _service(fleet, name, call)
+    rebuild, _ = _rebuild_seconds(fleet, name, call, resident)
+    service = _service_seconds(fleet, name, call)
     first = call.attained == 0
     wait = fleet.upstreams[name].wait(first, fleet.switches.lag)
-    missing = _missing(fleet, name, call, resident)
+    missing = _tokens_to_rebuild(fleet, name, call, resident)
     lost = missing / _prefill_rate(fleet, name)
-    return latency * (wait + rebuild + service) + waste * STAY * lost
+    return latency * (wait + rebuild + service) + waste * MOVE_PENALTY * lost
 
 
 def _choice(
     fleet: Fleet, name: str, call: calls.Call, resident: Resident | None
 ) -> Choice:
-    rebuild, exported = _rebuild(fleet, name, call, resident)
+    rebuild, exported = _rebuild_seconds(fleet, name, call, resident)
     wait = fleet.upstreams[name].wait(call.attained == 0, fleet.switches.lag)
-    finish = wait + rebuild + _service(fleet, name, call)
+    finish = wait + rebuild + _service_seconds(fleet, name, call)
     return Choice(name, rebuild > 0, exported, wait, finish)
 
 
-def _sent(fleet: Fleet, choice: Choice, now: float) -> Choice:
-    known = fleet.upstreams[choice.name]
-    known.sent.append((now, choice.finish - choice.wait))
+def _record_sent(fleet: Fleet, choice: Choice, now: float) -> Choice:
+    upstream = fleet.upstreams[choice.name]
+    upstream.sent.append((now, choice.finish - choice.wait))
     return choice
 
 
-def _probe(
+def _probe_choice(
     fleet: Fleet,
     call: calls.Call,
     resident: Resident | None,
     now: float,
     exclude: frozenset[str],
 ) -> Choice | None:
-    """Sends one cheap call to an ejected upstream whose time is up.
+    """Returns an ejected upstream to probe with this call, if one is due.
 
-    A call with a cached history would pay for the test with a rebuild.
+    Only calls without a cached history are used, as others would have to
+    recompute theirs.
     """
     if not fleet.switches.ejection or resident is not None:
         return None
     name = fleet.outliers.probe_due(now)
-    known = fleet.upstreams.get(name or "")
-    if name is None or known is None or name in exclude:
+    upstream = fleet.upstreams.get(name or "")
+    if name is None or upstream is None or name in exclude:
         return None
-    if known.report.state != READY:
+    if upstream.report.state != READY:
         return None
-    fleet.outliers.probe(name, now)
+    fleet.outliers.probe_sent(name, now)
     return _choice(fleet, name, call, None)._replace(probe=True)
--- a/src/mintcleat/decisions/shared_load.py
+++ b/src/mintcleat/decisions/shared_load.py
@@ -1,35 +1,36 @@
-"""How many requests run at each upstream, over all entries.
-
-Made for several entries before the same upstreams. Each sees only what it sent
-itself, so chance puts 19 runs on one engine of 16 places while another has
-two, and the queue on the first costs every program there a turn's time.
-Entries report what they have running to the leader that opens their turns,
-with the opening itself, and get what the others reported. With a few openings
-a second and entry, a figure is some 50 ms old; in that time an entry places
-less than one request, but many entries together place enough to meet at the
-upstream that was emptiest: `spread.CHOICES` keeps them apart. A leader that
-is new knows nothing until each entry's next opening; an entry that hears
-nothing decides by its own requests, as if it were alone.
+"""How many requests run at each upstream, summed over all entries.
+
+Several entries share the upstreams. If each knew only its own requests, chance
+would put 19 of them on one engine with 16 slots while another has two, and
+programs at the former would wait for a whole turn. So entries report what they
+have running to the leader that opens their turns, within the request that
+opens a turn, and the reply has the counts of the other entries.
+
+With a few turns per second and entry, a count is about 50 ms old. One entry
+sends less than one request in that time, but all entries together could
+overload the least loaded upstream; `load_balancing.CHOICES` prevents that.
+A new leader knows nothing until the next turn of each entry, and an entry
+without a current reply uses its own counts alone.
 """
 
 import collections
 from collections.abc import Mapping
 
-# A report counts for so long. It is some three times as long as a turn takes;
-# an entry that neither opened nor closed a turn meanwhile has few under way.
+# Seconds for which a report counts, about three times the duration of a turn.
+# An entry that has not opened or closed a turn for longer has few running.
 MAX_AGE = 1.0
-# Upstreams that one answer names, the busiest first. It bounds the answer to
-# some 1.5 kB; those left out have less to do than any that is named.
+# Upstreams in one reply, which bounds it to about 1.5 kB. The busiest ones are
+# sent.
 MAX_UPSTREAMS = 64
 
 
 class EntryLoads:
-    """The newest report of each entry, and their sums.
+    """The newest report of each entry, and their sum.
 
     Attributes:
-        reports: When each entry reported what it has running by upstream,
-            the oldest report first.
-        totals: Requests running by upstream, over all these reports.
+        reports: Time of the report and requests running by upstream, by
+            entry; the oldest report first.
+        totals: Requests running by upstream, summed over the reports.
     """
 
     def __init__(self) -> None:
@@ -41,18 +42,18 @@
     def report(
         self, entry: str, running: Mapping[str, int], now: float
     ) -> None:
-        """Replaces what an entry reported before."""
-        self._drop(entry)
+        """Replaces the report of an entry and drops expired ones."""
+        self._remove(entry)
         self.reports[entry] = (now, running)
         self.totals.update(running)
         while self.reports:
             oldest, (at, _) = next(iter(self.reports.items()))
             if now - at <= MAX_AGE:
                 return
-            self._drop(oldest)
+            self._remove(oldest)
 
     def others(self, entry: str) -> dict[str, int]:
-        """Returns what all other entries have running, by upstream."""
+        """Returns the requests of all other entries, by upstream."""
         _, own = self.reports.get(entry, (0.0, {}))
         found = {
             upstream: count - own.get(upstream, 0)
@@ -64,7 +65,7 @@
             found = {upstream: found[upstream] for upstream in busiest}
         return found
 
-    def _drop(self, entry: str) -> None:
+    def _remove(self, entry: str) -> None:
         _, running = self.reports.pop(entry, (0.0, {}))
         for upstream, count in running.items():
             self.totals[upstream] -= count
@@ -73,19 +74,24 @@
 
 
 class OtherEntriesLoad:
-    """What one entry heard of the others' requests, and when."""
+    """The requests of all other entries, as one entry last received them.
+
+    Attributes:
+        running: Requests by upstream.
+        received_at: When the reply arrived; -inf before the first.
+    """
 
     def __init__(self) -> None:
         self.running: Mapping[str, int] = {}
         self.received_at = float("-inf")
 
     def update(self, running: Mapping[str, int], now: float) -> None:
-        """Takes an answer of the leader."""
+        """Stores the counts of a reply from the leader."""
         self.running = running
         self.received_at = now
 
     def current(self, now: float) -> Mapping[str, int]:
-        """Returns the others' requests by upstream; empty when too old."""
+        """Returns the requests by upstream; empty after `MAX_AGE`."""
         if now - self.received_at > MAX_AGE:
             return {}
         return self.running
--- a/src/mintcleat/decisions/upstream_health.py
+++ b/src/mintcleat/decisions/upstream_health.py
@@ -1,172 +1,184 @@
-"""Which upstreams an entry leaves out for a while, from what it saw fail.
-
-Made for upstreams that are gone without a word, and for those that fail or
-hang a part of their requests while the rest go well and their own health
-answers are good. One entry sends an upstream about one request a second, so
-there is no waiting for a statistic: the first failure counts, and good answers
-between failures take only a part of it back. Requests that may be repeated
-find out whether an upstream is well again, as a failure costs their callers
-no more than the time of a second try; all others keep away meanwhile.
+"""Passive health checks: excludes upstreams that fail or fall silent.
+
+Handles upstreams that vanish without deregistering, and partial failures: some
+requests fail or hang while the others and the health checks succeed. One entry
+sends an upstream about one request per second, too few for a failure rate, so
+the first failure counts and a success takes back only a part of it. Only
+repeatable requests test whether an upstream has recovered, since a failure
+costs their callers no more than a second attempt. All other requests avoid it
+until then.
 """
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
-# Pauses after failures. The first is about the time in which a restarted
-# upstream registers anew; the cap lets one that came back at the same address,
-# unheard, be tried again soon.
-FIRST_PAUSE = 0.75
-LONGEST_PAUSE = 6.0
-# What a good answer takes back of a failure: an upstream that fails more than
-# one request in four gets worse in this count, one with a lost answer or a
-# broken connection now and then stays near zero.
-FORGIVEN = 0.34
-# Without any request, half of the count is gone after so long.
-HALF_LIFE = 6.0
-# Failures beyond these would only make the way back longer.
-MOST = 5.0
-# With more failures than these, only requests that may be repeated go there:
-# for six seconds after one failure, or until two of them went well.
-TRUSTED = 0.5
+# Seconds for which a failure excludes an upstream, doubled with each further
+# failure up to the maximum. The first is about the time in which a restarted
+# upstream registers again. The maximum is short because an upstream may come
+# back at the same address without any notice.
+FIRST_EXCLUSION_SECONDS = 0.75
+MAX_EXCLUSION_SECONDS = 6.0
+# What a success subtracts from the failure count. The count of an upstream that
+# fails more than one request in four grows; with an occasional lost answer or
+# broken connection it stays near zero.
+SUCCESS_CREDIT = 0.34
+# Without requests, the failure count halves in this many seconds.
+HALF_LIFE_SECONDS = 6.0
+# Upper bound of the failure count; more would only delay the recovery.
+MAX_FAILURES = 5.0
+# Above this failure count an upstream gets only repeatable requests: for six
+# seconds after one failure, or until two of them have succeeded.
+MAX_FAILURES_NON_REPEATABLE = 0.5
 
 
 class FailurePenalty(NamedTuple):
-    """What is held against one upstream.
+    """The failure penalty of one upstream; times in seconds of the clock.
 
     Attributes:
-        failures: Failures, less what was forgiven since.
-        at: Clock at which `failures` held.
-        failed: Clock of the last failure.
-        until: Clock until which it is left out if there are others.
+        failures: Failure count at `updated_at`, reduced by successes.
+        updated_at: When `failures` last changed.
+        last_failure: When a request last failed.
+        until: Until when it is excluded, if there are other upstreams.
     """
 
     failures: float
-    at: float
-    failed: float
+    updated_at: float
+    last_failure: float
     until: float
 
-    def now(self, now: float) -> float:
-        """Returns the failures that still count at a time."""
-        return self.failures * 0.5 ** ((now - self.at) / HALF_LIFE)
+    def current(self, now: float) -> float:
+        """Returns the decayed failure count at a time."""
+        return self.failures * 0.5 ** (
+            (now - self.updated_at) / HALF_LIFE_SECONDS
+        )
 
 
 class FailurePenalties:
-    """The standing of each upstream that failed lately."""
+    """Penalties of the upstreams that failed recently.
+
+    Attributes:
+        by_upstream: The penalty of each such upstream.
+    """
 
     def __init__(self) -> None:
         self.by_upstream: dict[str, FailurePenalty] = {}
 
     def failed(self, upstream: str, now: float) -> FailurePenalty:
-        """Counts a failure; returns the standing with its pause."""
+        """Counts a failure; returns the new penalty."""
         before = self.by_upstream.get(upstream)
         failures = 1.0
         if before is not None:
-            failures = min(MOST, before.now(now) + 1.0)
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0 ** (failures - 1.0))
+            failures = min(MAX_FAILURES, before.current(now) + 1.0)
+        pause = min(
+            MAX_EXCLUSION_SECONDS,
+            FIRST_EXCLUSION_SECONDS * 2.0 ** (failures - 1.0),
+        )
         until = now + pause
         if before is not None:
             until = max(until, before.until)
-        standing = FailurePenalty(failures, now, now, until)
-        self.by_upstream[upstream] = standing
-        return standing
+        penalty = FailurePenalty(failures, now, now, until)
+        self.by_upstream[upstream] = penalty
+        return penalty
 
     def answered(self, upstream: str, began: float, now: float) -> None:
-        """Counts a good answer to a request that began at `began`.
+        """Counts a successful answer to a request that was sent at `began`.
 
-        A request that was under way when another failed proves nothing, so
-        it lifts no pause; one that began after it shows that the upstream
-        can be reached again.
+        A request sent after the last failure shows that the upstream works
+        again, so it ends the exclusion. One sent before it proves nothing.
         """
         before = self.by_upstream.get(upstream)
         if before is None:
             return
-        failures = before.now(now) - FORGIVEN
+        failures = before.current(now) - SUCCESS_CREDIT
         if failures <= 0.0:
             del self.by_upstream[upstream]
             return
-        until = now if began > before.failed else before.until
+        until = now if began > before.last_failure else before.until
         self.by_upstream[upstream] = FailurePenalty(
-            failures, now, before.failed, until
+            failures, now, before.last_failure, until
         )
 
     def allows(self, upstream: str, repeatable: bool, now: float) -> bool:
-        """Tells whether it gets a request as usual.
+        """Returns whether a request may go to the upstream.
 
         Args:
             upstream: The upstream.
-            repeatable: Whether the request may run once more elsewhere.
-            now: The clock.
+            repeatable: Whether the request may be repeated elsewhere.
+            now: The current time.
         """
-        standing = self.by_upstream.get(upstream)
-        if standing is None:
+        penalty = self.by_upstream.get(upstream)
+        if penalty is None:
             return True
-        if now < standing.until:
+        if now < penalty.until:
             return False
-        return repeatable or standing.now(now) <= TRUSTED
+        return repeatable or penalty.current(now) <= MAX_FAILURES_NON_REPEATABLE
 
     def forget(self, upstream: str) -> None:
-        """Drops an upstream that is gone."""
+        """Drops an upstream that no longer exists."""
         self.by_upstream.pop(upstream, None)
 
 
-class Wait(NamedTuple):
-    """A request that waits at an upstream.
+class PendingRequest(NamedTuple):
+    """A request that an upstream has not answered completely.
 
     Attributes:
-        since: Clock at which it was sent.
-        patience: Seconds of silence that are still usual for its route.
+        sent_at: When it was sent.
+        silence_timeout: Seconds of silence that are normal for its route.
     """
 
-    since: float
-    patience: float
+    sent_at: float
+    silence_timeout: float
 
 
 class SilenceDetector:
-    """Upstreams from which nothing comes though something is due.
+    """Detects upstreams that send nothing while requests are pending.
+
+    An upstream that hangs or lost power leaves its connections open, so its
+    requests fail only when their callers time out, seconds later. Any data from
+    it, for whichever request, shows that it is alive.
 
-    Made for an upstream that stands still or lost its power: its connections
-    stay open, and each request placed there is lost to its caller only when
-    the caller's own patience ends, seconds later. Anything that arrives from
-    it, for whichever request, shows that it lives.
+    Attributes:
+        pending_requests: Requests by upstream and request id.
+        last_received: When data last came, by upstream.
     """
 
     def __init__(self) -> None:
-        self.pending_requests: dict[str, dict[str, Wait]] = {}
+        self.pending_requests: dict[str, dict[str, PendingRequest]] = {}
         self.last_received: dict[str, float] = {}
 
     def began(
-        self, upstream: str, request: str, patience: float, now: float
+        self, upstream: str, request: str, silence_timeout: float, now: float
     ) -> None:
-        """Notes that a request was sent."""
-        self.pending_requests.setdefault(upstream, {})[request] = Wait(
-            now, patience
+        """Records that a request was sent."""
+        self.pending_requests.setdefault(upstream, {})[request] = (
+            PendingRequest(now, silence_timeout)
         )
 
     def arrived(self, upstream: str, now: float) -> None:
-        """Notes that something came from the upstream."""
+        """Records that data came from the upstream."""
         self.last_received[upstream] = now
 
     def ended(self, upstream: str, request: str) -> None:
-        """Takes the request back out."""
-        waits = self.pending_requests.get(upstream, {})
-        waits.pop(request, None)
-        if not waits:
+        """Removes a request that ended."""
+        pending = self.pending_requests.get(upstream, {})
+        pending.pop(request, None)
+        if not pending:
             self.pending_requests.pop(upstream, None)
             self.last_received.pop(upstream, None)
 
     def waiting(self, upstream: str) -> int:
-        """Returns how many requests wait there."""
+        """Returns the number of pending requests."""
         return len(self.pending_requests.get(upstream, ()))
 
     def silent(self, upstream: str, now: float) -> bool:
-        """Tells whether a request waits there for longer than is usual."""
-        waits = self.pending_requests.get(upstream)
-        if not waits:
+        """Returns whether a request has exceeded its silence timeout."""
+        pending = self.pending_requests.get(upstream)
+        if not pending:
             return False
-        heard = self.last_received.get(upstream, 0.0)
+        received = self.last_received.get(upstream, 0.0)
         return any(
-            now - max(wait.since, heard) > wait.patience
-            for wait in waits.values()
+            now - max(request.sent_at, received) > request.silence_timeout
+            for request in pending.values()
         )
 
 
@@ -177,16 +189,17 @@
     repeatable: bool,
     now: float,
 ) -> list[str]:
-    """Returns the upstreams that a request may go to as usual.
+    """Returns the upstreams that a request may go to.
 
-    All of them where none is left: a poor chance is better than a refusal.
+    Returns all of them if none is healthy, as an attempt is better than a
+    refusal.
 
     Args:
-        upstreams: Those that take new work.
-        penalties: What failed lately; None to go without.
-        silence_detector: What keeps silent; None to go without.
-        repeatable: Whether the request may run once more elsewhere.
-        now: The clock.
+        upstreams: Upstreams that accept requests.
+        penalties: Recent failures; None to ignore them.
+        silence_detector: Silent upstreams; None to ignore silence.
+        repeatable: Whether the request may be repeated elsewhere.
+        now: The current time.
     """
     found = [
         name
--- a/testing/test_evidence.py
+++ b/testing/test_evidence.py
@@ -1,4 +1,4 @@
-"""What speaks for or against an upstream, and what does not."""
+"""What counts as a success or failure of an upstream, and what does not."""
 
 import eventlet
 import testtools
@@ -29,7 +29,7 @@
             found,
         )
 
-    def test_failures_of_others_are_not_the_upstreams(self) -> None:
+    def test_errors_elsewhere_do_not_count_against_the_upstream(self) -> None:
         found = [
             evidence.of_error(errors.TurnUnrecorded("")),
             evidence.of_error(errors.UpstreamBusy("")),
@@ -46,7 +46,7 @@
             found,
         )
 
-    def test_caller_that_leaves_tells_of_silence_only(self) -> None:
+    def test_cancellation_counts_only_after_silence(self) -> None:
         self.assertEqual(
             Evidence.NEUTRAL, evidence.of_cancellation(False, 0.4, 0.5)
         )
@@ -61,9 +61,9 @@
 class ControlOutageTest(testtools.TestCase):
     """Control is lost while healthy engines answer.
 
-    Each caller's stream comes to its last event; the turn can't be recorded,
-    and the answer breaks off. Held against the engines, that puts all of them
-    out of use at once, and the next turns meet the one engine that is left.
+    Each stream reaches its last event, but the turn can't be recorded and the
+    answer is cut short. If that counted as a failure of the engines, all of
+    them would be excluded at once.
     """
 
     def setUp(self) -> None:
@@ -83,7 +83,7 @@
             X_Program_Id=f"p{number}", X_Token_Counts="10,18",
         )  # fmt: skip
 
-    def test_outage_is_held_against_nobody(self) -> None:
+    def test_outage_counts_against_no_upstream(self) -> None:
         turns = [eventlet.spawn(self.turn, number) for number in range(6)]
         with eventlet.Timeout(20):
             while len(self.system.told.of(events.CallPlaced)) < 6:
@@ -92,7 +92,7 @@
         with eventlet.Timeout(20):
             while any(self.loads.running(life) for life in self.loads.known):
                 eventlet.sleep(0.005)
-        # The turns still wait for control by now.
+        # The turns still wait for control.
         now = self.system.entry_common.timers.now()
         silent = [
             life
--- a/testing/test_place.py
+++ b/testing/test_place.py
@@ -63,7 +63,7 @@
             assert choice is not None
             self.assertEqual(("u2", False), (choice.name, choice.moved))
 
-    def test_it_leaves_when_the_wait_there_exceeds_the_rebuild(self) -> None:
+    def test_a_program_moves_when_the_wait_exceeds_the_rebuild(self) -> None:
         fleet = make_fleet()
         fleet.report(report("u2", 2, wait=30.0, running=8), 1.0)
         resident = placement.Resident("u2", 20000)
@@ -85,10 +85,10 @@
         self.assertEqual([False, True], names)
 
     def test_calls_spread_between_two_reports(self) -> None:
-        """Reports lag, and many calls come at once.
+        """Many calls arrive between two load reports.
 
-        Without counting what was sent since the report, all of them would
-        join the one upstream that the last report called idle.
+        Without counting the calls sent since the last report, all of them
+        would go to the upstream that was idle in that report.
         """
         fleet = make_fleet()
         counts: dict[str, int] = {}
@@ -102,10 +102,10 @@
         self.assertEqual(4, len(counts))
 
     def test_a_slow_upstream_is_ejected_and_returns_by_a_probe(self) -> None:
-        """One upstream reports tokens ten times slower than its peers.
+        """One upstream is ten times slower per token than its peers.
 
-        It gets no calls; when its time is up, one call tries it; after that
-        call and a healthy report it gets calls as usual.
+        It gets no calls until its ejection ends and one call probes it. After
+        that call and a healthy report it is no longer ejected.
         """
         fleet = make_fleet()
         fleet.report(report("u1", 2, token_time=0.2), 1.0)
@@ -129,7 +129,7 @@
                 fleet.answered(name, False, 1.0)
         self.assertEqual(2, len(fleet.outliers.ejected))
 
-    def test_a_draining_upstream_gets_nothing(self) -> None:
+    def test_a_draining_upstream_gets_no_calls(self) -> None:
         fleet = make_fleet(2)
         fleet.report(report("u0", 2, state="draining"), 1.0)
         resident = placement.Resident("u0", 90000)
@@ -137,7 +137,7 @@
         assert choice is not None
         self.assertEqual("u1", choice.name)
 
-    def test_no_upstream_is_told_as_none(self) -> None:
+    def test_without_upstreams_there_is_no_choice(self) -> None:
         fleet = placement.Fleet()
         self.assertIs(
             None, placement.choose(fleet, make_call(1), None, WEIGHTS, 1.0)
--- a/testing/test_place_unmeasured.py
+++ b/testing/test_place_unmeasured.py
@@ -1,4 +1,4 @@
-"""Placement on upstreams whose speed nobody has measured yet."""
+"""Placement on upstreams whose speed has not been measured yet."""
 
 import testtools
 from testtools import matchers
@@ -25,12 +25,12 @@
 
 
 class UnmeasuredTest(testtools.TestCase):
-    def test_unmeasured_upstream_gets_its_part_of_the_calls(self) -> None:
-        """Two engines are alike and one has answered a call already.
+    def test_unmeasured_upstream_gets_its_share_of_the_calls(self) -> None:
+        """Two engines are equally fast, but only one is measured.
 
-        The other was counted at a usual 30 ms a token against 1 ms, looked
-        slow, got no call, and so was never measured: one engine of two took
-        all the load of a running system.
+        Guards against a default for the other one, such as 30 ms per token
+        against a measured 1 ms: it looks slow, gets no calls and is never
+        measured, and one engine takes the whole load.
         """
         fleet = placement.Fleet()
         fleet.watch(["known", "fresh"])
--- a/testing/test_shared_load.py
+++ b/testing/test_shared_load.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of their requests, played without a network."""
+"""Entries exchange their load; simulated without a network."""
 
 import heapq
 import itertools
@@ -14,16 +14,16 @@
 SLOTS = 8
 TURN = 0.27
 ENTRIES = 27
-# From an opening to the placing: the leader's commit and the way back.
+# Seconds from opening a turn to choosing its upstream: commit and round trip.
 OPENING = 0.006
 
 
-class Play(NamedTuple):
-    """What the turns of one play met.
+class Result(NamedTuple):
+    """Result of one simulation.
 
     Attributes:
-        queued: Turns that found every place of their engine taken.
-        over: Mean difference between the fullest and the emptiest engine.
+        queued: Turns that found every slot of their engine taken.
+        over: Mean difference between the busiest and the least busy engine.
     """
 
     queued: int
@@ -31,7 +31,7 @@
 
 
 class Entry:
-    """One entry's own view, with the decisions of the roles."""
+    """One entry with its view of the load."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -54,8 +54,16 @@
         ).upstream
 
 
-def play(shared: bool, a_second: float = 460.0, outage: bool = False) -> Play:
-    """Plays 20 s of turns of 0.27 s: a queue at one engine helps nobody."""
+def simulate(
+    shared: bool, a_second: float = 460.0, outage: bool = False
+) -> Result:
+    """Simulates 20 s of turns of 0.27 s.
+
+    Args:
+        shared: Whether entries exchange their load.
+        a_second: Turns per second.
+        outage: Whether the leader is lost from second 8 to 10.
+    """
     chance = random.Random(5)
     entries = [Entry(f"e{n}") for n in range(ENTRIES)]
     entry_loads = shared_load.EntryLoads()
@@ -72,7 +80,7 @@
         now, _, kind, entry, engine = heapq.heappop(due)
         running = {name: n for name, n in entry.running.items() if n}
         if outage and 8.0 < now < 10.0:
-            # The leader is lost; its successor starts with nothing.
+            # The leader is lost, and its successor starts without reports.
             entry_loads = shared_load.EntryLoads()
         elif shared:
             entry_loads.report(entry.name, running, now)
@@ -93,36 +101,37 @@
         placed += 1
         took = TURN * chance.uniform(0.3, 1.7)
         heapq.heappush(due, (now + took, next(numbers), "end", entry, engine))
-    return Play(queued, difference / placed)
+    return Result(queued, difference / placed)
 
 
 class SharedLoadTest(testtools.TestCase):
-    """Many entries before many small engines, each with a few requests there.
+    """27 entries share 21 engines, each with a few requests at each engine.
 
-    At 460 turns a second the engines are three quarters full; every turn that
-    finds its engine full waits for a place while others stand empty. Measured
-    of some 9,200: 1,969 turns where each entry knows its own requests alone,
-    653 where they tell each other, 838 with a leader lost for two seconds.
+    At 460 turns per second the engines are three quarters full, and a turn
+    that finds its engine full waits for a slot while other engines have some
+    free. Of about 9,200 turns, 1,969 wait if each entry knows only its own
+    requests, 653 if they exchange them, and 838 if the leader is lost for two
+    seconds.
     """
 
-    def test_few_turns_wait_for_a_place(self) -> None:
-        blind, shared = play(False), play(True)
+    def test_few_turns_wait_for_a_slot(self) -> None:
+        blind, shared = simulate(False), simulate(True)
         self.assertTrue(shared.queued * 2.5 < blind.queued, (blind, shared))
         self.assertTrue(shared.over < 0.8 * blind.over, (blind, shared))
 
-    def test_lost_leader_costs_no_more_than_blindness(self) -> None:
-        blind, lost = play(False), play(True, outage=True)
+    def test_lost_leader_is_better_than_no_exchange(self) -> None:
+        blind, lost = simulate(False), simulate(True, outage=True)
         self.assertTrue(lost.queued * 2 < blind.queued, (blind, lost))
 
-    def test_entries_that_heard_the_same_do_not_all_meet(self) -> None:
-        """Placing on the least of all by stale counts: 1,499 and 9.0."""
-        shared = play(True)
+    def test_entries_do_not_all_choose_the_least_loaded_upstream(self) -> None:
+        """Choosing the least loaded of all gave 1,499 queued and 9.0 over."""
+        shared = simulate(True)
         self.assertTrue(shared.queued < 1000, shared)
         self.assertTrue(shared.over < 7.0, shared)
 
 
-class BoardTest(testtools.TestCase):
-    def test_others_are_all_but_the_asker(self) -> None:
+class EntryLoadsTest(testtools.TestCase):
+    def test_others_are_all_but_the_asking_entry(self) -> None:
         entry_loads = shared_load.EntryLoads()
         entry_loads.report("a", {"u": 3, "v": 1}, 0.0)
         entry_loads.report("b", {"u": 2}, 0.0)
@@ -138,7 +147,7 @@
         entry_loads.report("a", {}, 0.2)
         self.assertEqual({}, entry_loads.others("b"))
 
-    def test_entry_that_tells_nothing_any_more_ages(self) -> None:
+    def test_report_expires(self) -> None:
         entry_loads = shared_load.EntryLoads()
         entry_loads.report("a", {"u": 3}, 0.0)
         entry_loads.report("b", {"u": 1}, shared_load.MAX_AGE)
@@ -146,14 +155,14 @@
         entry_loads.report("b", {"u": 1}, shared_load.MAX_AGE + 0.1)
         self.assertEqual({}, entry_loads.others("b"))
 
-    def test_answer_is_bounded_and_names_the_busiest(self) -> None:
+    def test_reply_is_bounded_and_has_the_busiest(self) -> None:
         entry_loads = shared_load.EntryLoads()
         entry_loads.report("a", {f"u{n}": n + 1 for n in range(1000)}, 0.0)
         found = entry_loads.others("b")
         self.assertEqual(shared_load.MAX_UPSTREAMS, len(found))
         self.assertIn("u999", found)
 
-    def test_what_was_heard_ages(self) -> None:
+    def test_received_counts_expire(self) -> None:
         others = shared_load.OtherEntriesLoad()
         self.assertEqual(0, others.current(0.0).get("u", 0))
         others.update({"u": 4}, 10.0)
--- a/testing/test_spread.py
+++ b/testing/test_spread.py
@@ -1,4 +1,4 @@
-"""Placing routed requests, played without a network."""
+"""Load balancing of routed requests, simulated without a network."""
 
 import heapq
 import itertools
@@ -26,16 +26,16 @@
             load_balancing.Choice("a", load_balancing.RESIDENT), found
         )
 
-    def test_program_moves_from_an_upstream_that_is_a_batch_busier(
+    def test_program_leaves_an_upstream_that_is_busier_by_a_batch(
         self,
     ) -> None:
-        # Ten slots: at 11 more requests, reading anew elsewhere is sooner.
+        # Ten slots: with 11 more requests, recomputing elsewhere is faster.
         stays = load_balancing.choose(candidates(a=11, b=1, c=1), "a", "", "r")
         self.assertEqual("a", stays.upstream)
         moves = load_balancing.choose(candidates(a=12, b=1, c=1), "a", "", "r")
         self.assertNotEqual("a", moves.upstream)
 
-    def test_program_moves_from_an_upstream_that_turned_slow(self) -> None:
+    def test_program_leaves_an_upstream_that_became_slow(self) -> None:
         slow = [
             *candidates(b=3, c=3),
             load_balancing.Candidate("a", 0, 10, 4.0),
@@ -49,7 +49,7 @@
             "a", load_balancing.choose(slow, "", "p", "r").upstream
         )
 
-    def test_entries_agree_without_asking(self) -> None:
+    def test_entries_choose_the_same_upstream_for_a_key(self) -> None:
         found = {
             load_balancing.choose(
                 candidates(a=n, b=0, c=1), "", "p7", f"r{n}"
@@ -58,7 +58,7 @@
         }
         self.assertEqual(1, len(found))
 
-    def test_programs_spread_over_upstreams(self) -> None:
+    def test_programs_are_spread_over_upstreams(self) -> None:
         counts = dict.fromkeys("abcd", 0)
         for number in range(1000):
             now = [load_balancing.Candidate(n, 0, 10) for n in counts]
@@ -67,15 +67,18 @@
             ] += 1
         self.assertTrue(min(counts.values()) > 180, counts)
 
-    def test_nobody_to_choose_from(self) -> None:
+    def test_without_candidates_there_is_no_choice(self) -> None:
         self.assertIsNone(load_balancing.choose([], "a", "p", "r"))
 
 
 class SlowUpstreamLoad:
-    """Six engines, eight entries; one engine works at a fifth of its speed.
+    """Eight entries share six engines, one of which becomes slow.
 
-    A caller's answer has 11 pieces of 30 ms; on the slow engine, from second
-    5 to 12, of 150 ms. An answer of over a second is late.
+    An answer has 11 chunks, 30 ms each. From second 5 to 12 they take 150 ms
+    at the slow engine. An answer that takes over a second is late.
+
+    Attributes:
+        notices: Whether the entries use measured slowdowns.
     """
 
     def __init__(self, notices: bool) -> None:
@@ -112,31 +115,31 @@
         hint = self.random.choice(["", *self.names])
         name = load_balancing.choose(offered, hint, f"p{number}", "r").upstream
         self.running[entry][name] += 1
-        self.piece(now, entry, name, now, 0)
+        self.chunk(now, entry, name, now, 0)
 
-    def piece(
-        self, now: float, entry: int, name: str, began: float, pieces: int
+    def chunk(
+        self, now: float, entry: int, name: str, began: float, chunks: int
     ) -> None:
-        if pieces == 11:
+        if chunks == 11:
             self.running[entry][name] -= 1
             self.served += 1
             self.late += now - began > 1.0
             return
-        sick = name == "u0" and 5.0 <= now < 12.0
-        pause = self.random.uniform(0.8, 1.2) * (0.15 if sick else 0.03)
+        is_slow = name == "u0" and 5.0 <= now < 12.0
+        pause = self.random.uniform(0.8, 1.2) * (0.15 if is_slow else 0.03)
 
         def arrive(then: float) -> None:
             self.entries[entry].observe(name, pause, then)
-            self.piece(then, entry, name, began, pieces + 1)
+            self.chunk(then, entry, name, began, chunks + 1)
 
         self.at(now + pause, arrive)
 
 
-class SpeedsTest(testtools.TestCase):
+class LatencyTrackerTest(testtools.TestCase):
     def test_load_with_one_slow_upstream(self) -> None:
-        # Measured with this load: 87 of 1,500 answers late when nobody
-        # notices, 17 with it; those are under way when the engine turns slow
-        # or are the tries by which each entry learns.
+        # 87 of 1,500 answers are late without slowdown detection and 17 with
+        # it: those running when the engine becomes slow, and the samples by
+        # which each entry detects it.
         blind, seeing = SlowUpstreamLoad(False), SlowUpstreamLoad(True)
         blind.run()
         seeing.run()
@@ -152,10 +155,10 @@
         self.assertTrue(speeds.slowdown_factors(["a", "b"], 0.0)["a"] > 4.0)
         self.assertTrue(
             speeds.slowdown_factors(["a", "b"], 5.0)["a"]
-            < load_balancing.SLOW_LIMIT
+            < load_balancing.MAX_SLOWDOWN
         )
 
-    def test_few_observations_convict_nobody(self) -> None:
+    def test_few_samples_have_no_effect(self) -> None:
         speeds = load_balancing.LatencyTracker()
         speeds.observe("a", 5.0, 0.0)
         for _ in range(20):
@@ -180,11 +183,11 @@
         self.assertEqual("short", table.find("h", "/a/x").name)
         self.assertEqual("any", table.find("h", "/x").name)
 
-    def test_look_up_does_not_grow_with_the_routes_of_a_host(self) -> None:
+    def test_lookup_time_does_not_grow_with_the_routes_of_a_host(self) -> None:
         """An operator adds thousands of routes under one host.
 
-        Entries went through them one by one for each request, and had little
-        time left for serving: 3.7 ms for 10,000 routes.
+        Guards against a linear search per request: with 10,000 routes it took
+        3.7 ms, and entries had little time left to serve.
         """
 
         def seconds(count: int) -> float:
@@ -201,14 +204,14 @@
         self.assertIsNone(table.find("h", "/ab"))
         self.assertIsNone(table.find("h", "/a"))
 
-    def test_weights_share_requests_and_keep_programs_together(self) -> None:
+    def test_weights_split_requests_but_not_programs(self) -> None:
         shares = [manifest.Share("x", 90), manifest.Share("y", 10)]
         route = manifest.Route("/", shares)
         found = [routes.service_of(route, f"p{n}") for n in range(5000)]
         self.assertTrue(0.08 < found.count("y") / 5000 < 0.12)
         self.assertEqual(found[7], routes.service_of(route, "p7"))
 
-    def test_weight_of_zero_gets_nothing(self) -> None:
+    def test_weight_of_zero_gets_no_requests(self) -> None:
         shares = [manifest.Share("x", 0), manifest.Share("y", 1)]
         route = manifest.Route("/", shares)
         found = {routes.service_of(route, f"p{n}") for n in range(100)}
--- a/testing/test_standing.py
+++ b/testing/test_standing.py
@@ -1,4 +1,4 @@
-"""Leaving upstreams out, played without a network."""
+"""Passive health checks, simulated without a network."""
 
 import heapq
 import itertools
@@ -12,23 +12,23 @@
 from mintcleat.decisions import upstream_health
 
 UPSTREAMS = [f"u{n}" for n in range(6)]
-SICK = "u0"
+FAILING = "u0"
 SLOTS = 8
 SERVICE = 0.06
-# Callers leave a request that is silent for so long.
-CALLER_LEAVES = 2.0
-PATIENCE = 0.3
+# Seconds after which a caller gives up on a silent request.
+CALLER_TIMEOUT = 2.0
+SILENCE_TIMEOUT = 0.3
 
 
 class Outcome(NamedTuple):
-    """What the callers of one play got."""
+    """Requests of one simulation by their end."""
 
     served: int
     failed: int
 
 
 class Request(NamedTuple):
-    """A request; one that may be repeated is sent once more elsewhere."""
+    """A request; a repeatable one is sent once more elsewhere on an error."""
 
     name: str
     repeatable: bool
@@ -36,19 +36,19 @@
 
 
 class Entry:
-    """One entry's own view, with the decisions of the roles."""
+    """One entry with its view of the upstreams."""
 
     def __init__(self) -> None:
         self.running = dict.fromkeys(UPSTREAMS, 0)
         self.penalties = upstream_health.FailurePenalties()
-        self.silence_detector = upstream_health.SilenceDetector()
+        self.detector = upstream_health.SilenceDetector()
 
     def place(self, request: Request, now: float) -> str:
         names = [name for name in UPSTREAMS if name != request.tried]
         usable = upstream_health.healthy(
             names,
             self.penalties,
-            self.silence_detector,
+            self.detector,
             request.repeatable,
             now,
         )
@@ -62,7 +62,7 @@
             request.name,
         )
         self.running[found.upstream] += 1
-        self.silence_detector.began(found.upstream, request.name, PATIENCE, now)
+        self.detector.began(found.upstream, request.name, SILENCE_TIMEOUT, now)
         return found.upstream
 
     def ended(
@@ -74,20 +74,20 @@
         now: float,
     ) -> None:
         self.running[upstream] -= 1
-        self.silence_detector.ended(upstream, request.name)
+        self.detector.ended(upstream, request.name)
         if ok:
-            self.silence_detector.arrived(upstream, now)
+            self.detector.arrived(upstream, now)
             self.penalties.answered(upstream, began, now)
         else:
             self.penalties.failed(upstream, now)
 
 
-def play(share: float, how: str, seed: int = 1) -> Outcome:
-    """Plays 20 s of 60 requests a second from nine entries to six upstreams.
+def simulate(share: float, how: str, seed: int = 1) -> Outcome:
+    """Simulates 20 s of 60 requests per second from 9 entries to 6 upstreams.
 
-    `share` of one upstream's requests end badly: at once (`errors`) or when
-    the caller leaves (`hang`); all others take 60 ms. A third of the requests
-    may be repeated, and are after an error.
+    `share` of one upstream's requests fail: at once (`errors`) or when the
+    caller gives up (`hang`). All others take 60 ms. A third of the requests
+    are repeatable, and are repeated after an error.
     """
     chance = random.Random(seed)
     fleet = [Entry() for _ in range(9)]
@@ -104,10 +104,10 @@
         now, _, kind, entry, request, *rest = heapq.heappop(due)
         if kind == "send":
             upstream = entry.place(request, now)
-            ok = upstream != SICK or chance.random() >= share
+            ok = upstream != FAILING or chance.random() >= share
             took = SERVICE
             if not ok:
-                took = CALLER_LEAVES if how == "hang" else 0.01
+                took = CALLER_TIMEOUT if how == "hang" else 0.01
             end = (now + took, next(numbers), "end", entry, request)
             heapq.heappush(due, (*end, upstream, now, ok))
             continue
@@ -123,63 +123,63 @@
     return Outcome(served, failed)
 
 
-class GreyUpstreamTest(testtools.TestCase):
-    """An upstream fails a part of its requests; its health answers are good.
+class PartialFailureTest(testtools.TestCase):
+    """An upstream fails some requests while its health checks succeed.
 
-    Each of nine entries sends it one request a second. Where a good answer
-    takes all of a failure back, requests that can't be repeated go there
-    between its failures, and callers lose them for as long as it is sick: of
-    1,200 requests 38 with errors and 40 with hangs, now 16 and 26.
+    Each of nine entries sends it about one request per second. If a success
+    cleared the whole failure count, requests that can't be repeated would go
+    there between failures: of 1,200 requests, 38 were lost to errors and 40 to
+    hangs that way, against 16 and 26.
     """
 
     def test_errors_reach_few_callers(self) -> None:
-        self.assertThat(play(0.4, "errors").failed, matchers.LessThan(25))
+        self.assertThat(simulate(0.4, "errors").failed, matchers.LessThan(25))
 
     def test_hangs_reach_few_callers(self) -> None:
-        self.assertThat(play(0.4, "hang").failed, matchers.LessThan(34))
+        self.assertThat(simulate(0.4, "hang").failed, matchers.LessThan(34))
 
-    def test_upstream_that_answers_nothing_costs_each_entry_little(
+    def test_silent_upstream_costs_each_entry_few_requests(
         self,
     ) -> None:
-        # 43 where only the end of a caller's patience tells; now 34.
-        self.assertThat(play(1.0, "hang").failed, matchers.LessThan(40))
+        # 34 fail, and 43 if only the timeouts of callers count as failures.
+        self.assertThat(simulate(1.0, "hang").failed, matchers.LessThan(40))
 
-    def test_upstream_that_fails_everything_is_tried_at_no_cost(self) -> None:
-        # 41 where any request tries it again; now 5.
-        self.assertThat(play(1.0, "errors").failed, matchers.LessThan(12))
+    def test_upstream_that_fails_everything_costs_few_requests(self) -> None:
+        # 5 fail, and 41 if any request may test whether it has recovered.
+        self.assertThat(simulate(1.0, "errors").failed, matchers.LessThan(12))
 
-    def test_rare_failures_cost_no_more_than_they_are(self) -> None:
-        # One answer in twenty lost is a trouble of all upstreams at times;
-        # leaving them out for long would drown the rest.
-        self.assertThat(play(0.05, "errors").failed, matchers.LessThan(12))
-        self.assertEqual(0, play(0.0, "errors").failed)
+    def test_rare_failures_exclude_no_upstream_for_long(self) -> None:
+        # One answer in twenty can fail at all upstreams at times. Excluding
+        # them for long would overload the rest.
+        self.assertThat(simulate(0.05, "errors").failed, matchers.LessThan(12))
+        self.assertEqual(0, simulate(0.0, "errors").failed)
 
 
-class StandingsTest(testtools.TestCase):
-    def test_pauses_double_up_to_the_cap(self) -> None:
+class FailurePenaltiesTest(testtools.TestCase):
+    def test_exclusions_double_up_to_the_maximum(self) -> None:
         penalties = upstream_health.FailurePenalties()
         found = [penalties.failed("a", 0.0).until for _ in range(6)]
         self.assertEqual([0.75, 1.5, 3.0, 6.0, 6.0, 6.0], found)
 
-    def test_pause_ends_by_itself(self) -> None:
+    def test_exclusion_expires(self) -> None:
         penalties = upstream_health.FailurePenalties()
         penalties.failed("a", 0.0)
         self.assertFalse(penalties.allows("a", True, 0.74))
         self.assertTrue(penalties.allows("a", True, 0.75))
 
-    def test_answer_to_an_earlier_request_lifts_no_pause(self) -> None:
+    def test_answer_to_an_earlier_request_ends_no_exclusion(self) -> None:
         penalties = upstream_health.FailurePenalties()
         penalties.failed("a", 10.0)
         penalties.answered("a", 9.0, 10.1)
         self.assertFalse(penalties.allows("a", True, 10.2))
 
-    def test_answer_to_a_later_request_lifts_the_pause(self) -> None:
+    def test_answer_to_a_later_request_ends_the_exclusion(self) -> None:
         penalties = upstream_health.FailurePenalties()
         penalties.failed("a", 10.0)
         penalties.answered("a", 10.05, 10.1)
         self.assertTrue(penalties.allows("a", True, 10.1))
 
-    def test_failures_that_recur_are_not_forgotten_between(self) -> None:
+    def test_recurring_failures_add_up_despite_successes(self) -> None:
         penalties = upstream_health.FailurePenalties()
         for at in (0.0, 1.0, 2.0):
             penalties.failed("a", at)
@@ -188,20 +188,20 @@
             penalties.failed("a", 3.0).until - 3.0, matchers.GreaterThan(2.0)
         )
 
-    def test_requests_that_may_not_repeat_keep_away_for_longer(self) -> None:
+    def test_non_repeatable_requests_avoid_it_for_longer(self) -> None:
         penalties = upstream_health.FailurePenalties()
         penalties.failed("a", 0.0)
         self.assertFalse(penalties.allows("a", False, 5.9))
         self.assertTrue(penalties.allows("a", False, 6.1))
 
-    def test_good_answers_bring_all_requests_back(self) -> None:
+    def test_successes_readmit_all_requests(self) -> None:
         penalties = upstream_health.FailurePenalties()
         penalties.failed("a", 0.0)
         for at in (1.0, 1.1):
             penalties.answered("a", at, at)
         self.assertTrue(penalties.allows("a", False, 1.2))
 
-    def test_standing_fades_without_requests(self) -> None:
+    def test_penalty_decays_without_requests(self) -> None:
         penalties = upstream_health.FailurePenalties()
         for _ in range(5):
             penalties.failed("a", 0.0)
@@ -210,29 +210,29 @@
         )
 
 
-class SilencesTest(testtools.TestCase):
-    def test_silence_counts_from_the_sending(self) -> None:
-        silence_detector = upstream_health.SilenceDetector()
-        silence_detector.began("a", "r1", 0.5, 10.0)
-        self.assertFalse(silence_detector.silent("a", 10.5))
-        self.assertTrue(silence_detector.silent("a", 10.6))
-
-    def test_any_sign_of_life_ends_it(self) -> None:
-        silence_detector = upstream_health.SilenceDetector()
-        silence_detector.began("a", "r1", 0.5, 10.0)
-        silence_detector.arrived("a", 10.6)
-        self.assertFalse(silence_detector.silent("a", 10.7))
-        self.assertTrue(silence_detector.silent("a", 11.2))
-
-    def test_each_route_has_its_own_patience(self) -> None:
-        silence_detector = upstream_health.SilenceDetector()
-        silence_detector.began("a", "slow", 3.0, 10.0)
-        self.assertFalse(silence_detector.silent("a", 12.0))
-        silence_detector.began("a", "fast", 0.5, 12.0)
-        self.assertTrue(silence_detector.silent("a", 12.6))
-
-    def test_nothing_under_way_is_no_silence(self) -> None:
-        silence_detector = upstream_health.SilenceDetector()
-        silence_detector.began("a", "r1", 0.5, 10.0)
-        silence_detector.ended("a", "r1")
-        self.assertFalse(silence_detector.silent("a", 20.0))
+class SilenceDetectorTest(testtools.TestCase):
+    def test_silence_counts_from_sending(self) -> None:
+        detector = upstream_health.SilenceDetector()
+        detector.began("a", "r1", 0.5, 10.0)
+        self.assertFalse(detector.silent("a", 10.5))
+        self.assertTrue(detector.silent("a", 10.6))
+
+    def test_any_data_ends_the_silence(self) -> None:
+        detector = upstream_health.SilenceDetector()
+        detector.began("a", "r1", 0.5, 10.0)
+        detector.arrived("a", 10.6)
+        self.assertFalse(detector.silent("a", 10.7))
+        self.assertTrue(detector.silent("a", 11.2))
+
+    def test_each_route_has_its_own_timeout(self) -> None:
+        detector = upstream_health.SilenceDetector()
+        detector.began("a", "slow", 3.0, 10.0)
+        self.assertFalse(detector.silent("a", 12.0))
+        detector.began("a", "fast", 0.5, 12.0)
+        self.assertTrue(detector.silent("a", 12.6))
+
+    def test_without_requests_there_is_no_silence(self) -> None:
+        detector = upstream_health.SilenceDetector()
+        detector.began("a", "r1", 0.5, 10.0)
+        detector.ended("a", "r1")
+        self.assertFalse(detector.silent("a", 20.0))
