--- a/src/mintcleat/decisions/__init__.py
+++ b/src/mintcleat/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load, free of I/O and of any clock of their own."""
+"""Scheduling and load decisions; they do no I/O and read no clock."""
--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -1,12 +1,12 @@
-"""What becomes of a program's KV cache while its tool runs.
+"""Retention of a program's KV cache while its tool runs.
 
-Made for engines whose memory holds fewer histories than there are programs
-under way. Dropped at each pause, every turn rebuilds its history; held
-without limit, hung and abandoned programs crowd out the live ones; evicted by
-age, the engine drops just those that are about to return.
+For engines whose memory holds fewer histories than there are programs in
+progress. If caches were dropped at each pause, every turn would recompute its
+history. If they were held without limit, hung and abandoned programs would
+take the memory. And eviction by age drops the caches that are about to be used.
 
-The policy is the published retention over tool pauses: hold, export or drop
-by expected cost.
+So each cache is held, exported or dropped by expected cost, based on the
+learned duration of tool pauses.
 """
 
 import dataclasses
@@ -15,33 +15,33 @@
 
 from mintcleat.decisions import pauses
 
-# A pause this many times longer than nearly all of its tool is a hung tool
-# or an abandoned program.
+# A pause counts as hung (or its program as abandoned) when it is this many
+# times as long as the given quantile of its tool's pauses.
 HUNG_FACTOR = 4.0
 HUNG_QUANTILE = 0.99
-# The bound lies between these whatever the histogram says: a fast tool gets
-# time for a retry of its own, and nothing is held longer than ten minutes.
+# Limits of that duration: a fast tool gets time for a retry of its own, and
+# nothing is held for more than ten minutes.
 MIN_HUNG_SECONDS = 30.0
 MAX_HUNG_SECONDS = 600.0
-# Histograms kept, about 400 bytes each.
+# Histograms to keep, about 400 bytes each.
 MAX_TOOLS = 512
-# A cache expected back within this is not worth evicting: a rebuild of a
-# usual history, with its share of the engine, takes about as long.
+# A cache that will be used within this time isn't worth evicting: recomputing
+# an average history on a shared engine takes about as long.
 SOON_SECONDS = 4.0
-# Under this part of the memory, holding costs nothing.
-FREE_PRESSURE = 0.8
+# Fraction of the memory in use below which holding a cache costs nothing.
+PRESSURE_THRESHOLD = 0.8
 
 
 @dataclasses.dataclass(frozen=True)
 class Hold:
-    """Keep the cache until `until`, then ask again."""
+    """Keep the cache until the time `until`, then decide again."""
 
     until: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Export:
-    """Write the cache out, then release it."""
+    """Export the cache, then release it."""
 
     program: str
 
@@ -58,14 +58,15 @@
 
 
 class Options(NamedTuple):
-    """What holding is weighed by.
+    """Parameters of the retention policy.
 
     Attributes:
         memory: Tokens that the engine can hold.
-        prefill_rate: Prompt tokens a second that a rebuild computes.
-        export_rate: Tokens a second of an export or import; 0 if impossible.
-        by_pause: Whether victims are chosen by expected return, not by age.
-        bounded: Whether hung pauses are cut off.
+        prefill_rate: Prompt tokens per second when a history is recomputed.
+        export_rate: Tokens per second of an export or import; 0 if the engine
+            has none.
+        by_pause: Whether victims are chosen by expected use rather than age.
+        bounded: Whether the caches of hung pauses are evicted.
     """
 
     memory: int
@@ -76,10 +77,12 @@
 
 
 class Paused(NamedTuple):
-    """A program whose cache is held while it is between calls.
+    """A program between two calls whose cache is held.
 
     Attributes:
-        tool: Name under which pauses are learned, as `agent/tool`.
+        program: Program id.
+        tool: Key of the pause histogram, as `agent/tool`.
+        tokens: Size of the cache.
         since: When its last call ended.
         waiting: Whether its next call waits in the queue.
     """
@@ -92,7 +95,13 @@
 
 
 class PausedCaches:
-    """Caches of paused programs in one engine's memory."""
+    """Caches of paused programs in the memory of one engine.
+
+    Attributes:
+        held: Paused programs by program id.
+        tokens: Sum of the cache sizes.
+        histograms: Durations of pauses by tool.
+    """
 
     def __init__(self, options: Options) -> None:
         self.options = options
@@ -103,17 +112,17 @@
     def paused(
         self, program: str, tool: str, tokens: int, now: float
     ) -> Action:
-        """Notes that a call ended and its program's cache is still there."""
+        """Records that a call ended; returns what to do with the cache."""
         self._forget(program)
         self.held[program] = Paused(program, tool, tokens, now)
         self.tokens += tokens
         return self.decide(program, now)
 
     def called(self, program: str, now: float) -> int:
-        """Learns the pause; returns the cached tokens that the call can use.
+        """Records that a program's next call waits; returns the cached tokens.
 
-        From here to its start the cache is not evicted: the call that makes
-        room for itself would only change places with this one.
+        The cache isn't evicted until the call starts. Evicting it would free
+        memory for another call at the price of recomputing this history.
         """
         paused = self.held.get(program)
         if paused is None or paused.waiting:
@@ -123,56 +132,56 @@
         return paused.tokens
 
     def refused(self, program: str, now: float) -> None:
-        """Notes that a call was not taken; its cache may go again."""
+        """Records that a call was refused; its cache may be evicted again."""
         paused = self.held.get(program)
         if paused is not None:
             self.held[program] = paused._replace(waiting=False, since=now)
 
     def started(self, program: str) -> None:
-        """Notes that the call runs; its memory is the engine's own now."""
+        """Records that the call runs; the engine manages its memory now."""
         self._forget(program)
 
-    def missed(self, tool: str, seconds: float) -> None:
-        """Learns a pause whose cache was dropped before its end.
+    def pause_ended_uncached(self, tool: str, seconds: float) -> None:
+        """Records the duration of a pause whose cache was already dropped.
 
-        Left out, only short pauses would be learned, and the rest believed
-        never to return.
+        Without these, only short pauses would be counted, and longer ones
+        would look as if their programs never returned.
         """
         self.histogram(tool).add(seconds)
 
     def gone(self, program: str) -> bool:
-        """Forgets a program that ended; tells whether memory is to release."""
+        """Removes a program that ended; returns whether it held a cache."""
         paused = self._forget(program)
         if paused is None:
             return False
         if not paused.waiting:
-            self.histogram(paused.tool).add_gone()
+            self.histogram(paused.tool).add_abandoned()
         return True
 
     def decide(self, program: str, now: float) -> Action:
         """Returns what to do with the cache of a paused program."""
         paused = self.held[program]
-        if now >= self._hung_at(paused):
-            return self._put_out(paused)
+        if now >= self._hung_after(paused):
+            return self._evict(paused)
         if self._export_is_cheaper(paused, now):
-            return self._put_out(paused)
-        return Hold(self._hung_at(paused))
+            return self._evict(paused)
+        return Hold(self._hung_after(paused))
 
     def sweep(self, now: float) -> list[Action]:
-        """Returns what to release because its pause grew too long."""
+        """Evicts the caches of hung pauses; returns the actions."""
         hung = [
             paused
             for paused in self.held.values()
-            if now >= self._hung_at(paused)
+            if now >= self._hung_after(paused)
         ]
-        return [self._put_out(paused) for paused in hung]
+        return [self._evict(paused) for paused in hung]
 
     def victims(self, needed: int, now: float) -> list[Action]:
-        """Frees `needed` tokens, least expected benefit first.
+        """Frees `needed` tokens, caches of the lowest value first.
 
-        Rebuild time and memory both grow with the tokens, so what counts is
-        the chance of return over the expected rest of the pause: the
-        cache that will be used furthest in the future goes first.
+        The time to recompute a cache and the memory it takes both grow with
+        its tokens. So its value is the probability of use divided by the
+        expected time until then.
         """
         ranked = sorted(
             self.held.values(), key=lambda paused: self._value(paused, now)
@@ -186,40 +195,40 @@
         return actions
 
     def _shorten(self, paused: Paused, needed: int) -> Action:
-        """Drops no more of a history than is needed, from its end.
+        """Drops only as many tokens as needed, from the end of the history.
 
-        A prefix cache can use what is left of it.
+        The remaining prefix is still useful to a prefix cache.
         """
         keep = paused.tokens - needed
         if keep <= 0:
-            return self._put_out(paused)
+            return self._evict(paused)
         self.held[paused.program] = paused._replace(tokens=keep)
         self.tokens -= needed
         return Drop(paused.program, keep)
 
     def expected_soon(self, now: float) -> int:
-        """Returns the tokens of caches that will probably be used soon.
+        """Returns the tokens of caches expected to be used soon.
 
-        Evicting them for a call that can wait a moment gains nothing: their
-        programs come back and evict in turn.
+        Evicting them for a call that can wait gains nothing, as their programs
+        will resume and evict other caches in turn.
         """
         return sum(
             paused.tokens
             for paused in self.held.values()
-            if self._soon(paused, now)
+            if self._used_soon(paused, now)
         )
 
-    def _soon(self, paused: Paused, now: float) -> bool:
+    def _used_soon(self, paused: Paused, now: float) -> bool:
         if paused.waiting:
             return True
         histogram = self.histogram(paused.tool)
-        return histogram.left(now - paused.since) < SOON_SECONDS
+        return histogram.mean_remaining(now - paused.since) < SOON_SECONDS
 
     def histogram(self, tool: str) -> pauses.Histogram:
         """Returns the histogram of a tool.
 
-        Tool names come out of model answers; beyond a number of them, the
-        rest share one.
+        Tool names come from model output and are unbounded, so all tools
+        beyond the first `MAX_TOOLS` share one histogram.
         """
         if tool not in self.histograms and len(self.histograms) >= MAX_TOOLS:
             tool = ""
@@ -232,9 +241,11 @@
             return paused.since
         histogram = self.histogram(paused.tool)
         elapsed = now - paused.since
-        return histogram.chance(elapsed) / histogram.left(elapsed)
+        return histogram.return_probability(elapsed) / histogram.mean_remaining(
+            elapsed
+        )
 
-    def _hung_at(self, paused: Paused) -> float:
+    def _hung_after(self, paused: Paused) -> float:
         if not self.options.bounded or paused.waiting:
             return math.inf
         usual = self.histogram(paused.tool).quantile(HUNG_QUANTILE)
@@ -242,20 +253,20 @@
         return paused.since + max(MIN_HUNG_SECONDS, bound)
 
     def _export_is_cheaper(self, paused: Paused, now: float) -> bool:
-        """Tells whether exporting beats holding through the pause.
+        """Returns whether to export the cache rather than hold it.
 
-        Only under pressure, and only when the pause is long against the time
-        of the export and import themselves.
+        Only under memory pressure, and only if the expected pause is long
+        compared with the export and import.
         """
         rate = self.options.export_rate
-        if not rate or self.tokens < FREE_PRESSURE * self.options.memory:
+        if not rate or self.tokens < PRESSURE_THRESHOLD * self.options.memory:
             return False
-        moving = 2 * paused.tokens / rate
+        transfer_seconds = 2 * paused.tokens / rate
         rebuild = paused.tokens / self.options.prefill_rate
-        left = self.histogram(paused.tool).left(now - paused.since)
-        return moving < rebuild and left > 2 * moving
+        left = self.histogram(paused.tool).mean_remaining(now - paused.since)
+        return transfer_seconds < rebuild and left > 2 * transfer_seconds
 
-    def _put_out(self, paused: Paused) -> Action:
+    def _evict(self, paused: Paused) -> Action:
         self._forget(paused.program)
         rate = self.options.export_rate
         if rate and 2 * self.options.prefill_rate < rate:
--- a/src/mintcleat/decisions/calls.py
+++ b/src/mintcleat/decisions/calls.py
@@ -1,4 +1,4 @@
-"""What the decisions know of a call and of how it ended.
+"""The properties of a call and of its outcome that decisions are based on.
 
 Times are seconds on the caller's monotonic clock, sizes are engine tokens.
 """
@@ -15,20 +15,23 @@
 
 
 class Call(NamedTuple):
-    """One attempt at one upstream, as the decisions see it.
+    """One attempt at one upstream.
 
     Attributes:
-        call_id: Unique among the calls that the gate holds.
+        call_id: Id, unique among the calls that wait or run at a gate.
+        program: Program that the call belongs to.
         root: Root program; a sub-agent inherits its attained service.
+        customer: Customer of the program.
         agent: Name of the agent program in the manifest.
-        klass: `interactive` or `batch`.
-        deadline_at: Clock time by which the answer must be whole.
+        klass: Priority class, `interactive` or `batch`.
+        deadline_at: Time by which the answer must be complete.
         attained: Tokens served so far to the whole root program.
         prompt_tokens: Context of the call, cached or not.
         new_tokens: Part of `prompt_tokens` that must be computed here.
         expected_tokens: Tokens that the call will probably generate.
         gating: Whether the root program waits for this call.
-        suspect: Whether its digest was in flight when an upstream crashed.
+        suspect: Whether a request with its digest was running when an
+            upstream crashed.
     """
 
     call_id: str
@@ -50,11 +53,11 @@
     """How a started call ended.
 
     Attributes:
-        seconds: From its start to its end at the upstream.
-        first_token: From its start to the first token; 0 when unknown.
+        seconds: Time from its start to its end at the upstream.
+        first_token: Time from its start to the first token; 0 if unknown.
         computed: Prompt tokens that the upstream had to compute.
         generated: Tokens generated.
-        ok: False when the upstream failed or timed out.
+        ok: False if the upstream failed or timed out.
     """
 
     seconds: float
@@ -65,10 +68,10 @@
 
 
 def hash_fraction(*parts: object) -> float:
-    """Returns a number in [0, 1) that depends on `parts` only.
+    """Returns a hash of `parts` as a number in [0, 1).
 
-    Decisions draw from it in place of a random source, so that a test or a
-    replay with the same calls gives the same outcome.
+    It replaces random numbers, so that a test or a replay with the same calls
+    makes the same decisions.
     """
     text = "\0".join(str(part) for part in parts)
     return (xxhash.xxh3_64_intdigest(text.encode()) >> 11) / _HASH_RANGE
--- a/src/mintcleat/decisions/cold_start.py
+++ b/src/mintcleat/decisions/cold_start.py
@@ -1,32 +1,32 @@
-"""What an entry does with calls while it knows no configuration yet.
+"""Holding of calls at an entry that has no configuration yet.
 
-The load: all machines lost their power. Entries start within a second of each
-other, and each takes calls at once, since nobody else could. Control needs
-some tenths of a second more to elect its leaders.
-
-The harm: refused at once and told to come back later, callers come back after
-service does, and those that came just before are refused twice. A program
-that could spare a second is late although it was served well. Held without
-bounds, a caller would wait at an entry that is cut off, while others serve.
+After a power loss of all machines, entries start within a second of each other
+and receive calls immediately, while control needs some tenths of a second more
+to elect its leaders. If these calls were refused, their retries would come
+after service is available again, some would be refused twice, and programs
+would be late by more than the outage. If they were held without limit, callers
+would wait at an entry that is disconnected while other entries serve.
 """
 
-# A started entry has its configuration within this time, also where control
-# started with it. One that has none by then is cut off, or a quorum is gone.
+# Seconds after its start within which an entry gets its configuration, even if
+# control started at the same time. Without one by then, the entry is
+# disconnected or control has lost its quorum.
 START_SECONDS = 1.0
-# Of the time that a caller gives an answer; the rest is for coming back.
-SHARE = 0.25
-# Calls held at once; more would only queue behind each other afterwards.
+# Maximum fraction of the caller's deadline to hold a call; the rest is left for
+# a retry.
+MAX_DEADLINE_SHARE = 0.25
+# Maximum of concurrently held calls; more would queue up afterwards.
 MAX_HELD = 256
 
 
 def hold_seconds(uptime: float, deadline: float, held: int) -> float:
-    """Returns for how long to wait for a configuration; 0 to refuse.
+    """Returns the seconds to hold a call for a configuration; 0 to refuse it.
 
     Args:
         uptime: Seconds since this entry started.
         deadline: Seconds that the caller waits for its answer.
-        held: Calls that wait here already.
+        held: Calls that are already held.
     """
     if held >= MAX_HELD:
         return 0.0
-    return max(0.0, min(START_SECONDS - uptime, SHARE * deadline))
+    return max(0.0, min(START_SECONDS - uptime, MAX_DEADLINE_SHARE * deadline))
--- a/src/mintcleat/decisions/concurrency.py
+++ b/src/mintcleat/decisions/concurrency.py
@@ -1,74 +1,92 @@
-"""How many calls one upstream takes at once, learned.
+"""Adaptive concurrency limit of one upstream.
 
-Made for upstreams that publish a capacity that is wrong or changes (a plain
-service with a slow database, an engine beside a noisy neighbour). Too many
-calls at once stretch every answer without raising throughput; too few leave
-the upstream idle while callers wait in the queue.
+The capacity that an upstream announces can be wrong or change (a plain service
+with a slow database, an engine beside a noisy neighbour). Too many concurrent
+calls slow down every answer without raising throughput; too few leave the
+upstream idle while calls queue.
 """
 
 from mintcleat.decisions import calls
 
 MIN_LIMIT = 1
-# Cut to this part of the capacity and still slow, the upstream is slow by
-# itself; fewer calls would not mend it. The pace found there is the new best.
-FLOOR = 1 / 8
-# Latency may grow to this multiple of the best one seen: a batching engine
-# slows per call as it fills, and gains throughput until about here.
-TOLERANCE = 3.0
-# Failures tell of overload harder than slowness does.
-_SLOW_CUT = 0.9
-_FAILURE_CUT = 0.7
-# The best pace is forgotten at this rate per round of calls, so that one lucky
-# sample, or a faster past, does not hold the limit down for ever.
-_FORGET = 0.0005
-_GAIN = 1 / 8
+# Lowest limit as a fraction of the capacity. An upstream that is slow even
+# there isn't overloaded, so a lower limit would not help; its latency becomes
+# the new baseline.
+MIN_CAPACITY_FRACTION = 1 / 8
+# Tolerated seconds per token as a multiple of the best. A batching engine slows
+# down per call as it fills, and its throughput rises up to about this point.
+MAX_SLOWDOWN = 3.0
+# Factors on the limit after slow calls and after failures. Failures are a
+# stronger sign of overload.
+_SLOW_FACTOR = 0.9
+_FAILURE_FACTOR = 0.7
+# Relative increase of the best value per round of calls, so that a single
+# unusually fast sample or a former speed doesn't lower the limit for ever.
+_BEST_DRIFT = 0.0005
+_SMOOTHING = 1 / 8
 
 
 class Limit:
-    """Additive increase, multiplicative decrease on seconds per token."""
+    """Concurrency limit by additive increase and multiplicative decrease.
+
+    Attributes:
+        capacity: Concurrent calls that the upstream announced; upper bound.
+        limit: The current limit, with a fraction.
+        best_token_time: Baseline of seconds per token.
+        token_time: Moving average of seconds per token.
+        reduced_at: When the limit was last reduced.
+    """
 
     def __init__(self, capacity: int) -> None:
         self.capacity = max(MIN_LIMIT, capacity)
-        self.value = float(self.capacity)
-        self.best = 0.0
-        self.pace = 0.0
-        self.cut_at = 0.0
+        self.limit = float(self.capacity)
+        self.best_token_time = 0.0
+        self.token_time = 0.0
+        self.reduced_at = 0.0
 
     def current(self) -> int:
-        """Returns the calls allowed at once."""
-        return max(MIN_LIMIT, int(self.value))
+        """Returns the number of concurrent calls that are allowed."""
+        return max(MIN_LIMIT, int(self.limit))
 
     def resize(self, capacity: int) -> None:
-        """Takes a capacity that the upstream announced anew."""
+        """Sets the capacity announced by the upstream; resets the limit."""
         capacity = max(MIN_LIMIT, capacity)
         if capacity != self.capacity:
             self.capacity = capacity
-            self.value = float(capacity)
+            self.limit = float(capacity)
 
     def observe(self, outcome: calls.Outcome, running: int, now: float) -> None:
-        """Learns from one ended call; `running` counts it."""
+        """Adjusts the limit after a call ended.
+
+        Args:
+            outcome: How the call ended.
+            running: Concurrent calls at its end, itself included.
+            now: The current time in seconds.
+        """
         if not outcome.ok:
-            self._cut(_FAILURE_CUT, now, outcome.seconds)
+            self._reduce(_FAILURE_FACTOR, now, outcome.seconds)
             return
         work = max(1, outcome.generated)
         sample = (outcome.seconds - outcome.first_token) / work
-        if self.best == 0.0:
-            self.best = self.pace = sample
-        self.pace += (sample - self.pace) * _GAIN
-        self.best += self.best * _FORGET / max(1, running)
-        self.best = min(self.best, self.pace)
-        if self.pace > TOLERANCE * self.best:
-            self._cut(_SLOW_CUT, now, outcome.seconds)
+        if self.best_token_time == 0.0:
+            self.best_token_time = self.token_time = sample
+        self.token_time += (sample - self.token_time) * _SMOOTHING
+        self.best_token_time += (
+            self.best_token_time * _BEST_DRIFT / max(1, running)
+        )
+        self.best_token_time = min(self.best_token_time, self.token_time)
+        if self.token_time > MAX_SLOWDOWN * self.best_token_time:
+            self._reduce(_SLOW_FACTOR, now, outcome.seconds)
         elif running >= self.current():
-            self.value = min(self.capacity, self.value + 1 / self.value)
+            self.limit = min(self.capacity, self.limit + 1 / self.limit)
 
-    def _cut(self, factor: float, now: float, seconds: float) -> None:
-        # One cut per round of calls: all calls that overlapped one slow
-        # moment report it, and must not cut for it one by one.
-        if now - self.cut_at < seconds:
+    def _reduce(self, factor: float, now: float, seconds: float) -> None:
+        # At most one reduction per round of calls, as all calls that were
+        # running during one slow moment report it.
+        if now - self.reduced_at < seconds:
             return
-        self.cut_at = now
-        floor = max(MIN_LIMIT, self.capacity * FLOOR)
-        self.value = max(floor, self.value * factor)
-        if self.value == floor:
-            self.best = self.pace
+        self.reduced_at = now
+        floor = max(MIN_LIMIT, self.capacity * MIN_CAPACITY_FRACTION)
+        self.limit = max(floor, self.limit * factor)
+        if self.limit == floor:
+            self.best_token_time = self.token_time
--- a/src/mintcleat/decisions/control_outage.py
+++ b/src/mintcleat/decisions/control_outage.py
@@ -1,26 +1,29 @@
-"""What an entry does while it hears nothing from control.
+"""Waiting limits of an entry that can't reach control.
 
-The load: an entry that is cut off from control, with callers before it whose
-turns can't be recorded; the others go on. The harm: held for as long as an
-election may take, each of these programs is late, though another entry would
-have served it at once; and the balancer sends more, as the entry answers that
-it is ready.
+An entry that is disconnected from control can't record the turns of its
+callers, while other entries still can. If it held requests for as long as an
+election may take, each of these programs would be late although another entry
+would have served it immediately; and as the entry still reports that it is
+ready, the load balancer would send it more.
 
-The same entry can't tell its own cut from the loss of all control. Then every
-entry refuses soon, and the callers come back when told; they have tries for
-some seconds. The first second and more of such a loss is within the lease.
+An entry can't distinguish its own disconnection from an outage of all of
+control. In an outage every entry refuses early, and callers retry after the
+advised time, for some seconds. The first second or more of an outage is covered
+by the lease, within which requests are held.
 """
 
-# A turn is recorded after a leader's loss within about a second.
+# Seconds to hold a request while the lease is valid. After the loss of a
+# leader, a turn is recorded within about one second.
 ELECTION_SECONDS = 2.0
-# Without a lease: a few round trips, for control that is back just now.
+# Seconds to hold a request without a lease: a few round trips, in case control
+# is just becoming available.
 CUT_OFF_SECONDS = 0.3
-# When a caller that was refused for it should come back, to another entry.
+# Seconds after which a refused caller should retry, at another entry.
 RETRY_SECONDS = 0.2
 
 
 def hold_seconds(lease_left: float) -> float:
-    """Returns for how long a request may wait for control to record it.
+    """Returns the seconds that a request may wait for control to record it.
 
     Args:
         lease_left: Seconds left of the lease on the configuration.
--- a/src/mintcleat/decisions/customers.py
+++ b/src/mintcleat/decisions/customers.py
@@ -1,9 +1,9 @@
-"""Who sends a request, decided once at the entry.
+"""Identification of a request's customer by its key, done once at the entry.
 
-The load: 4,200 customers with several keys each, and strangers who try keys
-by the million. The harm: a customer served under another's name reads its
-history and spends its limit; a customer refused for a key that was added a
-moment ago has lost its request for nothing.
+There can be 4,200 customers with several keys each, and strangers who try
+millions of keys. A customer mistaken for another would read its history and
+use up its limit. A customer refused because its key was added a moment ago
+would lose the request.
 """
 
 from typing import NamedTuple
@@ -12,11 +12,11 @@
 
 
 class Caller(NamedTuple):
-    """Whose request it is.
+    """The sender of a request.
 
     Attributes:
-        customer: Name in the manifest; empty for nobody that it knows.
-        priority: Rank of the customer's requests; None for the route's own.
+        customer: Name in the manifest; empty if unknown.
+        priority: Priority of its requests; None for that of the route.
     """
 
     customer: str = ""
@@ -27,11 +27,11 @@
 
 
 class CallerIndex:
-    """The customers of one revision by key; one look a request.
+    """The customers of one configuration revision, by key.
 
     Attributes:
         required: Whether a request without a known key is refused.
-        callers: By digest of their keys.
+        callers: Callers by the digest of each of their keys.
     """
 
     def __init__(self, policies: manifest.Policies) -> None:
@@ -43,9 +43,9 @@
         }
 
     def find(self, key: str) -> Caller:
-        """Returns who holds a key.
+        """Returns the caller with a key, or `UNKNOWN_CALLER`.
 
         Args:
-            key: Its digest; empty when none was sent.
+            key: Digest of the key; empty if none was sent.
         """
         return self.callers.get(key, UNKNOWN_CALLER)
--- a/src/mintcleat/decisions/jitter.py
+++ b/src/mintcleat/decisions/jitter.py
@@ -1,23 +1,21 @@
-"""When callers that were refused should come back.
+"""Jitter for retry advice.
 
-The load: an outage, or upstreams that are full, and hundreds of callers are
-refused within a moment. The harm: told the same time, they come back together
-and are refused together again.
+During an outage or overload, hundreds of callers are refused within a moment.
+If all got the same retry time, they would retry together and be refused again.
 """
 
 import xxhash
 
-# Times are spread by this share to both sides.
+# Maximum jitter in either direction, as a fraction of the time.
 SPREAD = 0.4
 
 
 def retry_after(request: str, seconds: float) -> float:
-    """Returns when a refused caller should come back, in seconds.
+    """Returns the seconds after which a refused caller should retry.
 
     Args:
-        request: Id of the refused request; it decides the place in the
-            spread.
-        seconds: When service is likely to be back, about.
+        request: Id of the refused request; its hash determines the jitter.
+        seconds: Expected time until the service is available again.
     """
     part = xxhash.xxh32_intdigest(request.encode()) / 2**32
     return round(seconds * (1.0 - SPREAD + 2 * SPREAD * part), 3)
--- a/src/mintcleat/decisions/limits.py
+++ b/src/mintcleat/decisions/limits.py
@@ -1,10 +1,10 @@
-"""What an entry does about customers' limits, apart from the counting.
+"""Rate limits of customers at an entry, apart from the counting in control.
 
-The load: customers with limits of a few requests a second before twenty and
-more entries, each of which sees less than one of them a second. The harm: an
-entry that asks control before each call of a tool makes each later by a
-commit; one that has requests counted long before it needs them takes them
-from the others, who refuse what was owed.
+A customer can have a limit of a few requests per second and use twenty or more
+entries, each of which sees less than one request per second. If an entry asked
+control before every tool call, each would be delayed by a commit. If it had
+requests counted long before it needs them, other entries would refuse requests
+within the limit. So a turn also prefetches the requests expected to follow it.
 """
 
 import collections
@@ -13,19 +13,20 @@
 from mintcleat.domain import manifest
 from mintcleat.domain import program_messages
 
-# A refusal that ends so soon is waited for: sent away and back, a caller would
-# take longer, and its program has few tries.
-HOLD_SECONDS = 0.4
-# Requests waiting so at once; more would only queue behind each other.
+# A request that may be sent within this many seconds is held rather than
+# refused. A retry by the caller would take longer, and its program has few
+# attempts.
+MAX_HOLD_SECONDS = 0.4
+# Maximum of concurrently held requests; more would only queue up.
 MAX_HELD = 64
-# How fast the calls that follow a turn are learned.
-_MEMORY = 0.95
+# Decay per turn of the counts that estimate the calls after a turn.
+_DECAY = 0.95
 
 
 def limit_of(
     customer: manifest.Customer, policies: manifest.Policies
 ) -> program_messages.Limit | None:
-    """Returns what a customer's requests are counted against; None for none."""
+    """Returns the rate limit of a customer, or None if it has none."""
     if not customer.rate:
         return None
     return program_messages.Limit(
@@ -38,76 +39,76 @@
 
 
 def hold_seconds(wait: float, waited: float, held: int) -> float:
-    """Returns for how long a request of a program under way waits here.
+    """Returns how long to hold a request of a started program.
 
-    One whose program has not begun never waits: nothing is lost by sending it
-    away, and what is left of the limit is for those that have.
+    First requests of a program are never held: refusing them loses no work,
+    and the rest of the limit is left to programs that have started.
 
     Args:
-        wait: Seconds until it may be sent, as the group told.
-        waited: Seconds for which it has waited already.
-        held: Other requests that wait here.
+        wait: Seconds until the request may be sent, from the program group.
+        waited: Seconds that it has been held already.
+        held: Other requests that are held here.
 
     Returns:
-        Seconds; 0 to refuse it at once.
+        Seconds; 0 to refuse it immediately.
     """
-    if held >= MAX_HELD or waited + wait > HOLD_SECONDS:
+    if held >= MAX_HELD or waited + wait > MAX_HOLD_SECONDS:
         return 0.0
     return wait
 
 
 class Counted(NamedTuple):
-    """Requests that were counted for calls to come; good until `until`."""
+    """Requests that were counted in advance; valid until the time `until`."""
 
     count: int
     until: float
 
 
 class RequestPrefetch:
-    """Requests counted ahead of need, and how many to ask for.
+    """Requests counted in advance, and how many more to ask for.
 
     Attributes:
-        held: By customer, the oldest first.
-        turns: Turns of limited customers lately, fading.
-        calls: Other requests of theirs, fading likewise.
+        requests: Counted requests by customer, oldest first.
+        turns: Decaying count of turns of customers with limits.
+        calls: Decaying count of their other requests.
     """
 
     def __init__(self) -> None:
-        self.held: dict[str, collections.deque[Counted]] = {}
+        self.requests: dict[str, collections.deque[Counted]] = {}
         self.turns = 0.0
         self.calls = 0.0
 
     def prefetch_count(self, customer: str, now: float) -> int:
-        """Returns how many to ask for with a turn of a customer."""
-        self.turns = self.turns * _MEMORY + 1.0
-        self.calls *= _MEMORY
+        """Returns how many requests to have counted with a turn."""
+        self.turns = self.turns * _DECAY + 1.0
+        self.calls *= _DECAY
         return max(
             0, round(self.calls / self.turns) - self._left(customer, now)
         )
 
     def take(self, customer: str, now: float) -> bool:
-        """Uses one of what is held; tells whether there was one."""
+        """Uses one counted request; returns whether there was one."""
         self.calls += 1.0
         if not self._left(customer, now):
             return False
-        held = self.held[customer]
+        held = self.requests[customer]
         first = held.popleft()
         if first.count > 1:
             held.appendleft(first._replace(count=first.count - 1))
         return True
 
     def put(self, customer: str, count: int, until: float) -> None:
-        """Keeps requests that were counted; nobody may use them later."""
+        """Adds requests that were counted; they expire at `until`."""
         if count:
-            held = self.held.setdefault(customer, collections.deque())
+            held = self.requests.setdefault(customer, collections.deque())
             held.append(Counted(count, until))
 
     def _left(self, customer: str, now: float) -> int:
-        held = self.held.get(customer)
+        held = self.requests.get(customer)
         if held is None:
             return 0
         while held and held[0].until <= now:
             held.popleft()
         if not held:
-            del self.held[customer]
+            del self.requests[customer]
         return sum(item.count for item in held)
--- a/src/mintcleat/decisions/migration.py
+++ b/src/mintcleat/decisions/migration.py
@@ -1,40 +1,49 @@
-"""Which paused programs move off an overloaded or leaving upstream.
+"""Migration of paused programs off an overloaded or leaving upstream.
 
-Made for skewed demand, where the programs that settled on one upstream all
-grow, and for planned stops. Without it a leaving upstream's programs rebuild
-their histories all at once elsewhere; without bounds the moves themselves
-become the load, and two upstreams hand the same programs to and fro.
+Handles skewed demand, where the programs at one upstream all grow, and planned
+stops. Without migration, the programs of a leaving upstream would recompute
+their histories elsewhere at the same time. Without limits, migrations would
+themselves be the load, and two upstreams would swap programs back and forth.
 """
 
 from typing import NamedTuple
 
-# Below this predicted wait nothing moves: a move costs about as much.
+# Predicted wait in seconds below which nothing moves: a move costs about as
+# much.
 MIN_WAIT = 1.0
-# The target's wait must be under this part of the source's, so that a move
-# is not undone once it has levelled the two.
-TARGET_PART = 0.5
-# A program that moved stays this long, whatever the load says.
+# Maximum wait at the target as a fraction of that at the source, so that a move
+# isn't undone once it has balanced the two.
+MAX_WAIT_RATIO = 0.5
+# Minimum time between two moves of a program, whatever the load.
 SETTLE_SECONDS = 60.0
-# Exports under way at once from one upstream, and of one plan in all.
+# Maximum of concurrent moves from one upstream.
 MAX_MOVING = 4
 
 
-class Held(NamedTuple):
+class PausedProgram(NamedTuple):
     """A paused program at the source.
 
     Attributes:
-        left: Expected rest of its pause, in seconds.
+        program: Program id.
+        tokens: Size of its cache.
+        remaining_pause: Expected remaining seconds of its pause.
         moved_at: When it came from another upstream; 0 if it did not.
     """
 
     program: str
     tokens: int
-    left: float
+    remaining_pause: float
     moved_at: float = 0.0
 
 
 class Source(NamedTuple):
-    """The upstream to relieve; export rate in tokens a second, 0 for none."""
+    """The upstream to relieve.
+
+    Attributes:
+        wait: Predicted wait in seconds.
+        leaving: Whether it is about to stop.
+        export_rate: Tokens per second of an export; 0 if it has none.
+    """
 
     wait: float
     leaving: bool
@@ -42,7 +51,14 @@
 
 
 class Target(NamedTuple):
-    """An upstream that could take programs over."""
+    """An upstream that programs could move to.
+
+    Attributes:
+        name: Its name.
+        wait: Predicted wait in seconds.
+        free_memory: Free memory in tokens.
+        prefill_rate: Prompt tokens per second.
+    """
 
     name: str
     wait: float
@@ -51,7 +67,13 @@
 
 
 class Move(NamedTuple):
-    """A program to hand over; rebuilt from its history unless `export`."""
+    """A program to move.
+
+    Attributes:
+        program: Program id.
+        target: Name of the upstream to move to.
+        export: Whether to transfer its cache rather than recompute it.
+    """
 
     program: str
     target: str
@@ -59,19 +81,23 @@
 
 
 class MigrationPlanner:
-    """Plans moves off one upstream."""
+    """Plans moves off one upstream.
+
+    Attributes:
+        moving: Tokens by program, of moves in progress.
+    """
 
     def __init__(self) -> None:
         self.moving: dict[str, int] = {}
 
     def finished(self, program: str) -> None:
-        """Notes the end of a move, done or failed."""
+        """Records the end of a move, whether it succeeded or failed."""
         self.moving.pop(program, None)
 
     def plan(
         self,
         source: Source,
-        held: list[Held],
+        held: list[PausedProgram],
         targets: list[Target],
         now: float,
     ) -> list[Move]:
@@ -85,16 +111,16 @@
                 break
             if not self._movable(program, source, now):
                 continue
-            target = _best(source, program, targets, room)
+            target = _best_target(source, program, targets, room)
             if target is None:
                 continue
             room[target.name] -= program.tokens
             self.moving[program.program] = program.tokens
-            export = _export(source, program, target)
+            export = _export_is_faster(source, program, target)
             moves.append(Move(program.program, target.name, export))
         return moves
 
-    def _movable(self, held: Held, source: Source, now: float) -> bool:
+    def _movable(self, held: PausedProgram, source: Source, now: float) -> bool:
         if held.program in self.moving:
             return False
         if source.leaving:
@@ -102,23 +128,28 @@
         return not held.moved_at or now - held.moved_at >= SETTLE_SECONDS
 
 
-def _cheapest_first(held: Held) -> tuple[int, str]:
+def _cheapest_first(held: PausedProgram) -> tuple[int, str]:
     return held.tokens, held.program
 
 
-def _best(
-    source: Source, held: Held, targets: list[Target], room: dict[str, int]
+def _best_target(
+    source: Source,
+    held: PausedProgram,
+    targets: list[Target],
+    room: dict[str, int],
 ) -> Target | None:
     fitting = [
         target
         for target in targets
         if room[target.name] >= held.tokens
-        and (source.leaving or target.wait < TARGET_PART * source.wait)
+        and (source.leaving or target.wait < MAX_WAIT_RATIO * source.wait)
     ]
     return min(fitting, key=lambda target: target.wait, default=None)
 
 
-def _export(source: Source, held: Held, target: Target) -> bool:
+def _export_is_faster(
+    source: Source, held: PausedProgram, target: Target
+) -> bool:
     if not source.export_rate:
         return False
     moving = 2 * held.tokens / source.export_rate
--- a/src/mintcleat/decisions/order.py
+++ b/src/mintcleat/decisions/order.py
@@ -1,9 +1,8 @@
-"""In which order the calls of one customer and class start.
+"""Scheduling order of the calls of one customer and priority class.
 
-Made for short and long programs mixed: in arrival order, a short program
-waits at each of its turns behind the long ones. The order is the published
-least-attained-service policy for whole programs, sharpened by the learned
-rest of the program where there is evidence.
+In arrival order, a short program would wait behind long ones at each of its
+turns. So calls are ordered by least attained service of the whole program, or
+by its estimated remaining work where an estimate exists.
 """
 
 from typing import NamedTuple
@@ -11,15 +10,21 @@
 from mintcleat.decisions import calls
 from mintcleat.decisions import remaining_work
 
-# No call is put behind calls that arrive more than this after it: ageing, so
-# that none starves. The key never changes, so the queue is never re-sorted.
+# Maximum seconds by which a later call can overtake, so that none starves. The
+# key of a call doesn't change while it waits, so the queue is never re-sorted.
 MAX_DELAY = 30.0
-# A call that no one waits for yields to those that gate their program.
+# Added delay in seconds of a call that its program doesn't wait for.
 NOT_GATING_DELAY = 5.0
 
 
 class Switches(NamedTuple):
-    """Parts of the order; a bench turns each off to show what it earns."""
+    """Parts of the order that a benchmark can turn off one by one.
+
+    Attributes:
+        attained: Whether programs are ordered by service, not by arrival.
+        learned: Whether estimates of remaining work are used.
+        gating: Whether calls that their program waits for go first.
+    """
 
     attained: bool = True
     learned: bool = True
@@ -32,22 +37,29 @@
 def key(
     call: calls.Call,
     remaining: remaining_work.Remaining,
-    typical: float,
+    mean_tokens: float,
     now: float,
     switches: Switches = ALL_ON,
 ) -> float:
-    """Returns the call's place: arrival time plus the delay it can bear.
+    """Returns the sort key of a call: its arrival time plus a delay.
+
+    A program with `mean_tokens` remaining is delayed by half of `MAX_DELAY`.
+    The delay approaches the maximum as the tokens grow, so that long and very
+    long programs still differ.
 
-    A program with `typical` tokens to go is put back by half of `MAX_DELAY`.
-    The delay grows ever slower with the tokens, so that long programs are
-    still told apart from very long ones.
+    Args:
+        call: The call.
+        remaining: Expected remaining work of its program.
+        mean_tokens: Mean tokens of finished programs.
+        now: Arrival time in seconds.
+        switches: Parts of the order that are in force.
     """
     delay = 0.0
     if switches.attained:
         left = call.attained
         if switches.learned and remaining.known:
             left = remaining.tokens
-        delay = MAX_DELAY * left / (left + max(typical, 1.0))
+        delay = MAX_DELAY * left / (left + max(mean_tokens, 1.0))
     if switches.gating and not call.gating:
         delay += NOT_GATING_DELAY
     return now + min(delay, MAX_DELAY)
--- a/src/mintcleat/decisions/policy.py
+++ b/src/mintcleat/decisions/policy.py
@@ -1,8 +1,7 @@
-"""Which mechanisms decide where a request goes, as one value.
+"""Switches for the mechanisms that choose an upstream.
 
-The composition root hands it down, so that an experiment or a real process
-runs without one of them. Each is on unless an operator's measurement says
-otherwise.
+The composition root passes the policy down, so that an experiment or a real
+process can run without one of them. All are on by default.
 """
 
 import json5
@@ -12,14 +11,14 @@
 
 
 class Policy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an entry goes by when it chooses an upstream.
+    """What an entry considers when it chooses an upstream.
 
     Attributes:
         shared_load: Requests that other entries have running.
-        resident: Where the program's cache is.
-        standing: Failures that an upstream had.
-        silence: How long nothing came from an upstream.
-        speed: How slow an upstream is against its peers.
+        resident: Which upstream has the program's cache.
+        standing: Failure penalties of upstreams.
+        silence: Upstreams that send nothing while requests are pending.
+        speed: Latency of upstreams compared with their peers.
     """
 
     shared_load: bool = True
@@ -33,15 +32,16 @@
 
 
 def parse(text: str) -> Policy:
-    """Returns the policy that a JSON text with comments describes.
+    """Parses a policy from JSON with comments.
 
     Raises:
-        errors.InvalidSettings: A field is unknown or no boolean.
+        errors.InvalidSettings: The text is invalid, or a field is unknown or
+            not a boolean.
     """
     try:
         return msgspec.convert(json5.loads(text), Policy)
     except (ValueError, msgspec.ValidationError) as error:
         raise errors.InvalidSettings(
-            f"No policy: {error}",
+            f"The policy is invalid: {error}",
             remedy="docs/reference/experiments.md lists the mechanisms.",
         ) from None
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -233,8 +233,8 @@
     ) -> class_queue.QueueItem:
         options = self.options
         remaining = self.estimator.remaining(call.agent, call.attained)
-        typical = self.estimator.typical
-        place = order.key(call, remaining, typical, now, options.ordering)
+        mean_tokens = self.estimator.mean_tokens
+        place = order.key(call, remaining, mean_tokens, now, options.ordering)
         flow = call.customer if options.fair else ""
         klass = calls.INTERACTIVE
         if options.classes and call.klass == calls.BATCH:
--- a/src/mintcleat/decisions/retry.py
+++ b/src/mintcleat/decisions/retry.py
@@ -7,16 +7,22 @@
 
 # One retry per ten successes adds at most a tenth to the offered load.
 FRACTION = 0.1
-# Retries that may be saved up; also what a fresh or idle entry starts with,
-# so that a lone failure in quiet times is still retried.
+# Maximum of saved retries, which a new entry starts with, so that a single
+# failure at low load is still retried.
 RESERVE = 10.0
 # Attempts of one call, the first included. A call that failed at three
-# upstreams is more likely at fault itself.
+# upstreams is more likely the cause itself.
 MAX_ATTEMPTS = 3
 
 
 class Budget:
-    """Retry budget of one service at one entry."""
+    """Retry budget of one service at one entry.
+
+    Attributes:
+        fraction: Retries earned per success.
+        reserve: Maximum of saved retries.
+        tokens: Retries that are available.
+    """
 
     def __init__(
         self, fraction: float = FRACTION, reserve: float = RESERVE
@@ -26,13 +32,14 @@
         self.tokens = reserve
 
     def succeeded(self) -> None:
-        """Counts a call that ended well."""
+        """Counts a call that succeeded."""
         self.tokens = min(self.reserve, self.tokens + self.fraction)
 
     def take(self, attempts: int) -> bool:
-        """Tells whether a call with so many attempts may have another.
+        """Returns whether a call may be retried; if so, spends the retry.
 
-        A True answer takes the retry from the budget.
+        Args:
+            attempts: Attempts of the call so far.
         """
         if attempts >= MAX_ATTEMPTS or self.tokens < 1.0:
             return False
--- a/src/mintcleat/decisions/routes.py
+++ b/src/mintcleat/decisions/routes.py
@@ -1,4 +1,4 @@
-"""Which route serves a request, and which service of the route."""
+"""Selects the route of a request, and the service within the route."""
 
 from typing import NamedTuple
 
@@ -8,17 +8,17 @@
 
 
 class Match(NamedTuple):
-    """A route and its name in the manifest."""
+    """A matching route and its name in the manifest."""
 
     name: str
     route: manifest.Route
 
 
 class Table:
-    """The routes of one revision, ready to look up.
+    """The routes of one configuration revision, indexed for lookup.
 
-    A request costs one look per segment of its path, however many routes
-    its host has: an operator may add thousands while entries are busy.
+    A lookup takes time by the number of path segments, not of routes: an
+    operator may add thousands of routes while entries are busy.
 
     Attributes:
         hosts: Routes by host and prefix.
@@ -31,10 +31,15 @@
             prefixes[route.prefix] = Match(name, route)
 
     def find(self, host: str, path: str) -> Match | None:
-        """Returns the route with the longest prefix; a host's own first."""
-        return self._longest(host, path) or self._longest("", path)
+        """Returns the route with the longest matching prefix, or None.
 
-    def _longest(self, host: str, path: str) -> Match | None:
+        Routes of the host take precedence over those without a host.
+        """
+        return self._longest_prefix(host, path) or self._longest_prefix(
+            "", path
+        )
+
+    def _longest_prefix(self, host: str, path: str) -> Match | None:
         prefixes = self.hosts.get(host)
         if not prefixes:
             return None
@@ -49,12 +54,12 @@
 
 
 def service_of(route: manifest.Route, key: str) -> str:
-    """Returns the service of a request, by weight.
+    """Returns the service of a request, chosen by weight.
 
     Args:
-        route: With at least one share of weight above 0.
-        key: What requests that belong together have in common. They go to
-            one service, where the cache of earlier ones lies.
+        route: A route with at least one share of weight above 0.
+        key: Key that related requests share. They go to the same service,
+            which has the cache of earlier ones.
     """
     total = sum(share.weight for share in route.shares)
     point = xxhash.xxh3_64_intdigest(key.encode()) % total
--- a/src/mintcleat/decisions/send_interval.py
+++ b/src/mintcleat/decisions/send_interval.py
@@ -1,25 +1,25 @@
-"""How often a message that many receive, or that is large, may be sent.
+"""Send intervals of periodic messages under a bandwidth budget.
 
-Made for hundreds of entries that watch one sidecar, and for a sidecar that
-renews hundreds of programs. At a fixed interval the bytes grow with the
-deployment until control traffic takes the network from the answers. Each
-kind of message gets a budget instead, and its interval grows with the size.
+Hundreds of entries can watch one sidecar, and a sidecar can renew hundreds of
+programs. With a fixed interval, control traffic would grow with the deployment
+until it took bandwidth from the answers. So each kind of message has a budget,
+and its interval grows with its size.
 """
 
-# Bytes a second that one sidecar may spend on load reports, all its watchers
-# together. Three and a half sidecars stand on a node at the planned size and
-# control may take 20 KB a second there; reports take a bit over half.
+# Bytes per second of a sidecar's load reports to all its watchers. At the
+# planned size a node has 3.5 sidecars and 20 kB/s for control, of which the
+# reports take a bit over half.
 REPORT_BUDGET = 3_000.0
-# The same for the renewal of residency.
+# Bytes per second of a sidecar's residency renewals.
 RENEWAL_BUDGET = 1_000.0
 
 
 def for_budget(least: float, size: float, budget: float) -> float:
-    """Returns the seconds between two sendings.
+    """Returns the interval in seconds that keeps messages within a budget.
 
     Args:
-        least: Interval of a small deployment, in seconds.
+        least: Minimum interval in seconds.
         size: Bytes of one round, to all receivers.
-        budget: Bytes a second.
+        budget: Bytes per second.
     """
     return max(least, size / budget)
--- a/src/mintcleat/decisions/slots.py
+++ b/src/mintcleat/decisions/slots.py
@@ -97,9 +97,9 @@
         prefill_tokens: Sum of `prefilling`.
     """
 
-    def __init__(self, options: Options, pace: speed.Speed) -> None:
+    def __init__(self, options: Options, estimated_speed: speed.Speed) -> None:
         self.options = options
-        self.speed = pace
+        self.speed = estimated_speed
         self.working_set = workingset.WorkingSet()
         self.running: dict[str, Running] = {}
         self.running_of: dict[str, int] = {}
--- a/src/mintcleat/decisions/speed.py
+++ b/src/mintcleat/decisions/speed.py
@@ -1,19 +1,30 @@
-"""Learned speed of one upstream: seconds per token, prompt tokens a second."""
+"""Measured speed of one upstream: seconds per token and prefill rate."""
 
 from mintcleat.decisions import calls
 
-# Until the first call ends, an upstream counts as a usual one.
+# Assumed speed until the first call ends: seconds per token, and prompt tokens
+# per second.
 START_TOKEN_TIME = 0.03
 START_PREFILL_RATE = 5000.0
-# One sample moves the estimate by an eighth: a burst of noise is smoothed,
-# and a real change shows after about ten calls.
+# Weight of a sample in the moving averages. It smooths noise, and a real change
+# shows after about ten calls.
 _GAIN = 1 / 8
-# Prompts shorter than this measure the queue in the engine, not its speed.
+# Minimum prompt tokens of a sample. For shorter prompts, the time to the first
+# token is dominated by the queue inside the engine.
 _MIN_PREFILL_SAMPLE = 64
 
 
 class Speed:
-    """Moving averages over the calls of one upstream."""
+    """Moving averages over the calls of one upstream.
+
+    Attributes:
+        token_time: Seconds per generated token.
+        prefill_rate: Prompt tokens per second.
+        service: Seconds per call; 0 before the first.
+        samples: Number of calls.
+        token_samples: Number of samples in `token_time`.
+        prefill_samples: Number of samples in `prefill_rate`.
+    """
 
     def __init__(
         self,
@@ -28,10 +39,13 @@
         self.prefill_samples = 0
 
     def observe(self, outcome: calls.Outcome, backlog: int = 0) -> None:
-        """Learns from one call that ended well.
+        """Adds the samples of a call; failed calls are ignored.
 
-        `backlog` is the prompt tokens that were ahead of it in the engine;
-        left out, a busy engine would look slow at computing prompts.
+        Args:
+            outcome: How the call ended.
+            backlog: Prompt tokens of earlier calls that the engine computed
+                first. Without them, a busy engine would seem to have a low
+                prefill rate.
         """
         if not outcome.ok:
             return
@@ -49,21 +63,21 @@
         self.samples += 1
 
     def observe_gap(self, token_time: float) -> None:
-        """Learns from a stream under way.
+        """Adds the seconds per token of a stream that is still running.
 
-        A slow upstream would else show only when its calls end, which is
-        late in proportion to how slow it is.
+        Otherwise a slow upstream would be noticed only when its calls end, and
+        the slower it is, the later.
         """
         self.token_samples += 1
         gain = _gain(self.token_samples)
         self.token_time += (token_time - self.token_time) * gain
 
     def measured_token_time(self) -> float:
-        """Returns the learned seconds per token; 0 before any was seen."""
+        """Returns the measured seconds per token; 0 without a sample."""
         return self.token_time if self.token_samples else 0.0
 
     def measured_prefill_rate(self) -> float:
-        """Returns the learned prompt tokens a second; 0 if none was seen."""
+        """Returns the measured prompt tokens per second; 0 without a sample."""
         return self.prefill_rate if self.prefill_samples else 0.0
 
     def estimate(self, call: calls.Call) -> float:
@@ -73,9 +87,9 @@
 
 
 def _gain(samples: int) -> float:
-    """Returns the weight of a sample; the first ones are plainly averaged.
+    """Returns the weight of a sample; the first ones form a plain average.
 
-    An upstream that is far from a usual one would else be misjudged for its
-    first thirty calls, and get none of them if it looks slow.
+    Otherwise the initial values would dominate for about thirty calls, which an
+    upstream that looks too slow would never get.
     """
     return max(_GAIN, 1.0 / samples)
--- a/src/mintcleat/decisions/subset.py
+++ b/src/mintcleat/decisions/subset.py
@@ -1,32 +1,39 @@
-"""The few upstreams of a service that one entry watches.
+"""Subsetting: the upstreams of a service that one entry uses.
 
-Made for thousands of upstreams before hundreds of entries: watching all of
-them would cost each sidecar a report to every entry, several times a second.
+With thousands of upstreams and hundreds of entries, watching all of them would
+make each sidecar send a load report to every entry, several times per second.
 """
 
 from typing import NamedTuple
 
 from mintcleat.decisions import calls
 
-# Two choices among this many balance within a few percent of all, and a
-# failure domain may go without leaving an entry short.
+# Upstreams in a subset. Power-of-two-choices among this many balances load
+# within a few percent of using all, and an entry has enough upstreams left when
+# a failure domain is lost.
 SIZE = 32
 
 
 class Member(NamedTuple):
-    """An upstream as the subset sees it."""
+    """An upstream with its failure domain."""
 
     name: str
     failure_domain: str
 
 
 def choose(members: list[Member], entry: str, size: int = SIZE) -> list[str]:
-    """Returns the names that the entry watches, sorted.
-
-    Rendezvous hashing: each entry orders all upstreams by a hash of both
-    names, so a member that comes or goes changes one place in few subsets.
-    The failure domains take turns, so the loss of one leaves the rest.
-    Up to twice the size all are taken: the bookkeeping is then cheap.
+    """Returns the sorted names of the upstreams that the entry uses.
+
+    Uses rendezvous hashing: each entry ranks all upstreams by a hash of both
+    names, so adding or removing one changes a single position in few subsets.
+    Names are taken from each failure domain in turn, so that the loss of one
+    leaves the others. A service with up to twice `size` upstreams is used as a
+    whole, which is cheap enough.
+
+    Args:
+        members: All upstreams of the service.
+        entry: Name of the entry.
+        size: Number of upstreams to choose.
     """
     if len(members) <= 2 * size:
         return sorted(member.name for member in members)
--- a/testing/test_migration.py
+++ b/testing/test_migration.py
@@ -9,9 +9,11 @@
 BUSY = migration.Source(wait=10.0, leaving=False, export_rate=60_000.0)
 
 
-def make_held(count: int, moved_at: float = 0.0) -> list[migration.Held]:
+def make_paused(
+    count: int, moved_at: float = 0.0
+) -> list[migration.PausedProgram]:
     return [
-        migration.Held(f"p{number}", 5000, 5.0, moved_at)
+        migration.PausedProgram(f"p{number}", 5000, 5.0, moved_at)
         for number in range(count)
     ]
 
@@ -22,17 +24,17 @@
         self.assertEqual(
             [],
             migration.MigrationPlanner().plan(
-                source, make_held(3), TARGETS, 0.0
+                source, make_paused(3), TARGETS, 0.0
             ),
         )
 
     def test_moves_are_bounded_so_that_they_are_not_the_load(self) -> None:
         mover = migration.MigrationPlanner()
-        moves = mover.plan(BUSY, make_held(50), TARGETS, 0.0)
+        moves = mover.plan(BUSY, make_paused(50), TARGETS, 0.0)
         self.assertThat(moves, matchers.HasLength(migration.MAX_MOVING))
-        self.assertEqual([], mover.plan(BUSY, make_held(50), TARGETS, 1.0))
+        self.assertEqual([], mover.plan(BUSY, make_paused(50), TARGETS, 1.0))
         mover.finished("p0")
-        again = mover.plan(BUSY, make_held(50)[1:], TARGETS, 2.0)
+        again = mover.plan(BUSY, make_paused(50)[1:], TARGETS, 2.0)
         self.assertThat(again, matchers.HasLength(1))
 
     def test_two_overloaded_upstreams_do_not_swap_programs(self) -> None:
@@ -44,19 +46,19 @@
         self.assertEqual(
             [],
             migration.MigrationPlanner().plan(
-                BUSY, make_held(3), [target], 0.0
+                BUSY, make_paused(3), [target], 0.0
             ),
         )
 
     def test_a_program_that_has_just_come_stays(self) -> None:
-        held = make_held(3, moved_at=95.0)
+        held = make_paused(3, moved_at=95.0)
         self.assertEqual(
             [], migration.MigrationPlanner().plan(BUSY, held, TARGETS, 100.0)
         )
 
     def test_a_leaving_upstream_hands_over_whatever_the_load(self) -> None:
         source = migration.Source(wait=0.0, leaving=True)
-        held = make_held(3, moved_at=95.0)
+        held = make_paused(3, moved_at=95.0)
         moves = migration.MigrationPlanner().plan(source, held, TARGETS, 100.0)
         self.assertThat(moves, matchers.HasLength(3))
         self.assertEqual({False}, {move.export for move in moves})
@@ -64,6 +66,6 @@
     def test_a_target_is_not_filled_beyond_its_memory(self) -> None:
         target = TARGETS[0]._replace(free_memory=11_000)
         moves = migration.MigrationPlanner().plan(
-            BUSY, make_held(4), [target], 0.0
+            BUSY, make_paused(4), [target], 0.0
         )
         self.assertThat(moves, matchers.HasLength(2))
