--- a/testing/test_cache_retention.py
+++ b/testing/test_cache_retention.py
@@ -1,4 +1,4 @@
-"""What becomes of caches over tool pauses."""
+"""Retention of caches during tool pauses."""
 
 import testtools
 from testtools import matchers
@@ -8,7 +8,7 @@
 OPTIONS = cache_retention.Options(memory=100_000)
 
 
-def learned(
+def add_pauses(
     paused_caches: cache_retention.PausedCaches, tool: str, pause: float
 ) -> None:
     for number in range(10):
@@ -18,11 +18,13 @@
         paused_caches.started(name)
 
 
-class KeeperTest(testtools.TestCase):
-    def test_the_cache_used_furthest_in_the_future_goes_first(self) -> None:
+class PausedCachesTest(testtools.TestCase):
+    def test_the_cache_used_furthest_in_the_future_is_evicted_first(
+        self,
+    ) -> None:
         paused_caches = cache_retention.PausedCaches(OPTIONS)
-        learned(paused_caches, "long", 40.0)
-        learned(paused_caches, "short", 0.5)
+        add_pauses(paused_caches, "long", 40.0)
+        add_pauses(paused_caches, "short", 0.5)
         paused_caches.paused("patient", "long", 5000, 0.2)
         paused_caches.paused("soon", "short", 5000, 0.0)
         self.assertEqual(
@@ -37,11 +39,11 @@
         )
         self.assertEqual(3000, paused_caches.tokens)
 
-    def test_the_cache_of_a_waiting_call_stays(self) -> None:
-        """A program is back and its call waits in the queue.
+    def test_the_cache_of_a_waiting_call_is_not_evicted(self) -> None:
+        """The next call of a program waits, and another call needs memory.
 
-        Another call needs room. Were this cache taken, its own call would
-        rebuild it in turn and take the room of a third one, and so on.
+        If the cache were evicted, the waiting call would recompute it and evict
+        a third one in turn.
         """
         paused_caches = cache_retention.PausedCaches(OPTIONS)
         paused_caches.paused("back", "tool", 5000, 0.0)
@@ -51,9 +53,9 @@
             [cache_retention.Drop("away")], paused_caches.victims(5000, 2.0)
         )
 
-    def test_a_hung_tool_does_not_hold_memory_for_ever(self) -> None:
+    def test_the_cache_of_a_hung_tool_is_evicted(self) -> None:
         paused_caches = cache_retention.PausedCaches(OPTIONS)
-        learned(paused_caches, "quick", 0.5)
+        add_pauses(paused_caches, "quick", 0.5)
         paused_caches.paused("hung", "quick", 5000, 0.0)
         self.assertEqual([], paused_caches.sweep(29.0))
         self.assertEqual(
@@ -61,9 +63,9 @@
         )
         self.assertEqual(0, paused_caches.tokens)
 
-    def test_nothing_is_held_beyond_ten_minutes(self) -> None:
+    def test_no_cache_is_held_for_more_than_ten_minutes(self) -> None:
         paused_caches = cache_retention.PausedCaches(OPTIONS)
-        learned(paused_caches, "slow", 5000.0)
+        add_pauses(paused_caches, "slow", 5000.0)
         paused_caches.paused("p", "slow", 5000, 0.0)
         self.assertThat(paused_caches.sweep(600.0), matchers.HasLength(1))
 
@@ -74,11 +76,11 @@
         self.assertFalse(paused_caches.gone("p"))
         self.assertEqual(0, paused_caches.tokens)
 
-    def test_under_pressure_a_long_pause_is_exported(self) -> None:
+    def test_under_pressure_the_cache_of_a_long_pause_is_exported(self) -> None:
         options = OPTIONS._replace(export_rate=60_000.0)
         paused_caches = cache_retention.PausedCaches(options)
-        learned(paused_caches, "long", 40.0)
-        learned(paused_caches, "short", 0.5)
+        add_pauses(paused_caches, "long", 40.0)
+        add_pauses(paused_caches, "short", 0.5)
         paused_caches.paused("other", "short", 90_000, 0.0)
         action = paused_caches.paused("p", "long", 5000, 0.0)
         self.assertEqual(cache_retention.Export("p"), action)
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -1,4 +1,4 @@
-"""Calls that come to entries before these know a configuration."""
+"""Calls that reach an entry before it has a configuration."""
 
 from collections.abc import Callable
 import random
@@ -23,23 +23,23 @@
 
 
 class HoldTest(testtools.TestCase):
-    def test_call_waits_for_the_rest_of_the_usual_start(self) -> None:
+    def test_call_is_held_until_the_start_should_be_complete(self) -> None:
         self.assertEqual(0.75, cold_start.hold_seconds(0.25, 10.0, 0))
 
-    def test_call_waits_for_a_share_of_its_own_time_only(self) -> None:
-        # It keeps the time to be answered by another entry.
+    def test_call_is_held_for_a_fraction_of_its_deadline_only(self) -> None:
+        # The rest is left for a retry at another entry.
         self.assertEqual(0.25, cold_start.hold_seconds(0.0, 1.0, 0))
 
     def test_entry_that_should_have_started_refuses_at_once(self) -> None:
         self.assertEqual(0.0, cold_start.hold_seconds(1.0, 10.0, 0))
         self.assertEqual(0.0, cold_start.hold_seconds(60.0, 10.0, 0))
 
-    def test_calls_held_are_bounded(self) -> None:
+    def test_held_calls_are_limited(self) -> None:
         self.assertEqual(
             0.0, cold_start.hold_seconds(0.0, 4.0, cold_start.MAX_HELD)
         )
 
-    def test_refused_callers_do_not_come_back_together(self) -> None:
+    def test_refused_callers_do_not_retry_together(self) -> None:
         found = [jitter.retry_after(f"r{n}", 0.5) for n in range(400)]
         self.assertTrue(0.3 <= min(found) < 0.32)
         self.assertTrue(0.68 < max(found) <= 0.7)
@@ -47,51 +47,51 @@
         self.assertThat(max(map(tenths.count, tenths)), matchers.LessThan(130))
 
 
-class HerdTest(testtools.TestCase):
-    """All machines lose their power; callers come all the time.
+class ThunderingHerdTest(testtools.TestCase):
+    """Simulates callers during a restart of all machines.
 
-    Entries start within 0.7 s of each other and have a configuration 0.8 s
-    after the first start, as soon as control leads again. A caller that is
-    refused comes back once, to another entry; refused again, its program
-    sends the turn anew 0.1 to 0.4 s later.
+    Entries start within 0.7 s of each other and get a configuration 0.8 s after
+    the first start, when control has a leader again. A refused caller retries
+    once, at another entry. If it is refused again, its program sends the turn
+    again 0.1 to 0.4 s later.
     """
 
     def waits(self, hold: Callable[[float, float, int], float]) -> list[float]:
-        """Returns how long after service was back each call was served."""
-        chance = random.Random(7)
+        """Returns the seconds from recovery to the answer of each call."""
+        rng = random.Random(7)
         entries = [
-            (start, max(0.8, start + 0.06) + chance.uniform(0.0, 0.05))
-            for start in (chance.uniform(0.0, 0.7) for _ in range(60))
+            (start, max(0.8, start + 0.06) + rng.uniform(0.0, 0.05))
+            for start in (rng.uniform(0.0, 0.7) for _ in range(60))
         ]
         found = []
         for number in range(600):
-            came = at = chance.uniform(0.0, 0.8)
+            arrived = at = rng.uniform(0.0, 0.8)
             for attempt in range(6):
                 running = [e for e in entries if e[0] <= at]
-                start, knows = chance.choice(running or [min(entries)])
+                start, configured_at = rng.choice(running or [min(entries)])
                 at = max(at, start)
                 seconds = hold(at - start, 4.1, 0)
-                if knows <= at + seconds:
-                    at = max(at, knows)
+                if configured_at <= at + seconds:
+                    at = max(at, configured_at)
                     break
-                again = jitter.retry_after(f"{number}/{attempt}", 0.5)
+                delay = jitter.retry_after(f"{number}/{attempt}", 0.5)
                 if attempt % 2:
-                    again = chance.uniform(0.1, 0.4)
-                at += seconds + again
-            found.append(at - max(0.8, came))
+                    delay = rng.uniform(0.1, 0.4)
+                at += seconds + delay
+            found.append(at - max(0.8, arrived))
         return found
 
-    def test_calls_are_served_when_service_is_back(self) -> None:
+    def test_held_calls_are_served_as_soon_as_control_recovers(self) -> None:
         held = self.waits(cold_start.hold_seconds)
         refused = self.waits(lambda *given: 0.0)
-        # Seconds, mean: 0.02 against 0.28 where all are refused.
+        # Mean: 0.02 s, and 0.28 s if all calls are refused.
         self.assertThat(sum(held) / 600, matchers.LessThan(0.05))
         self.assertThat(sum(refused) / 600, matchers.GreaterThan(0.2))
         self.assertThat(max(held), matchers.LessThan(0.3))
 
 
 class Configuration:
-    """A configuration that arrives when the test says so."""
+    """A configuration that arrives on request of the test."""
 
     def __init__(self) -> None:
         self.registered = directory.Directory()
@@ -147,11 +147,11 @@
         return b"done"
 
     def close(self) -> None:
-        """Is whole already."""
+        """Does nothing, as the answer is complete."""
 
 
 class Upstreams:
-    """An upstream that answers at once."""
+    """An upstream that answers immediately."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
@@ -161,7 +161,7 @@
         return Answer()
 
     def forget(self, life: str) -> None:
-        """Keeps nothing."""
+        """Does nothing, as no state is kept."""
 
 
 class Reply:
@@ -206,7 +206,7 @@
         self.assertEqual(200, reply.status)
         self.assertEqual(["r1"], self.upstreams.sent)
 
-    def test_call_with_little_time_is_refused_soon_and_truly(self) -> None:
+    def test_call_with_a_short_deadline_is_refused_and_not_run(self) -> None:
         error = self.assertRaises(
             errors.ControlUnavailable,
             self.gateway.handle,
@@ -218,7 +218,7 @@
         self.configuration.arrive()
         self.assertEqual([], self.upstreams.sent)
 
-    def test_caller_that_leaves_is_never_passed_on(self) -> None:
+    def test_call_of_a_caller_that_left_is_not_sent(self) -> None:
         thread = eventlet.spawn(self.gateway.handle, self.call(4.0), Reply())
         eventlet.sleep(0.01)
         self.assertEqual(1, self.gateway.held)
--- a/testing/test_concurrency.py
+++ b/testing/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The learned concurrency limit of an upstream."""
+"""The adaptive concurrency limit of an upstream."""
 
 import testtools
 from testtools import matchers
@@ -8,7 +8,7 @@
 
 
 def run_service(limit: concurrency.Limit, workers: int, rounds: int) -> None:
-    """Full load on a service that slows once more than `workers` run."""
+    """Keeps a service full that slows down beyond `workers` calls."""
     now = 0.0
     for _ in range(rounds):
         running = limit.current()
@@ -20,7 +20,7 @@
 
 
 class LimitTest(testtools.TestCase):
-    def test_a_capacity_announced_too_high_is_found_out(self) -> None:
+    def test_a_capacity_announced_too_high_is_corrected(self) -> None:
         limit = concurrency.Limit(200)
         run_service(limit, 1000, 2)
         run_service(limit, 10, 200)
@@ -35,13 +35,13 @@
         self.assertThat(low, matchers.LessThan(32))
         self.assertThat(limit.current(), matchers.GreaterThan(60))
 
-    def test_failures_cut_once_per_round(self) -> None:
+    def test_failures_reduce_the_limit_once_per_round(self) -> None:
         limit = concurrency.Limit(100)
         for _ in range(50):
             limit.observe(calls.Outcome(1.0, ok=False), 50, 10.0)
         self.assertEqual(70, limit.current())
 
-    def test_an_upstream_slow_by_itself_is_not_starved(self) -> None:
+    def test_an_upstream_that_is_slow_at_any_load_is_not_starved(self) -> None:
         limit = concurrency.Limit(64)
         run_service(limit, 64, 2)
         for _ in range(2000):
--- a/testing/test_migration.py
+++ b/testing/test_migration.py
@@ -1,4 +1,4 @@
-"""Moves off an overloaded or leaving upstream."""
+"""Migration of programs off an overloaded or leaving upstream."""
 
 import testtools
 from testtools import matchers
@@ -18,7 +18,7 @@
     ]
 
 
-class MoverTest(testtools.TestCase):
+class MigrationPlannerTest(testtools.TestCase):
     def test_an_idle_upstream_keeps_its_programs(self) -> None:
         source = BUSY._replace(wait=0.2)
         self.assertEqual(
@@ -28,19 +28,19 @@
             ),
         )
 
-    def test_moves_are_bounded_so_that_they_are_not_the_load(self) -> None:
-        mover = migration.MigrationPlanner()
-        moves = mover.plan(BUSY, make_paused(50), TARGETS, 0.0)
+    def test_concurrent_moves_are_limited(self) -> None:
+        planner = migration.MigrationPlanner()
+        moves = planner.plan(BUSY, make_paused(50), TARGETS, 0.0)
         self.assertThat(moves, matchers.HasLength(migration.MAX_MOVING))
-        self.assertEqual([], mover.plan(BUSY, make_paused(50), TARGETS, 1.0))
-        mover.finished("p0")
-        again = mover.plan(BUSY, make_paused(50)[1:], TARGETS, 2.0)
+        self.assertEqual([], planner.plan(BUSY, make_paused(50), TARGETS, 1.0))
+        planner.finished("p0")
+        again = planner.plan(BUSY, make_paused(50)[1:], TARGETS, 2.0)
         self.assertThat(again, matchers.HasLength(1))
 
     def test_two_overloaded_upstreams_do_not_swap_programs(self) -> None:
-        """Both upstreams are busy; the other one only a little less.
+        """Both upstreams are busy, the other one only slightly less.
 
-        A move would level them at best, and the next plan would undo it.
+        A move would balance them at best, and the next plan would undo it.
         """
         target = TARGETS[0]._replace(wait=8.0)
         self.assertEqual(
@@ -50,13 +50,13 @@
             ),
         )
 
-    def test_a_program_that_has_just_come_stays(self) -> None:
+    def test_a_program_that_has_just_moved_stays(self) -> None:
         held = make_paused(3, moved_at=95.0)
         self.assertEqual(
             [], migration.MigrationPlanner().plan(BUSY, held, TARGETS, 100.0)
         )
 
-    def test_a_leaving_upstream_hands_over_whatever_the_load(self) -> None:
+    def test_a_leaving_upstream_moves_programs_at_any_load(self) -> None:
         source = migration.Source(wait=0.0, leaving=True)
         held = make_paused(3, moved_at=95.0)
         moves = migration.MigrationPlanner().plan(source, held, TARGETS, 100.0)
--- a/testing/test_remaining_work.py
+++ b/testing/test_remaining_work.py
@@ -1,16 +1,16 @@
-"""What is left of a program, from what finished."""
+"""Estimates of the remaining work of programs."""
 
 import testtools
 
 from mintcleat.decisions import remaining_work
 
 
-class LearnerTest(testtools.TestCase):
-    def test_without_evidence_the_attained_service_stands_in(self) -> None:
+class EstimatorTest(testtools.TestCase):
+    def test_without_samples_the_attained_service_is_the_estimate(self) -> None:
         remaining = remaining_work.Estimator().remaining("new", 700)
         self.assertEqual((700.0, False), (remaining.tokens, remaining.known))
 
-    def test_a_program_past_the_short_ones_has_long_to_go(self) -> None:
+    def test_a_program_longer_than_the_short_ones_has_much_left(self) -> None:
         estimator = remaining_work.Estimator()
         for _ in range(20):
             estimator.finished("agent", 500, 3)
@@ -20,7 +20,7 @@
         self.assertEqual(10_150.0, early.tokens)
         self.assertEqual(18_000.0, late.tokens)
 
-    def test_a_changed_agent_is_learned_anew(self) -> None:
+    def test_the_estimate_adapts_to_a_changed_agent(self) -> None:
         estimator = remaining_work.Estimator()
         for _ in range(600):
             estimator.finished("agent", 100, 2)
--- a/testing/test_retry.py
+++ b/testing/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries never multiply an overload."""
+"""The retry budget."""
 
 import testtools
 from testtools import matchers
@@ -7,10 +7,10 @@
 
 
 class BudgetTest(testtools.TestCase):
-    def test_an_outage_is_not_multiplied(self) -> None:
+    def test_an_outage_does_not_multiply_the_load(self) -> None:
         """Every call fails, so no success refills the budget.
 
-        A thousand calls make ten retries in all, not two thousand.
+        A thousand calls lead to ten retries in total, not two thousand.
         """
         budget = retry.Budget()
         retries = sum(budget.take(1) for _ in range(1000))
@@ -24,5 +24,5 @@
             retries += budget.take(1)
         self.assertThat(retries, matchers.LessThan(112))
 
-    def test_one_call_has_three_attempts_at_most(self) -> None:
+    def test_a_call_has_at_most_three_attempts(self) -> None:
         self.assertFalse(retry.Budget().take(retry.MAX_ATTEMPTS))
--- a/testing/test_shared_load.py
+++ b/testing/test_shared_load.py
@@ -23,11 +23,11 @@
 
     Attributes:
         queued: Turns that found every slot of their engine taken.
-        over: Mean difference between the busiest and the least busy engine.
+        imbalance: Mean difference between the busiest and the least busy engine.
     """
 
     queued: int
-    over: float
+    imbalance: float
 
 
 class Entry:
@@ -64,20 +64,20 @@
         a_second: Turns per second.
         outage: Whether the leader is lost from second 8 to 10.
     """
-    chance = random.Random(5)
+    rng = random.Random(5)
     entries = [Entry(f"e{n}") for n in range(ENTRIES)]
     entry_loads = shared_load.EntryLoads()
     numbers = itertools.count()
-    due: list[tuple] = []
+    events: list[tuple] = []
     at = 0.0
     while at < 20.0:
-        at += chance.expovariate(a_second)
-        event = (at, next(numbers), "open", chance.choice(entries), "")
-        heapq.heappush(due, event)
+        at += rng.expovariate(a_second)
+        event = (at, next(numbers), "open", rng.choice(entries), "")
+        heapq.heappush(events, event)
     queued = placed = 0
     difference = 0.0
-    while due:
-        now, _, kind, entry, engine = heapq.heappop(due)
+    while events:
+        now, _, kind, entry, engine = heapq.heappop(events)
         running = {name: n for name, n in entry.running.items() if n}
         if outage and 8.0 < now < 10.0:
             # The leader is lost, and its successor starts without reports.
@@ -88,7 +88,7 @@
                 entry.others.update(entry_loads.others(entry.name), now)
         if kind == "open":
             event = (now + OPENING, next(numbers), "place", entry, "")
-            heapq.heappush(due, event)
+            heapq.heappush(events, event)
             continue
         if kind == "end":
             entry.running[engine] -= 1
@@ -99,8 +99,10 @@
         difference += max(totals) - min(totals)
         entry.running[engine] += 1
         placed += 1
-        took = TURN * chance.uniform(0.3, 1.7)
-        heapq.heappush(due, (now + took, next(numbers), "end", entry, engine))
+        duration = TURN * rng.uniform(0.3, 1.7)
+        heapq.heappush(
+            events, (now + duration, next(numbers), "end", entry, engine)
+        )
     return Result(queued, difference / placed)
 
 
@@ -117,17 +119,19 @@
     def test_few_turns_wait_for_a_slot(self) -> None:
         blind, shared = simulate(False), simulate(True)
         self.assertTrue(shared.queued * 2.5 < blind.queued, (blind, shared))
-        self.assertTrue(shared.over < 0.8 * blind.over, (blind, shared))
+        self.assertTrue(
+            shared.imbalance < 0.8 * blind.imbalance, (blind, shared)
+        )
 
     def test_lost_leader_is_better_than_no_exchange(self) -> None:
         blind, lost = simulate(False), simulate(True, outage=True)
         self.assertTrue(lost.queued * 2 < blind.queued, (blind, lost))
 
     def test_entries_do_not_all_choose_the_least_loaded_upstream(self) -> None:
-        """Choosing the least loaded of all gave 1,499 queued and 9.0 over."""
+        """Choosing the least loaded of all gave 1,499 queued turns and an imbalance of 9.0."""
         shared = simulate(True)
         self.assertTrue(shared.queued < 1000, shared)
-        self.assertTrue(shared.over < 7.0, shared)
+        self.assertTrue(shared.imbalance < 7.0, shared)
 
 
 class EntryLoadsTest(testtools.TestCase):
--- a/testing/test_subset.py
+++ b/testing/test_subset.py
@@ -1,4 +1,4 @@
-"""The upstreams that one entry watches."""
+"""The subset of upstreams that one entry uses."""
 
 import collections
 
@@ -19,12 +19,12 @@
         self.assertEqual(subset.SIZE, len(chosen))
         self.assertEqual({3, 4}, set(domains.values()))
 
-    def test_a_lost_member_changes_few_places(self) -> None:
+    def test_a_lost_member_changes_few_positions(self) -> None:
         before = set(subset.choose(MEMBERS, "e1"))
         lost = min(before)
         rest = [member for member in MEMBERS if member.name != lost]
         after = set(subset.choose(rest, "e1"))
         self.assertThat(len(before - after), matchers.LessThan(3))
 
-    def test_a_small_service_is_watched_whole(self) -> None:
+    def test_a_small_service_is_used_as_a_whole(self) -> None:
         self.assertEqual(10, len(subset.choose(MEMBERS[:10], "e1")))
--- a/testing/test_upstream_health.py
+++ b/testing/test_upstream_health.py
@@ -89,34 +89,34 @@
     caller gives up (`hang`). All others take 60 ms. A third of the requests
     are repeatable, and are repeated after an error.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fleet = [Entry() for _ in range(9)]
     numbers = itertools.count()
-    due: list[tuple] = []
+    events: list[tuple] = []
     at = 0.0
     while at < 20.0:
-        at += chance.expovariate(60.0)
-        request = Request(f"r{at}", chance.random() < 1 / 3)
-        event = (at, next(numbers), "send", chance.choice(fleet), request)
-        heapq.heappush(due, event)
+        at += rng.expovariate(60.0)
+        request = Request(f"r{at}", rng.random() < 1 / 3)
+        event = (at, next(numbers), "send", rng.choice(fleet), request)
+        heapq.heappush(events, event)
     served = failed = 0
-    while due:
-        now, _, kind, entry, request, *rest = heapq.heappop(due)
+    while events:
+        now, _, kind, entry, request, *rest = heapq.heappop(events)
         if kind == "send":
             upstream = entry.place(request, now)
-            ok = upstream != FAILING or chance.random() >= share
-            took = SERVICE
+            ok = upstream != FAILING or rng.random() >= share
+            duration = SERVICE
             if not ok:
-                took = CALLER_TIMEOUT if how == "hang" else 0.01
-            end = (now + took, next(numbers), "end", entry, request)
-            heapq.heappush(due, (*end, upstream, now, ok))
+                duration = CALLER_TIMEOUT if how == "hang" else 0.01
+            end = (now + duration, next(numbers), "end", entry, request)
+            heapq.heappush(events, (*end, upstream, now, ok))
             continue
         upstream, began, ok = rest
         entry.ended(upstream, request, began, ok, now)
         once_more = request.repeatable and not request.tried
         if not ok and how == "errors" and once_more:
             again = request._replace(tried=upstream)
-            heapq.heappush(due, (now, next(numbers), "send", entry, again))
+            heapq.heappush(events, (now, next(numbers), "send", entry, again))
             continue
         served += ok
         failed += not ok
