--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -121,8 +121,9 @@
     def called(self, program: str, now: float) -> int:
         """Records that a program's next call waits; returns the cached tokens.
 
-        The cache isn't evicted until the call starts. Evicting it would free
-        memory for another call at the price of recomputing this history.
+        Until the call starts, its cache is evicted only after all others.
+        Evicting it would free memory for another call at the price of
+        recomputing this history.
         """
         paused = self.held.get(program)
         if paused is None or paused.waiting:
--- a/src/mintcleat/decisions/class_queue.py
+++ b/src/mintcleat/decisions/class_queue.py
@@ -55,7 +55,7 @@
 
     def __init__(self) -> None:
         self.by_need = [
-            sortedcontainers.SortedKeyList(key=_place)
+            sortedcontainers.SortedKeyList(key=_sort_key)
             for _ in (RESIDENT, RETURNING, NEW_PROGRAM)
         ]
         self.work = 0.0
@@ -65,12 +65,17 @@
 
     def heads(self) -> list[QueueItem]:
         """Returns the first item of each list, in scheduling order."""
-        return sorted((part[0] for part in self.by_need if part), key=_place)
+        return sorted(
+            (item_list[0] for item_list in self.by_need if item_list),
+            key=_sort_key,
+        )
 
     def count_before(self, key: float) -> int:
         """Returns how many calls are scheduled before one with this key."""
-        place = (key, _LAST)
-        return sum(part.bisect_key_right(place) for part in self.by_need)
+        sort_key = (key, _LAST)
+        return sum(
+            item_list.bisect_key_right(sort_key) for item_list in self.by_need
+        )
 
 
 class ClassQueue:
@@ -138,5 +143,5 @@
         return weight / active
 
 
-def _place(item: QueueItem) -> tuple[float, str]:
+def _sort_key(item: QueueItem) -> tuple[float, str]:
     return item.key, item.call.call_id
--- a/src/mintcleat/decisions/concurrency.py
+++ b/src/mintcleat/decisions/concurrency.py
@@ -49,7 +49,7 @@
         return max(MIN_LIMIT, int(self.limit))
 
     def resize(self, capacity: int) -> None:
-        """Sets the capacity announced by the upstream; resets the limit."""
+        """Sets the announced capacity; a change resets the limit to it."""
         capacity = max(MIN_LIMIT, capacity)
         if capacity != self.capacity:
             self.capacity = capacity
--- a/src/mintcleat/decisions/load_balancing.py
+++ b/src/mintcleat/decisions/load_balancing.py
@@ -25,8 +25,9 @@
 # with a delay of tens of milliseconds; if each entry picked the least loaded
 # of all upstreams, all would pick the same one.
 CHOICES = 3
-# The same limit for requests with an affinity, in batches. A warm cache in a
-# plain service halves the work of a request at best.
+# By how many batches the upstream preferred for an affinity may be busier than
+# the least loaded one. A warm cache in a plain service halves the work of a
+# request at best.
 MAX_AFFINITY_EXCESS = 0.2
 # An upstream this many times slower than the median of its peers is avoided.
 # Load alone slows an engine down by less.
--- a/src/mintcleat/decisions/placement.py
+++ b/src/mintcleat/decisions/placement.py
@@ -180,7 +180,7 @@
         self.outliers.answered(name, ok, len(self.subset), now)
 
     def forget(self, name: str) -> None:
-        """Drops an upstream that is gone."""
+        """Drops an upstream that no longer exists."""
         self.upstreams.pop(name, None)
         self.outliers.forget(name)
 
@@ -195,18 +195,18 @@
                 self.forget(name)
 
     def _update_outliers(self, name: str, now: float) -> None:
-        ready = [
+        reports = [
             self.upstreams[other].report
             for other in self.subset
             if other in self.upstreams
         ]
-        if not ready:
+        if not reports:
             return
         self.token_time = _median(
-            [one.token_time for one in ready], self.token_time
+            [one.token_time for one in reports], self.token_time
         )
         self.prefill_rate = _median(
-            [one.prefill_rate for one in ready], self.prefill_rate
+            [one.prefill_rate for one in reports], self.prefill_rate
         )
         report = self.upstreams[name].report
         slowness = max(
@@ -217,7 +217,7 @@
 
 
 def _median(values: list[float], otherwise: float) -> float:
-    """Returns the median of the values above 0, which means not measured."""
+    """Returns the median of the measured values; 0 means not measured."""
     measured = [value for value in values if value > 0]
     return statistics.median(measured) if measured else otherwise
 
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -205,10 +205,10 @@
 
     def drain(self) -> list[calls.Call]:
         """Removes and returns every waiting call, before a planned stop."""
-        entries = list(self.waiting.values())
-        for item in entries:
+        items = list(self.waiting.values())
+        for item in items:
             self._dequeue(item)
-        return [item.call for item in entries]
+        return [item.call for item in items]
 
     def predicted_wait(self, now: float) -> float:
         """Returns the predicted wait of a program's first call in seconds."""
@@ -234,7 +234,7 @@
         options = self.options
         remaining = self.estimator.remaining(call.agent, call.attained)
         mean_tokens = self.estimator.mean_tokens
-        place = order.key(call, remaining, mean_tokens, now, options.ordering)
+        key = order.key(call, remaining, mean_tokens, now, options.ordering)
         flow = call.customer if options.fair else ""
         klass = calls.INTERACTIVE
         if options.classes and call.klass == calls.BATCH:
@@ -244,7 +244,7 @@
         if remaining.known:
             footprint += remaining.tokens / 2
         return class_queue.QueueItem(
-            place,
+            key,
             call,
             flow,
             klass,
--- a/src/mintcleat/decisions/workingset.py
+++ b/src/mintcleat/decisions/workingset.py
@@ -20,7 +20,7 @@
 OVER_SHARE_HEADROOM = 0.5
 # Seconds of each pause that count as memory in use. In a longer pause the
 # cache is usually evicted in favour of another program.
-MAX_COUNTED_PAUSE = 8.0
+MAX_COUNTED_PAUSE_SECONDS = 8.0
 # A program paused for longer is removed until its next call. Its tool may
 # hang, and its memory would be reserved for nothing.
 ABSENT_SECONDS = 60.0
@@ -117,10 +117,10 @@
         whole = service + pause
         if whole <= 0:
             return
-        duty = (service + min(pause, MAX_COUNTED_PAUSE)) / whole
+        duty = (service + min(pause, MAX_COUNTED_PAUSE_SECONDS)) / whole
         known = self.duty_cycle.get(agent, 1.0)
         # Weighted by duration, as a long pause frees memory for longer.
-        weight = min(1.0, whole / (service + MAX_COUNTED_PAUSE))
+        weight = min(1.0, whole / (service + MAX_COUNTED_PAUSE_SECONDS))
         self.duty_cycle[agent] = known + (duty - known) * weight * _DUTY_GAIN
 
     def leave(self, program: str) -> None:
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -177,14 +177,16 @@
         super().setUp()
         self.configuration = Configuration()
         self.upstreams = Upstreams()
-        clock, told = timers.EventletTimers(), events.Silent()
-        allowed = allowances.Allowances(None, clock, told, self.configuration)
+        clock, event_reporter = timers.EventletTimers(), events.Silent()
+        allowed = allowances.Allowances(
+            None, clock, event_reporter, self.configuration
+        )
         self.gateway = gateway.Gateway(
             self.configuration,
             self.upstreams,
-            turn_keeper.TurnKeeper(None, allowed, clock, told),
+            turn_keeper.TurnKeeper(None, allowed, clock, event_reporter),
             clock,
-            told,
+            event_reporter,
             "e1",
         )
 
--- a/testing/test_shared_load.py
+++ b/testing/test_shared_load.py
@@ -23,7 +23,7 @@
 
     Attributes:
         queued: Turns that found every slot of their engine taken.
-        imbalance: Mean difference between the busiest and the least busy engine.
+        imbalance: Mean difference of the busiest and the least busy engine.
     """
 
     queued: int
@@ -128,7 +128,7 @@
         self.assertTrue(lost.queued * 2 < blind.queued, (blind, lost))
 
     def test_entries_do_not_all_choose_the_least_loaded_upstream(self) -> None:
-        """Choosing the least loaded of all gave 1,499 queued turns and an imbalance of 9.0."""
+        # Choosing the least loaded of all: 1,499 queued, imbalance 9.0.
         shared = simulate(True)
         self.assertTrue(shared.queued < 1000, shared)
         self.assertTrue(shared.imbalance < 7.0, shared)
