--- a/bench/policy_world.py
+++ b/bench/policy_world.py
@@ -288,7 +288,7 @@
 
     def release(self, program: str) -> None:
         """Frees what an ended program holds."""
-        self.paused_caches.gone(program)
+        self.paused_caches.program_ended(program)
         self.engine.drop(program)
         self.gate.program_left(program)
         self.pump()
--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -150,7 +150,7 @@
         """
         self.histogram(tool).add(seconds)
 
-    def gone(self, program: str) -> bool:
+    def program_ended(self, program: str) -> bool:
         """Removes a program that ended; returns whether it held a cache."""
         paused = self._forget(program)
         if paused is None:
--- a/src/mintcleat/decisions/control_outage.py
+++ b/src/mintcleat/decisions/control_outage.py
@@ -17,7 +17,7 @@
 ELECTION_SECONDS = 2.0
 # Seconds to hold a request without a lease: a few round trips, in case control
 # is just becoming available.
-CUT_OFF_SECONDS = 0.3
+DISCONNECTED_SECONDS = 0.3
 # Seconds after which a refused caller should retry, at another entry.
 RETRY_SECONDS = 0.2
 
@@ -28,4 +28,4 @@
     Args:
         lease_left: Seconds left of the lease on the configuration.
     """
-    return ELECTION_SECONDS if lease_left > 0 else CUT_OFF_SECONDS
+    return ELECTION_SECONDS if lease_left > 0 else DISCONNECTED_SECONDS
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -192,7 +192,7 @@
             batch = programs[start : start + _RENEW_BATCH]
             gone = self.control.gone(self.node, batch, _ASK_SECONDS)
             for program in gone:
-                self.paused_caches.gone(program)
+                self.paused_caches.program_ended(program)
                 self.exports.pop(program)
                 self.on_gone(program)
                 self._learn(program)
--- a/testing/test_cache_retention.py
+++ b/testing/test_cache_retention.py
@@ -72,8 +72,8 @@
     def test_a_program_that_ended_releases_its_memory(self) -> None:
         paused_caches = cache_retention.PausedCaches(OPTIONS)
         paused_caches.paused("p", "tool", 5000, 0.0)
-        self.assertTrue(paused_caches.gone("p"))
-        self.assertFalse(paused_caches.gone("p"))
+        self.assertTrue(paused_caches.program_ended("p"))
+        self.assertFalse(paused_caches.program_ended("p"))
         self.assertEqual(0, paused_caches.tokens)
 
     def test_under_pressure_the_cache_of_a_long_pause_is_exported(self) -> None:
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -481,7 +481,10 @@
             "r",
         )
         self.assertEqual(
-            [control_outage.ELECTION_SECONDS, control_outage.CUT_OFF_SECONDS],
+            [
+                control_outage.ELECTION_SECONDS,
+                control_outage.DISCONNECTED_SECONDS,
+            ],
             self.control.timeouts,
         )
         self.assertEqual(control_outage.RETRY_SECONDS, error.retry_after)
