--- a/bench/policy_world.py
+++ b/bench/policy_world.py
@@ -119,7 +119,7 @@
 
 
 class Sidecar:
-    """Joins gate, keeper and engine."""
+    """Joins gate, paused caches and engine."""
 
     def __init__(self, world: "World", name: str, slow: float) -> None:
         policy = world.policy
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -76,7 +76,7 @@
 
 
 class Memory:
-    """The ledger of one engine, its renewal and the retain decisions.
+    """The ledger of one engine, its renewal and the cache retention.
 
     Attributes:
         on_gone: Called with each program that its group gave up.
@@ -166,7 +166,7 @@
         self.admission.protect(self.paused_caches.expected_soon(now))
 
     def note(self, program: str, life: Life) -> None:
-        """Keeps what a program had, for the learner once it is gone."""
+        """Keeps what a program had, for the estimator once it is gone."""
         self.lives[program] = life
         self.lives.move_to_end(program)
         if len(self.lives) > _LIVES_KEPT:
