--- a/src/mintcleat/decisions/customers.py
+++ b/src/mintcleat/decisions/customers.py
@@ -37,9 +37,9 @@
     def __init__(self, policies: manifest.Policies) -> None:
         self.required = policies.require_keys
         self.callers = {
-            held: Caller(name, customer.priority)
+            digest: Caller(name, customer.priority)
             for name, customer in policies.customers.items()
-            for held in customer.keys
+            for digest in customer.keys
         }
 
     def find(self, key: str) -> Caller:
--- a/src/mintcleat/decisions/limits.py
+++ b/src/mintcleat/decisions/limits.py
@@ -57,7 +57,7 @@
     return wait
 
 
-class Counted(NamedTuple):
+class CountedRequests(NamedTuple):
     """Requests that were counted in advance; valid until the time `until`."""
 
     count: int
@@ -68,13 +68,13 @@
     """Requests counted in advance, and how many more to ask for.
 
     Attributes:
-        requests: Counted requests by customer, oldest first.
+        requests: Requests counted in advance, by customer, oldest first.
         turns: Decaying count of turns of customers with limits.
         calls: Decaying count of their other requests.
     """
 
     def __init__(self) -> None:
-        self.requests: dict[str, collections.deque[Counted]] = {}
+        self.requests: dict[str, collections.deque[CountedRequests]] = {}
         self.turns = 0.0
         self.calls = 0.0
 
@@ -83,32 +83,32 @@
         self.turns = self.turns * _DECAY + 1.0
         self.calls *= _DECAY
         return max(
-            0, round(self.calls / self.turns) - self._left(customer, now)
+            0, round(self.calls / self.turns) - self._available(customer, now)
         )
 
     def take(self, customer: str, now: float) -> bool:
         """Uses one counted request; returns whether there was one."""
         self.calls += 1.0
-        if not self._left(customer, now):
+        if not self._available(customer, now):
             return False
-        held = self.requests[customer]
-        first = held.popleft()
+        counted = self.requests[customer]
+        first = counted.popleft()
         if first.count > 1:
-            held.appendleft(first._replace(count=first.count - 1))
+            counted.appendleft(first._replace(count=first.count - 1))
         return True
 
     def put(self, customer: str, count: int, until: float) -> None:
         """Adds requests that were counted; they expire at `until`."""
         if count:
-            held = self.requests.setdefault(customer, collections.deque())
-            held.append(Counted(count, until))
+            counted = self.requests.setdefault(customer, collections.deque())
+            counted.append(CountedRequests(count, until))
 
-    def _left(self, customer: str, now: float) -> int:
-        held = self.requests.get(customer)
-        if held is None:
+    def _available(self, customer: str, now: float) -> int:
+        counted = self.requests.get(customer)
+        if counted is None:
             return 0
-        while held and held[0].until <= now:
-            held.popleft()
-        if not held:
+        while counted and counted[0].until <= now:
+            counted.popleft()
+        if not counted:
             del self.requests[customer]
-        return sum(item.count for item in held)
+        return sum(item.count for item in counted)
--- a/src/mintcleat/decisions/migration.py
+++ b/src/mintcleat/decisions/migration.py
@@ -14,7 +14,7 @@
 # Maximum wait at the target as a fraction of that at the source, so that a move
 # isn't undone once it has balanced the two.
 MAX_WAIT_RATIO = 0.5
-# Minimum time between two moves of a program, whatever the load.
+# Seconds before a program that moved may move again because of load.
 SETTLE_SECONDS = 60.0
 # Maximum of concurrent moves from one upstream.
 MAX_MOVING = 4
@@ -97,60 +97,62 @@
     def plan(
         self,
         source: Source,
-        held: list[PausedProgram],
+        paused: list[PausedProgram],
         targets: list[Target],
         now: float,
     ) -> list[Move]:
         """Returns the moves to start now; call it about once a second."""
         if not source.leaving and source.wait < MIN_WAIT:
             return []
-        room = {target.name: target.free_memory for target in targets}
+        free_memory = {target.name: target.free_memory for target in targets}
         moves = []
-        for program in sorted(held, key=_cheapest_first):
+        for program in sorted(paused, key=_cheapest_first):
             if len(self.moving) >= MAX_MOVING:
                 break
             if not self._movable(program, source, now):
                 continue
-            target = _best_target(source, program, targets, room)
+            target = _best_target(source, program, targets, free_memory)
             if target is None:
                 continue
-            room[target.name] -= program.tokens
+            free_memory[target.name] -= program.tokens
             self.moving[program.program] = program.tokens
             export = _export_is_faster(source, program, target)
             moves.append(Move(program.program, target.name, export))
         return moves
 
-    def _movable(self, held: PausedProgram, source: Source, now: float) -> bool:
-        if held.program in self.moving:
+    def _movable(
+        self, paused: PausedProgram, source: Source, now: float
+    ) -> bool:
+        if paused.program in self.moving:
             return False
         if source.leaving:
             return True
-        return not held.moved_at or now - held.moved_at >= SETTLE_SECONDS
+        return not paused.moved_at or now - paused.moved_at >= SETTLE_SECONDS
 
 
-def _cheapest_first(held: PausedProgram) -> tuple[int, str]:
-    return held.tokens, held.program
+def _cheapest_first(paused: PausedProgram) -> tuple[int, str]:
+    return paused.tokens, paused.program
 
 
 def _best_target(
     source: Source,
-    held: PausedProgram,
+    paused: PausedProgram,
     targets: list[Target],
-    room: dict[str, int],
+    free_memory: dict[str, int],
 ) -> Target | None:
     fitting = [
         target
         for target in targets
-        if room[target.name] >= held.tokens
+        if free_memory[target.name] >= paused.tokens
         and (source.leaving or target.wait < MAX_WAIT_RATIO * source.wait)
     ]
     return min(fitting, key=lambda target: target.wait, default=None)
 
 
 def _export_is_faster(
-    source: Source, held: PausedProgram, target: Target
+    source: Source, paused: PausedProgram, target: Target
 ) -> bool:
     if not source.export_rate:
         return False
-    moving = 2 * held.tokens / source.export_rate
-    return moving < held.tokens / max(target.prefill_rate, 1.0)
+    moving = 2 * paused.tokens / source.export_rate
+    return moving < paused.tokens / max(target.prefill_rate, 1.0)
--- a/testing/test_load_balancing.py
+++ b/testing/test_load_balancing.py
@@ -78,11 +78,11 @@
     at the slow engine. An answer that takes over a second is late.
 
     Attributes:
-        notices: Whether the entries use measured slowdowns.
+        use_slowdowns: Whether the entries use measured slowdowns.
     """
 
-    def __init__(self, notices: bool) -> None:
-        self.notices = notices
+    def __init__(self, use_slowdowns: bool) -> None:
+        self.use_slowdowns = use_slowdowns
         self.random = random.Random(7)
         self.names = [f"u{n}" for n in range(6)]
         self.entries = [load_balancing.LatencyTracker() for _ in range(8)]
@@ -104,7 +104,7 @@
     def arrive(self, now: float, number: int) -> None:
         entry = number % len(self.entries)
         slow = {}
-        if self.notices:
+        if self.use_slowdowns:
             slow = self.entries[entry].slowdown_factors(self.names, now)
         offered = [
             load_balancing.Candidate(
@@ -140,30 +140,38 @@
         # 87 of 1,500 answers are late without slowdown detection and 17 with
         # it: those running when the engine becomes slow, and the samples by
         # which each entry detects it.
-        blind, seeing = SlowUpstreamLoad(False), SlowUpstreamLoad(True)
-        blind.run()
-        seeing.run()
-        self.assertEqual((1500, 1500), (blind.served, seeing.served))
-        self.assertTrue(blind.late > 70, blind.late)
-        self.assertTrue(seeing.late < blind.late * 0.3, seeing.late)
+        without_detection, with_detection = (
+            SlowUpstreamLoad(False),
+            SlowUpstreamLoad(True),
+        )
+        without_detection.run()
+        with_detection.run()
+        self.assertEqual(
+            (1500, 1500), (without_detection.served, with_detection.served)
+        )
+        self.assertTrue(without_detection.late > 70, without_detection.late)
+        self.assertTrue(
+            with_detection.late < without_detection.late * 0.3,
+            with_detection.late,
+        )
 
     def test_upstream_that_recovered_is_tried_again(self) -> None:
-        speeds = load_balancing.LatencyTracker()
+        tracker = load_balancing.LatencyTracker()
         for _ in range(20):
-            speeds.observe("a", 0.15, 0.0)
-            speeds.observe("b", 0.03, 0.0)
-        self.assertTrue(speeds.slowdown_factors(["a", "b"], 0.0)["a"] > 4.0)
+            tracker.observe("a", 0.15, 0.0)
+            tracker.observe("b", 0.03, 0.0)
+        self.assertTrue(tracker.slowdown_factors(["a", "b"], 0.0)["a"] > 4.0)
         self.assertTrue(
-            speeds.slowdown_factors(["a", "b"], 5.0)["a"]
+            tracker.slowdown_factors(["a", "b"], 5.0)["a"]
             < load_balancing.MAX_SLOWDOWN
         )
 
     def test_few_samples_have_no_effect(self) -> None:
-        speeds = load_balancing.LatencyTracker()
-        speeds.observe("a", 5.0, 0.0)
+        tracker = load_balancing.LatencyTracker()
+        tracker.observe("a", 5.0, 0.0)
         for _ in range(20):
-            speeds.observe("b", 0.03, 0.0)
-        self.assertEqual({}, speeds.slowdown_factors(["a", "b"], 0.0))
+            tracker.observe("b", 0.03, 0.0)
+        self.assertEqual({}, tracker.slowdown_factors(["a", "b"], 0.0))
 
 
 class RoutesTest(testtools.TestCase):
--- a/testing/test_load_outcomes.py
+++ b/testing/test_load_outcomes.py
@@ -262,8 +262,8 @@
     def test_twice_the_capacity_is_shed_at_first_calls(self) -> None:
         """Programs arrive at twice the capacity; a refused one gives up.
 
-        Admitted programs finish within their deadlines, the upstreams stay
-        busy, and a program is refused at its first call or not at all.
+        Every program either finishes within its deadlines or is refused at its
+        first call, and the upstreams stay busy.
         """
         specs = [
             ProgramSpec(f"p{n}", f"customer{n % 4}", n * 0.14, [100] * 4)
--- a/testing/test_shared_load.py
+++ b/testing/test_shared_load.py
@@ -55,13 +55,13 @@
 
 
 def simulate(
-    shared: bool, a_second: float = 460.0, outage: bool = False
+    shared: bool, per_second: float = 460.0, outage: bool = False
 ) -> Result:
     """Simulates 20 s of turns of 0.27 s.
 
     Args:
         shared: Whether entries exchange their load.
-        a_second: Turns per second.
+        per_second: Turns per second.
         outage: Whether the leader is lost from second 8 to 10.
     """
     rng = random.Random(5)
@@ -71,7 +71,7 @@
     events: list[tuple] = []
     at = 0.0
     while at < 20.0:
-        at += rng.expovariate(a_second)
+        at += rng.expovariate(per_second)
         event = (at, next(numbers), "open", rng.choice(entries), "")
         heapq.heappush(events, event)
     queued = placed = 0
@@ -117,15 +117,17 @@
     """
 
     def test_few_turns_wait_for_a_slot(self) -> None:
-        blind, shared = simulate(False), simulate(True)
-        self.assertTrue(shared.queued * 2.5 < blind.queued, (blind, shared))
+        isolated, shared = simulate(False), simulate(True)
         self.assertTrue(
-            shared.imbalance < 0.8 * blind.imbalance, (blind, shared)
+            shared.queued * 2.5 < isolated.queued, (isolated, shared)
+        )
+        self.assertTrue(
+            shared.imbalance < 0.8 * isolated.imbalance, (isolated, shared)
         )
 
     def test_lost_leader_is_better_than_no_exchange(self) -> None:
-        blind, lost = simulate(False), simulate(True, outage=True)
-        self.assertTrue(lost.queued * 2 < blind.queued, (blind, lost))
+        isolated, lost = simulate(False), simulate(True, outage=True)
+        self.assertTrue(lost.queued * 2 < isolated.queued, (isolated, lost))
 
     def test_entries_do_not_all_choose_the_least_loaded_upstream(self) -> None:
         # Choosing the least loaded of all: 1,499 queued, imbalance 9.0.
--- a/testing/test_upstream_health.py
+++ b/testing/test_upstream_health.py
@@ -45,7 +45,7 @@
 
     def place(self, request: Request, now: float) -> str:
         names = [name for name in UPSTREAMS if name != request.tried]
-        usable = upstream_health.healthy(
+        healthy = upstream_health.healthy(
             names,
             self.penalties,
             self.detector,
@@ -55,7 +55,7 @@
         found = load_balancing.choose(
             [
                 load_balancing.Candidate(name, self.running[name], SLOTS)
-                for name in usable
+                for name in healthy
             ],
             "",
             "",
@@ -113,8 +113,8 @@
             continue
         upstream, began, ok = rest
         entry.ended(upstream, request, began, ok, now)
-        once_more = request.repeatable and not request.tried
-        if not ok and how == "errors" and once_more:
+        retry = request.repeatable and not request.tried
+        if not ok and how == "errors" and retry:
             again = request._replace(tried=upstream)
             heapq.heappush(events, (now, next(numbers), "send", entry, again))
             continue
