--- a/bench/policy_world.py
+++ b/bench/policy_world.py
@@ -119,7 +119,7 @@
 
 
 class Sidecar:
-    """Joins gate, keeper and engine."""
+    """Joins gate, paused caches and engine."""
 
     def __init__(self, world: "World", name: str, slow: float) -> None:
         policy = world.policy
@@ -288,7 +288,7 @@
 
     def release(self, program: str) -> None:
         """Frees what an ended program holds."""
-        self.paused_caches.gone(program)
+        self.paused_caches.program_ended(program)
         self.engine.drop(program)
         self.gate.program_left(program)
         self.pump()
