--- a/src/mintcleat/emulator/entry.py
+++ b/src/mintcleat/emulator/entry.py
@@ -116,7 +116,7 @@
             name,
             policy,
         )
-        self.loads.read()
+        self.loads.refresh()
 
     def turn(
         self,
@@ -134,8 +134,8 @@
             others = yield from self.control.ask(self.loads.report())
         except control_module.Outage:
             raise Failed from None
-        self.loads.hear(others)
-        wanted = upstream_loads.Wanted(call, hint, "", False)
+        self.loads.update_others(others)
+        wanted = upstream_loads.PlacementRequest(call, hint, "", False)
         incarnation = yield from self._offer(
             MODEL, wanted, self._run_turn, patience, output
         )
@@ -153,13 +153,13 @@
         Raises:
             Failed: It was not served.
         """
-        wanted = upstream_loads.Wanted(call, "", "", repeatable)
+        wanted = upstream_loads.PlacementRequest(call, "", "", repeatable)
         yield from self._offer(PLAIN, wanted, self._run_call, 1.0, work)
 
     def _offer(
         self,
         service: str,
-        wanted: upstream_loads.Wanted,
+        wanted: upstream_loads.PlacementRequest,
         run: Callable[..., Any],
         patience: float,
         size: Any,
--- a/src/mintcleat/emulator/programs.py
+++ b/src/mintcleat/emulator/programs.py
@@ -237,7 +237,7 @@
         hint: str,
         output: int,
     ) -> Any:
-        patience = routed_run.PATIENCE * self.kind.objective / 1000.0
+        patience = routed_run.SILENCE_FACTOR * self.kind.objective / 1000.0
         try:
             return (yield from entry.turn(call, hint, output, patience))
         except (entry_module.Failed, simpy.Interrupt):
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -32,9 +32,9 @@
 from mintcleat.platform import machine as machine_module
 from mintcleat.platform import upstreams
 from mintcleat.ports import events as event_ports
-from mintcleat.roles.entry import allowances
 from mintcleat.roles.entry import gateway as gateway_module
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import rate_limiter
+from mintcleat.roles.entry import turn_client
 
 _EXIT_SETTINGS = 2
 _EXIT_FAILED = 4
@@ -71,13 +71,13 @@
         self.client = common.client()
         self.follower.subscribe(self._learn_control)
         self.http = upstreams.HttpUpstreams()
-        allowed = allowances.Allowances(
+        limiter = rate_limiter.RateLimiter(
             self.client, common.timers, events, self.follower
         )
         self.gateway = gateway_module.Gateway(
             self.follower,
             self.http,
-            turn_keeper.TurnKeeper(self.client, allowed, common.timers, events),
+            turn_client.TurnClient(self.client, limiter, common.timers, events),
             common.timers,
             events,
             self.follower.node.instance,
--- a/src/mintcleat/roles/entry/identity.py
+++ b/src/mintcleat/roles/entry/authentication.py
@@ -20,7 +20,7 @@
 _LOOK_SECONDS = 0.02
 # Unknown keys that wait for that word at once. More are strangers who try
 # keys: they hear "not run" at once, and cost nobody a place.
-MOST_UNCONFIRMED = 64
+MAX_UNCONFIRMED = 64
 RETRY_SECONDS = 0.5
 
 
@@ -43,7 +43,7 @@
         """Returns within which time a node in touch hears of every push."""
 
 
-class Identities:
+class Authenticator:
     """Tells customers by their keys.
 
     Attributes:
@@ -133,7 +133,7 @@
             )
 
     def _await_word(self, arrived: float) -> bool:
-        if self.unconfirmed >= MOST_UNCONFIRMED:
+        if self.unconfirmed >= MAX_UNCONFIRMED:
             return False
         until = self.timers.now() + self.configuration.word_seconds()
         self.unconfirmed += 1
--- a/src/mintcleat/roles/entry/customer_calls.py
+++ b/src/mintcleat/roles/entry/customer_calls.py
@@ -7,7 +7,7 @@
 from mintcleat.domain import program_messages
 from mintcleat.domain import requests
 from mintcleat.ports import calls as calls_port
-from mintcleat.roles.entry import allowances
+from mintcleat.roles.entry import rate_limiter
 
 # A customer's key goes no further than the entry; its name does.
 _CREDENTIALS = "authorization"
@@ -29,10 +29,10 @@
     """
 
     def __init__(
-        self, calls: Calls, allowed: allowances.Allowances, customer: str
+        self, calls: Calls, limiter: rate_limiter.RateLimiter, customer: str
     ) -> None:
         self.calls = calls
-        self.allowances = allowed
+        self.rate_limiter = limiter
         self.customer = customer
 
     def authenticate(self, key: str, request: str) -> "CustomerCalls":
@@ -89,7 +89,7 @@
     def _count(self, call: requests.ChatCall | requests.ServiceCall) -> None:
         if call.program:
             self._own(call.program)
-        self.allowances.take(self.customer, call.program, call.request)
+        self.rate_limiter.admit(self.customer, call.program, call.request)
 
     def _own(self, program: str) -> None:
         """Refuses a program that is not the customer's.
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -20,13 +20,13 @@
 from mintcleat.ports import metrics as metrics_port
 from mintcleat.ports import streams as streams_port
 from mintcleat.ports import timers as timers_port
-from mintcleat.roles.entry import allowances
 from mintcleat.roles.entry import attempts as attempts_module
+from mintcleat.roles.entry import authentication
 from mintcleat.roles.entry import chat as chat_module
 from mintcleat.roles.entry import chat_call
 from mintcleat.roles.entry import customer_calls
-from mintcleat.roles.entry import identity
 from mintcleat.roles.entry import placement as placement_module
+from mintcleat.roles.entry import rate_limiter
 from mintcleat.roles.entry import service_calls as service_calls_module
 
 _PROGRAM_ID = re.compile(r"[A-Za-z0-9_-]{1,64}(\.[A-Za-z0-9_-]{1,64}){0,8}")
@@ -58,8 +58,10 @@
         self.views: OrderedDict[str, program_messages.ProgramView] = (
             OrderedDict()
         )
-        self.identities = identity.Identities(directory, timers, events)
-        self.allowances = allowances.Allowances(
+        self.authenticator = authentication.Authenticator(
+            directory, timers, events
+        )
+        self.rate_limiter = rate_limiter.RateLimiter(
             control, timers, events, directory
         )
         self.leaving = False
@@ -123,14 +125,14 @@
             errors.MintcleatError: This entry can't tell.
         """
         arrived = self.timers.now()
-        found = self.identities.caller(key)
+        found = self.authenticator.caller(key)
         if found is None:
-            self.identities.confirm(request, key, arrived)
-            found = self.identities.sure_caller(key)
-        if not self.identities.register.required:
+            self.authenticator.confirm(request, key, arrived)
+            found = self.authenticator.sure_caller(key)
+        if not self.authenticator.register.required:
             return self
         return customer_calls.CustomerCalls(
-            self, self.allowances, found.customer
+            self, self.rate_limiter, found.customer
         )
 
     def view_program(self, program: str) -> program_messages.ProgramView:
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -11,9 +11,9 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
-from mintcleat.roles.entry import identity
+from mintcleat.roles.entry import authentication
 from mintcleat.roles.entry import routed_run
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import turn_client
 from mintcleat.roles.entry import upstream_loads
 
 # Callers that name no deadline are taken to wait for this long.
@@ -36,7 +36,7 @@
         self,
         configuration: routed_run.Configuration,
         upstreams: forwarding.UpstreamClient,
-        turns: turn_keeper.TurnKeeper,
+        turns: turn_client.TurnClient,
         timers: timer_ports.Timers,
         events: event_ports.EventReporter,
         entry: str,
@@ -52,13 +52,15 @@
         self.means = routed_run.Means(
             configuration, upstreams, self.loads, turns, timers, events
         )
-        self.identities = identity.Identities(configuration, timers, events)
+        self.authenticator = authentication.Authenticator(
+            configuration, timers, events
+        )
         self.table = routes.Table({})
         self.table_of: manifest.Manifest | None = None
         self.draining = False
         self.started = timers.now()
         self.held = 0
-        self.informed = False
+        self.configured = False
 
     def ready(self) -> bool:
         """Tells whether requests can be served here."""
@@ -99,12 +101,12 @@
         if not self._has_word():
             self._await_word(call)
         match = self._match(call)
-        caller = self.identities.caller(call.key, match.route.public)
+        caller = self.authenticator.caller(call.key, match.route.public)
         if caller is None:
-            self.identities.confirm(call.request, call.key, began)
+            self.authenticator.confirm(call.request, call.key, began)
             match = self._match(call)
             public = match.route.public
-            caller = self.identities.sure_caller(call.key, public)
+            caller = self.authenticator.sure_caller(call.key, public)
         call = call._replace(customer=caller.customer)
         key = call.program.program or call.affinity or call.request
         name = routes.service_of(match.route, key)
@@ -142,10 +144,10 @@
         A leader that was just elected sends the first before it may grant the
         second. Between them keys can't be told and turns can't be recorded.
         """
-        self.informed = self.informed or (
+        self.configured = self.configured or (
             self.configuration.revision() > 0 and self.configuration.has_lease()
         )
-        return self.informed
+        return self.configured
 
     def _await_word(self, call: routed_calls.RoutedCall) -> None:
         """Holds a call while this entry has just started.
--- a/src/mintcleat/roles/entry/allowances.py
+++ b/src/mintcleat/roles/entry/rate_limiter.py
@@ -31,7 +31,7 @@
         """Returns the seconds left of the lease on the configuration."""
 
 
-class Allowances:
+class RateLimiter:
     """What customers may send, as this entry asks for it.
 
     Attributes:
@@ -66,7 +66,7 @@
             program, groups
         ) == placement.group_of(placement.limit_scope(customer), groups)
 
-    def take(self, customer: str, program: str, request: str) -> None:
+    def admit(self, customer: str, program: str, request: str) -> None:
         """Has one request counted that opens no turn.
 
         Args:
--- a/src/mintcleat/roles/entry/routed_answer.py
+++ b/src/mintcleat/roles/entry/response_relay.py
@@ -7,7 +7,7 @@
 from mintcleat.domain import server_sent_events
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import turn_client
 from mintcleat.roles.entry import upstream_loads
 
 
@@ -34,7 +34,7 @@
         route: manifest.Route,
         service: manifest.Service,
         loads: upstream_loads.UpstreamLoads,
-        turns: turn_keeper.TurnKeeper,
+        turns: turn_client.TurnClient,
         timers: timer_ports.Timers,
         request: str,
         last_event: str,
@@ -45,7 +45,7 @@
         self.turns = turns
         self.timers = timers
         self.upstream: member_messages.Registration | None = None
-        self.turn: turn_keeper.OpenedTurn | None = None
+        self.turn: turn_client.OpenedTurn | None = None
         self.status = 0
         self.request = request
         self.begun = False
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -23,8 +23,8 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
-from mintcleat.roles.entry import routed_answer
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import response_relay
+from mintcleat.roles.entry import turn_client
 from mintcleat.roles.entry import upstream_loads
 
 # Upstreams that one request is offered to when each says that it does not
@@ -36,7 +36,7 @@
 # What an upstream is at is waited for a little beyond its time: the upstream's
 # own answer, or the last pieces of a stream, may be on their way, and the
 # caller knows best when it has waited long enough.
-LATE_SECONDS = 0.15
+GRACE_SECONDS = 0.15
 # A caller that hears of a lost quorum, or of no upstream, comes back after
 # about the time that a failover or a restart takes.
 RETRY_SECONDS = 0.5
@@ -48,7 +48,7 @@
 LAST_URGENCY = 9
 # Silence of an upstream that is still usual, against the time in which a good
 # answer of the route comes. A loaded engine takes that time twice.
-PATIENCE = 2.0
+SILENCE_FACTOR = 2.0
 
 
 class LimitReached(BaseException):
@@ -90,7 +90,7 @@
     configuration: Configuration
     upstreams: forwarding.UpstreamClient
     loads: upstream_loads.UpstreamLoads
-    turns: turn_keeper.TurnKeeper
+    turns: turn_client.TurnClient
     timers: timer_ports.Timers
     events: event_ports.EventReporter
 
@@ -134,7 +134,7 @@
         self.offers = 0
         self.tried: set[str] = set()
         self.sent_at = 0.0
-        self.answer = routed_answer.RoutedAnswer(
+        self.answer = response_relay.RoutedAnswer(
             self.route,
             service,
             means.loads,
@@ -186,7 +186,7 @@
         if not program.program or not (keeps or program.budget):
             if program.previous:
                 raise errors.UnknownTurn("The route keeps no turns.")
-            self.means.turns.allowances.take(
+            self.means.turns.rate_limiter.admit(
                 self.call.customer, program.program, self.call.request
             )
             return
@@ -197,7 +197,7 @@
         turn = self.means.turns.open(
             self.call, reserve, retention, loads.report()
         )
-        loads.hear(turn.others)
+        loads.update_others(turn.others)
         self.answer.turn = turn
 
     def _settle(self) -> None:
@@ -219,7 +219,7 @@
             self.offers += 1
             self.tried.add(upstream.incarnation)
             self.sent_at = self.now
-            patience = PATIENCE * self.route.target_latency
+            patience = SILENCE_FACTOR * self.route.target_latency
             loads = self.means.loads
             loads.began(upstream.incarnation, self.call.request, patience)
             try:
@@ -260,7 +260,7 @@
         found = self.means.loads.choose(
             self.service_name,
             self.tried,
-            upstream_loads.Wanted(
+            upstream_loads.PlacementRequest(
                 self.call,
                 turn.hint if turn else "",
                 "" if turn else self.call.affinity,
@@ -286,7 +286,7 @@
                 choice.reason,
                 self.means.loads.running(upstream.incarnation),
                 self.means.loads.running_elsewhere(upstream.incarnation),
-                self.means.loads.heard_age(),
+                self.means.loads.others_age(),
                 candidates,
                 round(self.until - self.now, 3),
                 self.means.configuration.registered.version,
@@ -301,7 +301,7 @@
     ) -> None:
         turn = self.answer.turn
         body = turn.body() if turn else self.call.body
-        self._limit(self.until + LATE_SECONDS)
+        self._limit(self.until + GRACE_SECONDS)
         self.attempts += 1
         self.answer.upstream = upstream
         answer = self.means.upstreams.send(
--- a/src/mintcleat/roles/entry/turn_keeper.py
+++ b/src/mintcleat/roles/entry/turn_client.py
@@ -12,11 +12,11 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 from mintcleat.programs import branches
-from mintcleat.roles.entry import allowances
+from mintcleat.roles.entry import rate_limiter
 
 # Recording a turn takes two hops and a sync, some 10 ms; after a leader's loss
 # about a second. A caller that waits longer is served sooner elsewhere.
-KEEP_SECONDS = 2.0
+COMMIT_SECONDS = 2.0
 # Until a turn is settled its program misses the tokens that it did not use,
 # so this goes on for longer than any failover takes.
 SETTLE_SECONDS = 30.0
@@ -25,7 +25,7 @@
 CHAIN_BYTES = 4 * 1024 * 1024
 
 
-class Chains:
+class ChainCache:
     """Content of turns that ended, by customer and id; bounded."""
 
     def __init__(self, limit: int = CHAIN_BYTES) -> None:
@@ -85,21 +85,21 @@
         return b"".join(parts)
 
 
-class TurnKeeper:
+class TurnClient:
     """Asks the leader of each program's group."""
 
     def __init__(
         self,
         control: control_ports.Control,
-        allowed: allowances.Allowances,
+        limiter: rate_limiter.RateLimiter,
         timers: timer_ports.Timers,
         events: event_ports.EventReporter,
     ) -> None:
         self.control = control
-        self.allowances = allowed
+        self.rate_limiter = limiter
         self.timers = timers
         self.events = events
-        self.chains = Chains()
+        self.chains = ChainCache()
 
     def open(
         self,
@@ -125,16 +125,18 @@
         known = branches.chain_of(
             self.chains.turns, call.customer, program.previous
         )
-        limit = self.allowances.limit_of(call.customer)
-        if limit and not self.allowances.counts_with(
+        limit = self.rate_limiter.limit_of(call.customer)
+        if limit and not self.rate_limiter.counts_with(
             call.customer, program.program
         ):
-            self.allowances.take(call.customer, program.program, call.request)
+            self.rate_limiter.admit(
+                call.customer, program.program, call.request
+            )
             limit = None
         began = self.timers.now()
         ahead = 0
         if limit:
-            ahead = self.allowances.ahead.prefetch_count(call.customer, began)
+            ahead = self.rate_limiter.ahead.prefetch_count(call.customer, began)
         request = program_messages.OpenTurn(
             program.program,
             call.request,
@@ -149,7 +151,7 @@
             ahead,
         )
         try:
-            reply = self.allowances.ask(program.program, request)
+            reply = self.rate_limiter.ask(program.program, request)
         except (errors.OutcomeUnknown, errors.Superseded) as error:
             # The turn itself did not run, whatever was committed.
             self.forget(call)
@@ -211,7 +213,7 @@
                 running,
                 call.customer,
             ),
-            KEEP_SECONDS,
+            COMMIT_SECONDS,
         )
         self.chains.put(
             program_messages.KeptTurn(
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -31,7 +31,7 @@
         """Calls back after each change."""
 
 
-class Wanted(NamedTuple):
+class PlacementRequest(NamedTuple):
     """A request that is to be placed.
 
     Attributes:
@@ -81,9 +81,9 @@
         self.latencies = load_balancing.LatencyTracker()
         self.known: dict[str, member_messages.Registration] = {}
         self.by_service: dict[str, dict[str, member_messages.Registration]] = {}
-        configuration.subscribe(self.read)
+        configuration.subscribe(self.refresh)
 
-    def read(self) -> None:
+    def refresh(self) -> None:
         """Takes the directory as it is now."""
         registered = self.configuration.registered
         entries = {
@@ -106,7 +106,7 @@
                 self.by_service.setdefault(item.service, {})[incarnation] = item
 
     def choose(
-        self, service: str, tried: set[str], wanted: Wanted
+        self, service: str, tried: set[str], wanted: PlacementRequest
     ) -> tuple[member_messages.Registration, load_balancing.Choice, int] | None:
         """Returns an upstream, why, and among how many; None for none."""
         now = self.timers.now()
@@ -164,7 +164,7 @@
         """Returns how many requests other entries have there; 0 if unknown."""
         return self._elsewhere(self.timers.now()).get(incarnation, 0)
 
-    def heard_age(self) -> float:
+    def others_age(self) -> float:
         """Returns how old that knowledge is, in seconds; -1 without any."""
         age = self.timers.now() - self.others.received_at
         return round(age, 3) if age < FORGOTTEN else -1.0
@@ -178,7 +178,7 @@
         }
         return program_messages.RunningCounts(self.entry, counts)
 
-    def hear(self, others: Mapping[str, int]) -> None:
+    def update_others(self, others: Mapping[str, int]) -> None:
         """Takes what other entries have running."""
         self.others.update(others, self.timers.now())
 
--- a/testing/fakes/platform_system.py
+++ b/testing/fakes/platform_system.py
@@ -59,7 +59,7 @@
     }
 
 
-def plan(version: int = 1, *routes: dict[str, Any]) -> dict[str, Any]:
+def configuration(version: int = 1, *routes: dict[str, Any]) -> dict[str, Any]:
     return {
         "version": version,
         "routes": list(routes)
@@ -92,7 +92,7 @@
     }
 
 
-class Kept(events.NullEventReporter):
+class EventRecorder(events.NullEventReporter):
     """Keeps the events, for tests of what is told."""
 
     def __init__(self) -> None:
@@ -110,18 +110,18 @@
 
     def __init__(self) -> None:
         self.folder = pathlib.Path(tempfile.mkdtemp())
-        self.told = Kept()
+        self.reporter = EventRecorder()
         self.engines: list[platform_engine.Engine] = []
         self.sequence = 0
         control = self._machine("control", [ANY])
         self.control_common = common.Common(control.settings)
         self.control = hosted.ControlPart(
-            control, self.control_common, self.told
+            control, self.control_common, self.reporter
         )
         self.control.start()
         entry = self._machine("entry", [self.control_common.streams.address])
         self.entry_common = common.Common(entry.settings)
-        self.entry = hosted.EntryPart(entry, self.entry_common, self.told)
+        self.entry = hosted.EntryPart(entry, self.entry_common, self.reporter)
         self.entry.start()
 
     def _machine(self, role: str, control: list[str]) -> machine.Machine:
@@ -309,7 +309,7 @@
 
     def ready(self, *engines: tuple) -> list[platform_engine.Engine]:
         """Puts the plan and adds engines; (name, service, script)."""
-        self.assertEqual(200, self.system.put(plan()).status)
+        self.assertEqual(200, self.system.put(configuration()).status)
         found = [self.system.add(*engine) for engine in engines]
         self.system.settle()
         return found
--- a/testing/test_identity.py
+++ b/testing/test_authentication.py
@@ -11,7 +11,7 @@
 from mintcleat.domain import keys
 from mintcleat.domain import manifest
 from mintcleat.ports import events
-from mintcleat.roles.entry import identity
+from mintcleat.roles.entry import authentication
 
 KEY = "92cqf75rjvz48wuakn2f"
 
@@ -120,34 +120,34 @@
         held = manifest.parse(policies(farmers={"keys": [KEY], "priority": 2}))
         self.clock = waiting_clock.Clock()
         self.configuration = FakeConfiguration(held, self.clock)
-        self.identities = identity.Identities(
+        self.authenticator = authentication.Authenticator(
             self.configuration, self.clock, events.NullEventReporter()
         )
 
     def test_key_tells_the_customer_and_its_rank(self) -> None:
-        found = self.identities.caller(sent(KEY), False)
+        found = self.authenticator.caller(sent(KEY), False)
         self.assertEqual(customers.Caller("farmers", 2), found)
 
     def test_key_added_by_a_new_revision_opens_at_once(self) -> None:
-        self.assertIsNone(self.identities.caller(sent("new"), False))
+        self.assertIsNone(self.authenticator.caller(sent("new"), False))
         self.configuration.held = manifest.parse(
             policies(farmers={"keys": ["new"]})
         )
-        found = self.identities.caller(sent("new"), False)
+        found = self.authenticator.caller(sent("new"), False)
         self.assertEqual("farmers", found.customer)
-        self.assertIsNone(self.identities.caller(sent(KEY), False))
+        self.assertIsNone(self.authenticator.caller(sent(KEY), False))
 
     def test_entry_without_control_for_long_takes_no_key(self) -> None:
         self.configuration.keys_left = 0.0
         error = self.assertRaises(
-            errors.LeaseExpired, self.identities.caller, sent(KEY), False
+            errors.LeaseExpired, self.authenticator.caller, sent(KEY), False
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
     def test_public_route_needs_no_key_and_no_control(self) -> None:
         self.configuration.keys_left = 0.0
         self.assertEqual(
-            customers.UNKNOWN_CALLER, self.identities.caller(sent(""), True)
+            customers.UNKNOWN_CALLER, self.authenticator.caller(sent(""), True)
         )
 
     def test_public_route_is_not_served_under_a_key_that_may_be_void(
@@ -155,27 +155,28 @@
     ) -> None:
         self.configuration.keys_left = 0.0
         self.assertRaises(
-            errors.LeaseExpired, self.identities.caller, sent(KEY), True
+            errors.LeaseExpired, self.authenticator.caller, sent(KEY), True
         )
 
     def test_without_customers_everybody_is_served(self) -> None:
         self.configuration.held = manifest.Manifest()
         self.configuration.keys_left = 0.0
         self.assertEqual(
-            customers.UNKNOWN_CALLER, self.identities.caller(sent("any"), False)
+            customers.UNKNOWN_CALLER,
+            self.authenticator.caller(sent("any"), False),
         )
 
     def test_unknown_key_is_sure_after_word_from_control(self) -> None:
         # An entry that had not heard of a new key yet told its customer 401,
         # and no caller tries again after that.
         self.configuration.words.append((0.1, 0.05))
-        self.identities.confirm("r1", sent("new"), 0.0)
+        self.authenticator.confirm("r1", sent("new"), 0.0)
         self.assertGreaterEqual(self.clock.now(), 0.1)
 
     def test_unknown_key_at_an_entry_out_of_touch_is_no_401(self) -> None:
         error = self.assertRaises(
             errors.ControlUnavailable,
-            self.identities.confirm,
+            self.authenticator.confirm,
             "r1",
             sent("new"),
             self.clock.now() + 1.0,
@@ -183,11 +184,11 @@
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
     def test_strangers_who_try_keys_wait_in_bounded_number(self) -> None:
-        self.identities.unconfirmed = identity.MOST_UNCONFIRMED
+        self.authenticator.unconfirmed = authentication.MAX_UNCONFIRMED
         began = self.clock.now()
         self.assertRaises(
             errors.ControlUnavailable,
-            self.identities.confirm,
+            self.authenticator.confirm,
             "r1",
             sent("new"),
             began + 1.0,
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -17,9 +17,9 @@
 from mintcleat.domain import member_messages
 from mintcleat.domain import routed_calls
 from mintcleat.ports import events
-from mintcleat.roles.entry import allowances
 from mintcleat.roles.entry import gateway
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import rate_limiter
+from mintcleat.roles.entry import turn_client
 
 
 class HoldTest(testtools.TestCase):
@@ -180,11 +180,13 @@
         self.configuration = Configuration()
         self.upstreams = Upstreams()
         clock, told = timers.EventletTimers(), events.NullEventReporter()
-        allowed = allowances.Allowances(None, clock, told, self.configuration)
+        limiter = rate_limiter.RateLimiter(
+            None, clock, told, self.configuration
+        )
         self.gateway = gateway.Gateway(
             self.configuration,
             self.upstreams,
-            turn_keeper.TurnKeeper(None, allowed, clock, told),
+            turn_client.TurnClient(None, limiter, clock, told),
             clock,
             told,
             "e1",
--- a/testing/test_evidence.py
+++ b/testing/test_evidence.py
@@ -70,7 +70,9 @@
         super().setUp()
         self.system = platform_system.System()
         self.addCleanup(self.system.stop)
-        self.assertEqual(200, self.system.put(platform_system.plan()).status)
+        self.assertEqual(
+            200, self.system.put(platform_system.configuration()).status
+        )
         script = platform_engine.stream(6, 0.05)
         for number in range(3):
             self.system.add(f"e{number}", "lm", script)
@@ -86,7 +88,7 @@
     def test_outage_is_held_against_nobody(self) -> None:
         turns = [eventlet.spawn(self.turn, number) for number in range(6)]
         with eventlet.Timeout(20):
-            while len(self.system.told.of(events.CallPlaced)) < 6:
+            while len(self.system.reporter.of(events.CallPlaced)) < 6:
                 eventlet.sleep(0.005)
         self.system.control_common.streams.stop()
         with eventlet.Timeout(20):
@@ -104,5 +106,5 @@
         ]
         self.assertEqual([], silent)
         self.assertEqual([False] * 6, [turn.wait().whole for turn in turns])
-        self.assertEqual([], self.system.told.of(events.UpstreamAvoided))
+        self.assertEqual([], self.system.reporter.of(events.UpstreamAvoided))
         self.assertEqual({}, self.loads.penalties.by_upstream)
--- a/testing/test_hosted.py
+++ b/testing/test_hosted.py
@@ -241,7 +241,7 @@
     def test_silent_upstream_gets_no_more_requests(self) -> None:
         # One upstream stands still with a request; its connections stay open.
         # Whatever else is sent there would wait for as long.
-        self.patch(routed_run, "PATIENCE", 0.4)
+        self.patch(routed_run, "SILENCE_FACTOR", 0.4)
         silent, _ = self.ready(("e1", "desk", _silent), ("e2", "desk"))
         for number in range(50):
             if silent.seen:
@@ -269,7 +269,7 @@
         self.assertEqual(1, len(engine.seen))
 
     def test_answer_that_comes_at_the_last_moment_is_delivered(self) -> None:
-        self.patch(routed_run, "LATE_SECONDS", VERY_LATE)
+        self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
 
         def late(talk: platform_engine.Talk, seen: object) -> bool:
             eventlet.sleep(0.6)
@@ -284,7 +284,7 @@
     def test_stream_at_its_end_is_not_cut_at_the_deadline(self) -> None:
         # The caller has 400 ms left; the last piece takes 20 ms longer. Cut
         # just before its time, a stream that ran to its end was of no use.
-        self.patch(routed_run, "LATE_SECONDS", VERY_LATE)
+        self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
         self.ready(("e1", "lm", platform_engine.stream(6, 0.07)))
         answer = self.system.call(
             "POST", "/resumable/a", b"x", X_Deadline_Milliseconds="400"
@@ -294,7 +294,7 @@
     def test_routes_time_out_ends_a_longer_deadline(self) -> None:
         self.ready(("e1", "desk", _silent))
         short = platform_system.route("safe", "safe", timeoutMs=300)
-        self.system.put(platform_system.plan(2, short))
+        self.system.put(platform_system.configuration(2, short))
         self.system.settle()
         began = self.system.entry_common.timers.now()
         self.assertEqual(504, self.system.call("GET", "/safe/a").status)
@@ -302,7 +302,7 @@
         self.assertTrue(0.3 <= took < 0.3 + BUSY, took)
 
     def test_what_no_upstream_took_is_not_run_also_when_late(self) -> None:
-        self.patch(routed_run, "LATE_SECONDS", VERY_LATE)
+        self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
 
         def slow_busy(talk: platform_engine.Talk, seen: object) -> bool:
             eventlet.sleep(0.3)
@@ -466,20 +466,20 @@
             events.TurnSettled, events.CallEnded,
         )  # fmt: skip
         for kind in kinds:
-            (event,) = self.system.told.of(kind)
+            (event,) = self.system.reporter.of(kind)
             self.assertEqual("t1", event.request)
-        (ended,) = self.system.told.of(events.CallEnded)
+        (ended,) = self.system.reporter.of(events.CallEnded)
         self.assertEqual(
             ("whole", 6, "e1"), (ended.outcome, ended.tokens, ended.upstream)
         )
-        (taken,) = self.system.told.of(events.CallTaken)
+        (taken,) = self.system.reporter.of(events.CallTaken)
         self.assertTrue(0 <= taken.lease_left_s <= 1.2, taken)
 
     def test_refusal_and_failed_attempt_are_told(self) -> None:
         self.ready(("e1", "desk", _reset))
         self.system.call("POST", "/unsafe/a", request="r7")
-        (failed,) = self.system.told.of(events.AttemptFailed)
-        (refused,) = self.system.told.of(events.CallRefused)
+        (failed,) = self.system.reporter.of(events.AttemptFailed)
+        (refused,) = self.system.reporter.of(events.CallRefused)
         self.assertEqual(
             ("r7", "e1", "unknown"),
             (failed.request, failed.upstream, failed.outcome),
--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -19,11 +19,11 @@
     return {"name": name, "apiKeys": list(held), **fields}
 
 
-def plan(version: int, *customers: dict[str, Any]) -> dict[str, Any]:
-    routes = platform_system.plan()["routes"]
+def configuration(version: int, *customers: dict[str, Any]) -> dict[str, Any]:
+    routes = platform_system.configuration()["routes"]
     routes.append(platform_system.route("open", "safe", public=True))
     return {
-        **platform_system.plan(version, *routes),
+        **platform_system.configuration(version, *routes),
         "tenants": list(customers),
     }
 
@@ -34,7 +34,7 @@
 class CustomersTest(platform_system.HostedTest):
     def setUp(self) -> None:
         super().setUp()
-        self.assertEqual(200, self.system.put(plan(1, *BOTH)).status)
+        self.assertEqual(200, self.system.put(configuration(1, *BOTH)).status)
         self.desk = self.system.add("e1", "desk")
         self.lm = self.system.add("e2", "lm", platform_engine.stream())
         self.system.settle()
@@ -92,22 +92,24 @@
     def test_key_that_is_added_and_taken_away(self) -> None:
         self.assertEqual(401, self.get(api_key=LATER).status)
         more = customer("farmers", FARMERS, LATER)
-        self.system.put(plan(2, more, BOTH[1]))
+        self.system.put(configuration(2, more, BOTH[1]))
         # Nothing waits for the entry here: it asks before it refuses.
         self.assertEqual(200, self.get(api_key=LATER).status)
-        self.system.put(plan(3, customer("farmers", LATER), BOTH[1]))
+        self.system.put(configuration(3, customer("farmers", LATER), BOTH[1]))
         self.system.settle()
         self.assertEqual(401, self.get(api_key=FARMERS).status)
         self.assertEqual(200, self.get(api_key=LATER).status)
 
     def test_customer_without_any_key_left_is_refused(self) -> None:
-        self.system.put(plan(2, customer("farmers"), customer("studios")))
+        self.system.put(
+            configuration(2, customer("farmers"), customer("studios"))
+        )
         self.system.settle()
         self.assertEqual(401, self.get(api_key=FARMERS).status)
 
     def test_two_customers_with_one_key_are_no_configuration(self) -> None:
         shared = customer("studios", FARMERS)
-        answer = self.system.put(plan(2, BOTH[0], shared))
+        answer = self.system.put(configuration(2, BOTH[0], shared))
         self.assertEqual(400, answer.status)
         self.assertNotIn(FARMERS.encode(), answer.body)
 
@@ -123,11 +125,11 @@
         self.turn("t1", FARMERS)
         self.turn("t2", "no-such-key-at-all")
         self.turn("t3", STUDIOS, "t1")
-        self.system.put(plan(2, BOTH[0], customer("studios", FARMERS)))
-        self.system.put(plan(2, customer("farmers", LATER)))
+        self.system.put(configuration(2, BOTH[0], customer("studios", FARMERS)))
+        self.system.put(configuration(2, customer("farmers", LATER)))
         written = "\n".join(
             json.dumps(event._asdict(), default=str)
-            for event in self.system.told.events
+            for event in self.system.reporter.events
         )
         for key in (FARMERS, STUDIOS, LATER, "no-such-key-at-all"):
             self.assertNotIn(key, written)
@@ -177,9 +179,9 @@
             while follower.has_lease():
                 eventlet.sleep(0.05)
         self.assertFalse(self.system.entry.gateway.ready())
-        self.system.told.events.clear()
+        self.system.reporter.events.clear()
         self.assertEqual(503, self.turn("t1", FARMERS).status)
-        (refused,) = self.system.told.of(events.CallRefused)
+        (refused,) = self.system.reporter.of(events.CallRefused)
         self.assertLess(refused.after_s, 1.0)
         # A caller that kept its connection would be refused on it again.
         answer = self.get(api_key=FARMERS)
@@ -202,7 +204,7 @@
         entry = self.system.entry
         follower, gateway = entry.follower, entry.gateway
         now = follower.timers.now()
-        gateway.started, gateway.informed = now, False
+        gateway.started, gateway.configured = now, False
 
         def granted() -> float:
             return follower.timers.now() - now - 0.2
@@ -213,5 +215,5 @@
 
     def test_refusal_tells_the_customer_in_its_line(self) -> None:
         self.turn("t1", FARMERS, "no-such-turn")
-        (refused,) = self.system.told.of(events.CallRefused)
+        (refused,) = self.system.reporter.of(events.CallRefused)
         self.assertEqual("farmers", refused.customer)
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -20,7 +20,9 @@
 class LivesTest(platform_system.HostedTest):
     def setUp(self) -> None:
         super().setUp()
-        self.assertEqual(200, self.system.put(platform_system.plan()).status)
+        self.assertEqual(
+            200, self.system.put(platform_system.configuration()).status
+        )
 
     def start(
         self,
@@ -99,7 +101,7 @@
         answer = self.system.call("POST", "/unsafe/a", request="r1")
         self.assertEqual(504, answer.status)
         self.assertEqual([], holding[0].seen)
-        avoided = self.system.told.of(events.UpstreamAvoided)
+        avoided = self.system.reporter.of(events.UpstreamAvoided)
         self.assertEqual([], avoided)
 
     def test_drain_of_the_old_process_does_not_end_the_new_one(self) -> None:
@@ -137,7 +139,7 @@
             self.assertIn(self.send(body), (400, 404), body)
             self.assertIn(self.send(body, "e7"), (400, 404), body)
         self.assertEqual(before, directory.version)
-        told = self.system.told.of(events.RegistrationRefused)
+        told = self.system.reporter.of(events.RegistrationRefused)
         self.assertEqual(2 * len(forged), len(told))
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(200, answer.status)
--- a/testing/test_hosted_operators.py
+++ b/testing/test_hosted_operators.py
@@ -11,50 +11,52 @@
 
     def test_highest_version_wins_and_is_read_back_as_sent(self) -> None:
         for version in (5, 3, 9, 9, 8):
-            plan = platform_system.plan(version)
-            self.assertEqual(200, self.system.put(plan).status)
-        self.assertEqual(platform_system.plan(9), self.get().json())
+            configuration = platform_system.configuration(version)
+            self.assertEqual(200, self.system.put(configuration).status)
+        self.assertEqual(platform_system.configuration(9), self.get().json())
 
     def test_other_content_under_the_version_held_changes_nothing(
         self,
     ) -> None:
-        self.system.put(platform_system.plan(4))
-        other = platform_system.plan(4, platform_system.route("new", "safe"))
+        self.system.put(platform_system.configuration(4))
+        other = platform_system.configuration(
+            4, platform_system.route("new", "safe")
+        )
         self.assertEqual(200, self.system.put(other).status)
-        self.assertEqual(platform_system.plan(4), self.get().json())
+        self.assertEqual(platform_system.configuration(4), self.get().json())
 
     def test_invalid_configurations_are_refused(self) -> None:
-        self.system.put(platform_system.plan(4))
-        whole = json.dumps(platform_system.plan(5)).encode()
+        self.system.put(platform_system.configuration(4))
+        whole = json.dumps(platform_system.configuration(5)).encode()
         route = platform_system.route
         broken = {
             "cut short": whole[: len(whole) // 2],
-            "unknown service": platform_system.plan(
+            "unknown service": platform_system.configuration(
                 5, route("a", "safe", service="none")
             ),
-            "same place": platform_system.plan(
+            "same place": platform_system.configuration(
                 5, route("a", "safe"), route("b", "safe", pathPrefix="/a/")
             ),
-            "no weight": platform_system.plan(
+            "no weight": platform_system.configuration(
                 5,
                 route("a", "safe", split=[{"service": "desk", "weight": 0}]),
             ),
-            "no time-out": platform_system.plan(
+            "no time-out": platform_system.configuration(
                 5, route("a", "safe", timeoutMs=0)
             ),
             "no object": b"[]",
             "no text": b"\xff\xfe",
         }
-        for name, plan in broken.items():
-            self.assertEqual(400, self.system.put(plan).status, name)
-        self.assertEqual(platform_system.plan(4), self.get().json())
+        for name, configuration in broken.items():
+            self.assertEqual(400, self.system.put(configuration).status, name)
+        self.assertEqual(platform_system.configuration(4), self.get().json())
 
     def test_unknown_fields_are_let_be(self) -> None:
-        plan = platform_system.plan(4)
-        plan["later"] = {"any": 1}
-        plan["routes"][0]["later"] = 1
-        self.assertEqual(200, self.system.put(plan).status)
-        self.assertEqual(plan, self.get().json())
+        configuration = platform_system.configuration(4)
+        configuration["later"] = {"any": 1}
+        configuration["routes"][0]["later"] = 1
+        self.assertEqual(200, self.system.put(configuration).status)
+        self.assertEqual(configuration, self.get().json())
 
     def test_nothing_to_read_back_is_not_an_empty_configuration(self) -> None:
         self.assertEqual(503, self.get().status)
@@ -62,7 +64,7 @@
     def test_changed_route_is_in_force_at_the_entry(self) -> None:
         self.ready(("e1", "desk"), ("e2", "lm"))
         moved = platform_system.route("safe", "safe", service="lm")
-        self.system.put(platform_system.plan(2, moved))
+        self.system.put(platform_system.configuration(2, moved))
         self.system.settle()
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(b"e2 /safe/a", answer.body)
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -15,7 +15,7 @@
 from mintcleat.ports import events
 from mintcleat.programs import branches
 from mintcleat.programs import limits
-from mintcleat.roles.entry import allowances
+from mintcleat.roles.entry import rate_limiter
 
 WINDOW = 5.0
 SMALL = program_messages.RateLimit(10.0, 10.0, WINDOW)
@@ -415,7 +415,7 @@
         return self.left
 
 
-class AllowancesTest(testtools.TestCase):
+class RateLimiterTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.clock = waiting_clock.Clock()
@@ -424,7 +424,7 @@
         self.configuration = FakeConfiguration(
             manifest.Policies(customers=held)
         )
-        self.allowances = allowances.Allowances(
+        self.rate_limiter = rate_limiter.RateLimiter(
             self.control,
             self.clock,
             events.NullEventReporter(),
@@ -432,55 +432,59 @@
         )
 
     def test_customer_without_a_limit_costs_control_nothing(self) -> None:
-        self.allowances.take("studios", "p", "r")
-        self.allowances.take("", "p", "r")
+        self.rate_limiter.admit("studios", "p", "r")
+        self.rate_limiter.admit("", "p", "r")
         self.assertEqual([], self.control.asked)
 
     def test_request_counted_ahead_costs_nothing_until_it_ends(self) -> None:
         for _ in range(3):
-            self.allowances.take("farmers", "p", "r")
+            self.rate_limiter.admit("farmers", "p", "r")
         self.assertEqual(1, len(self.control.asked))
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.clock.sleep(limits.AHEAD_SECONDS + 0.1)
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.assertEqual(3, len(self.control.asked))
 
     def test_short_wait_of_a_program_under_way_is_taken_here(self) -> None:
         self.control.refusals = [errors.LimitReached("", retry_after=0.2)]
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.assertEqual(0.2, self.clock.now())
 
     def test_long_wait_is_refused_at_once(self) -> None:
         self.control.refusals = [errors.LimitReached("", retry_after=2.0)]
         self.assertRaises(
-            errors.LimitReached, self.allowances.take, "farmers", "p", "r"
+            errors.LimitReached, self.rate_limiter.admit, "farmers", "p", "r"
         )
         self.assertEqual(0.0, self.clock.now())
 
     def test_program_that_has_not_begun_is_sent_away_at_once(self) -> None:
         self.control.refusals = [errors.LimitNear("", retry_after=0.2)]
         self.assertRaises(
-            errors.LimitNear, self.allowances.take, "farmers", "p", "r"
+            errors.LimitNear, self.rate_limiter.admit, "farmers", "p", "r"
         )
         self.assertEqual(0.0, self.clock.now())
 
     def test_count_that_may_be_lost_is_a_true_not_run(self) -> None:
         self.control.refusals = [errors.OutcomeUnknown("lost")]
         error = self.assertRaises(
-            errors.ControlUnavailable, self.allowances.take, "farmers", "p", "r"
+            errors.ControlUnavailable,
+            self.rate_limiter.admit,
+            "farmers",
+            "p",
+            "r",
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
     def test_entry_that_is_cut_off_sends_callers_away_soon(self) -> None:
         # Held for as long as an election takes, each was late, though any
         # other entry would have served it at once.
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.configuration.left = 0.0
         self.clock.sleep(2.0)
         self.control.refusals = [errors.ControlUnavailable("none answered")]
         error = self.assertRaises(
             errors.ControlUnavailable,
-            self.allowances.take,
+            self.rate_limiter.admit,
             "farmers",
             "p",
             "r",
