--- a/src/mintcleat/roles/entry/attempts.py
+++ b/src/mintcleat/roles/entry/attempts.py
@@ -36,7 +36,7 @@
     program: str
     customer: str
     key: str
-    fresh: bool = False
+    generated_key: bool = False
 
     @property
     def scope(self) -> str:
@@ -45,12 +45,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Whole:
+class Answered:
     """The caller has its whole answer."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Again:
+class Retry:
     """The attempt ended and never runs again; another may be granted.
 
     Attributes:
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Follow:
+class Attach:
     """The attempt runs, or ran, at its sidecar: attach to it."""
 
     attempt: int
@@ -71,7 +71,7 @@
     address: str
 
 
-def unsure(
+def with_unknown_outcome(
     name: CallName, error: errors.MintcleatError
 ) -> errors.MintcleatError:
     """Returns the error with a true outcome for a call that may be a resend.
@@ -79,7 +79,7 @@
     Nothing was run for this send. An earlier send under the same key may
     have run, and the group that knows can't be asked.
     """
-    if name.fresh or not name.key:
+    if name.generated_key or not name.key:
         return error
     return type(error)(
         error.detail,
@@ -131,9 +131,9 @@
         try:
             return self.control.ask(name.scope, begin, CONTROL_SECONDS)
         except errors.ControlUnavailable as error:
-            raise unsure(name, error) from None
+            raise with_unknown_outcome(name, error) from None
 
-    def known(
+    def find_earlier(
         self,
         name: CallName,
         turn: int,
@@ -150,7 +150,7 @@
             errors.MintcleatError: `refusal`, if nothing ran under this key;
                 with an unknown outcome, if nobody could be asked.
         """
-        if not name.key or name.fresh:
+        if not name.key or name.generated_key:
             raise refusal
         find = program_messages.FindCall(
             name.program, name.customer, turn, name.key, request_digest
@@ -159,7 +159,7 @@
             found = self.control.ask(name.scope, find, CONTROL_SECONDS)
         except (errors.ControlUnavailable, errors.OutcomeUnknown) as error:
             logger.info("Earlier sends of {} are unknown: {}", name, error)
-            raise unsure(name, refusal) from None
+            raise with_unknown_outcome(name, refusal) from None
         if isinstance(found, identities.Done):
             raise refusal
         return found
@@ -191,14 +191,14 @@
                 failure,
             )
 
-    def after_loss(
+    def resolve_lost(
         self,
         name: CallName,
         attempt: int,
         sidecar: identities.Incarnation,
         address: str,
         idempotent: bool,
-    ) -> Again | Follow:
+    ) -> Retry | Attach:
         """Finds out what became of an attempt whose sidecar was lost.
 
         Raises:
@@ -209,11 +209,11 @@
         match state:
             case "never":
                 cause = errors.NoUpstream("The sidecar was lost before it ran.")
-                return Again(attempt, cause)
+                return Retry(attempt, cause)
             case "running" | "ran":
-                return Follow(attempt, sidecar, address)
+                return Attach(attempt, sidecar, address)
             case _:
-                return self._unknown(name, attempt, idempotent)
+                return self._settle_unknown(name, attempt, idempotent)
 
     def _seal(
         self,
@@ -231,7 +231,9 @@
             logger.info("Attempt {} can't be sealed: {}", attempt, error)
             return "unknown"
 
-    def _unknown(self, name: CallName, attempt: int, idempotent: bool) -> Again:
+    def _settle_unknown(
+        self, name: CallName, attempt: int, idempotent: bool
+    ) -> Retry:
         """Settles as unknown; only an idempotent call may go on.
 
         An action with an effect may have happened: running it again could
@@ -244,4 +246,4 @@
         self.settle(name, attempt, error)
         if not idempotent:
             raise error
-        return Again(0, error)
+        return Retry(0, error)
--- a/src/mintcleat/roles/entry/authentication.py
+++ b/src/mintcleat/roles/entry/authentication.py
@@ -17,7 +17,7 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 
-_LOOK_SECONDS = 0.02
+_POLL_SECONDS = 0.02
 # Unknown keys that wait for that word at once. More are strangers who try
 # keys: they hear "not run" at once, and cost nobody a place.
 MAX_UNCONFIRMED = 64
@@ -61,7 +61,7 @@
         self.timers = timers
         self.events = events
         self.policies = configuration.manifest().policies
-        self.register = customers.CallerIndex(self.policies)
+        self.callers = customers.CallerIndex(self.policies)
         self.unconfirmed = 0
 
     def caller(self, key: str, public: bool = False) -> customers.Caller | None:
@@ -79,18 +79,20 @@
             errors.LeaseExpired: This entry may not take keys any more.
         """
         self._refresh()
-        if not self.register.required or (public and not key):
-            return self.register.find(key)
+        if not self.callers.required or (public and not key):
+            return self.callers.find(key)
         if self.configuration.key_seconds() <= 0:
             raise errors.LeaseExpired(
                 "This entry has been without control for too long to tell "
                 "customers by their keys.",
                 retry_after=RETRY_SECONDS,
             )
-        found = self.register.find(key)
+        found = self.callers.find(key)
         return found if found.customer else None
 
-    def sure_caller(self, key: str, public: bool = False) -> customers.Caller:
+    def confirmed_caller(
+        self, key: str, public: bool = False
+    ) -> customers.Caller:
         """Returns whose request it is, after `confirm`.
 
         Raises:
@@ -102,7 +104,7 @@
             raise _unauthorized(key)
         return found or customers.UNKNOWN_CALLER
 
-    def confirm(self, request: str, key: str, arrived: float) -> None:
+    def await_updates(self, request: str, key: str, arrived: float) -> None:
         """Waits until this entry knows every push from before a request.
 
         Args:
@@ -114,7 +116,7 @@
             errors.ControlUnavailable: There was no word from control in time,
                 or too many requests wait for it.
         """
-        sure = self._await_word(arrived)
+        updated = self._poll_updates(arrived)
         self.events.emit(
             event_types.KeyUnknown(
                 request,
@@ -123,16 +125,16 @@
                 round(arrived - self.configuration.known_until(), 4),
                 self.configuration.revision(),
                 self.unconfirmed,
-                sure,
+                updated,
             )
         )
-        if not sure:
+        if not updated:
             raise errors.ControlUnavailable(
                 "The key is not known here and may be new.",
                 retry_after=RETRY_SECONDS,
             )
 
-    def _await_word(self, arrived: float) -> bool:
+    def _poll_updates(self, arrived: float) -> bool:
         if self.unconfirmed >= MAX_UNCONFIRMED:
             return False
         until = self.timers.now() + self.configuration.word_seconds()
@@ -141,7 +143,7 @@
             while self.configuration.known_until() < arrived:
                 if self.timers.now() >= until:
                     return False
-                self.timers.sleep(_LOOK_SECONDS)
+                self.timers.sleep(_POLL_SECONDS)
         finally:
             self.unconfirmed -= 1
         return True
@@ -150,7 +152,7 @@
         policies = self.configuration.manifest().policies
         if policies is not self.policies:
             self.policies = policies
-            self.register = customers.CallerIndex(policies)
+            self.callers = customers.CallerIndex(policies)
 
 
 def _unauthorized(key: str) -> errors.Unauthorized:
--- a/src/mintcleat/roles/entry/chat.py
+++ b/src/mintcleat/roles/entry/chat.py
@@ -20,7 +20,7 @@
 
 # A sidecar sends nothing while a call waits or a prompt is built, so silence
 # alone is no fault; the streams' heartbeats find a lost peer.
-_MIN_WAIT = 0.05
+_MIN_WAIT_SECONDS = 0.05
 
 
 class Progress:
@@ -60,7 +60,7 @@
         self.metrics = metrics
 
     def run(
-        self, context: chat_call.Context
+        self, context: chat_call.RequestContext
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Yields the answer's parts and then its end.
 
@@ -70,19 +70,19 @@
         progress = Progress(context.call.streamed)
         step: Any = None
         while True:
-            if isinstance(step, attempts_module.Follow):
-                step = yield from self._follow(context, progress, step)
+            if isinstance(step, attempts_module.Attach):
+                step = yield from self._attach(context, progress, step)
             else:
                 step = yield from self._attempt(context, progress)
             match step:
-                case attempts_module.Whole():
+                case attempts_module.Answered():
                     return
-                case attempts_module.Again(sealed, cause):
+                case attempts_module.Retry(sealed, cause):
                     progress.sealed = sealed
-                    self._check_again(context, progress, cause)
+                    self._check_retry(context, progress, cause)
 
     def _attempt(
-        self, context: chat_call.Context, progress: Progress
+        self, context: chat_call.RequestContext, progress: Progress
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Places and runs one attempt; returns what to do next."""
         progress.attempts += 1
@@ -91,7 +91,7 @@
         except errors.MintcleatError as error:
             if progress.sealed or progress.may_have_run:
                 raise
-            return (yield from self._known(context, progress, error))
+            return (yield from self._find_earlier(context, progress, error))
         progress.sidecar = placed.sidecar
         self.metrics.count("placements_total", reason=placed.reason)
         if not context.name.key:
@@ -103,40 +103,40 @@
                 program_messages.CallRecorded()
                 | program_messages.AttemptRunning()
             ):
-                return (yield from self._earlier(progress, reply))
+                return (yield from self._use_earlier(progress, reply))
             case _:
                 run = self._run_message(context, placed, reply)
                 return (yield from self._run(context, progress, placed, run))
 
-    def _known(
+    def _find_earlier(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         progress: Progress,
         refusal: errors.MintcleatError,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Tells what an earlier send of the call left, or refuses."""
-        reply = self.attempts.known(
+        reply = self.attempts.find_earlier(
             context.name, context.call.turn, context.digest, refusal
         )
-        return (yield from self._earlier(progress, reply))
+        return (yield from self._use_earlier(progress, reply))
 
-    def _earlier(
+    def _use_earlier(
         self,
         progress: Progress,
         reply: program_messages.CallRecorded | program_messages.AttemptRunning,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Replays a recorded answer, or follows the attempt under way."""
         if isinstance(reply, program_messages.AttemptRunning):
-            return attempts_module.Follow(
+            return attempts_module.Attach(
                 reply.attempt, reply.sidecar, reply.address
             )
         progress.delivery.restart()
         yield from chat_call.replay(progress.delivery, reply.answer.decode())
         yield chat_call.recorded_end(reply)
-        return attempts_module.Whole()
+        return attempts_module.Answered()
 
     def _place(
-        self, context: chat_call.Context, progress: Progress
+        self, context: chat_call.RequestContext, progress: Progress
     ) -> placement_module.Placed:
         if context.refusal is not None:
             raise context.refusal
@@ -151,14 +151,16 @@
             # The last attempt is sealed and none follows: free its key and
             # its reservation, so that the caller's resend is a fresh start.
             if progress.may_have_run:
-                error = attempts_module.unsure(context.name, error)
+                error = attempts_module.with_unknown_outcome(
+                    context.name, error
+                )
             if progress.sealed:
                 self.attempts.settle(context.name, progress.sealed, error)
             raise error from None
 
     def _begin(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         progress: Progress,
         placed: placement_module.Placed,
     ) -> Any:
@@ -182,7 +184,7 @@
 
     def _run_message(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         placed: placement_module.Placed,
         granted: program_messages.AttemptGranted | None,
     ) -> call_messages.RunTurn:
@@ -199,7 +201,9 @@
             history=[],
             messages=call.messages,
             parameters=chat_call.bounded_parameters(context),
-            deadline=max(context.deadline_at - self.timers.now(), _MIN_WAIT),
+            deadline=max(
+                context.deadline_at - self.timers.now(), _MIN_WAIT_SECONDS
+            ),
             klass=granted.klass if granted else context.klass,
             agent=granted.agent if granted else context.agent,
             root=granted.root if granted else "",
@@ -210,7 +214,7 @@
 
     def _run(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         progress: Progress,
         placed: placement_module.Placed,
         run: call_messages.RunTurn,
@@ -220,7 +224,7 @@
             exchange = self.streams.open(placed.address, run)
         except errors.StreamClosed as error:
             progress.tried.add(placed.sidecar)
-            return self._lost(context, run, placed.address, error)
+            return self._sidecar_lost(context, run, placed.address, error)
         try:
             first = exchange.receive(self._left(context))
             if isinstance(first, call_messages.NeedHistory):
@@ -230,30 +234,37 @@
                 first = exchange.receive(self._left(context))
             return (yield from self._relay(context, progress, exchange, first))
         except errors.StreamTimeout as error:
-            return self._overdue(context, run, placed.address, error)
+            return self._deadline_passed(context, run, placed.address, error)
         except errors.StreamClosed as error:
             progress.tried.add(placed.sidecar)
-            return self._lost(context, run, placed.address, error)
+            return self._sidecar_lost(context, run, placed.address, error)
         finally:
             exchange.close()
 
-    def _broken(
-        self, context: chat_call.Context, attempt: int, failure: errors.Failure
-    ) -> attempts_module.Again:
+    def _attempt_failed(
+        self,
+        context: chat_call.RequestContext,
+        attempt: int,
+        failure: errors.Failure,
+    ) -> attempts_module.Retry:
         """Only an attempt that did not run may pass as sealed."""
         cause = errors.from_failure(failure)
         if failure.outcome == errors.NOT_RUN or not context.name.key:
-            return attempts_module.Again(attempt, cause)
+            return attempts_module.Retry(attempt, cause)
         unknown = errors.OutcomeUnknown(cause.detail)
         self.attempts.settle(context.name, attempt, unknown)
-        return attempts_module.Again(0, cause)
+        return attempts_module.Retry(0, cause)
 
-    def _failed(self, context: chat_call.Context, progress: Progress) -> None:
+    def _record_failure(
+        self, context: chat_call.RequestContext, progress: Progress
+    ) -> None:
         """Notes that the sidecar of the last attempt failed the call."""
         if progress.sidecar is None:
             return
         progress.tried.add(progress.sidecar)
-        self.placement.ended(context.service, progress.sidecar, ok=False)
+        self.placement.record_result(
+            context.service, progress.sidecar, ok=False
+        )
 
     def _with_history(
         self, run: call_messages.RunTurn, need: call_messages.NeedHistory
@@ -268,7 +279,7 @@
 
     def _relay(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         progress: Progress,
         exchange: streams_port.Exchange,
         first: Any,
@@ -280,36 +291,36 @@
         while True:
             match message:
                 case call_messages.Chunk(_, offset, text):
-                    new = delivery.take(offset, text)
+                    new = delivery.add(offset, text)
                     if new:
                         yield requests.AnswerText(new)
                 case call_messages.AttemptFinished():
-                    self.placement.learn(message.load)
-                    self.placement.ended(
+                    self.placement.update_load(message.load)
+                    self.placement.record_result(
                         context.service, message.load.sidecar, ok=True
                     )
                     yield from chat_call.replay(delivery, message.message)
                     yield chat_call.finished_end(message)
-                    return attempts_module.Whole()
+                    return attempts_module.Answered()
                 case call_messages.AttemptRefused(attempt, failure, load):
-                    self.placement.learn(load)
+                    self.placement.update_load(load)
                     progress.tried.add(load.sidecar)
                     cause = errors.from_failure(failure)
-                    return attempts_module.Again(attempt, cause)
+                    return attempts_module.Retry(attempt, cause)
                 case call_messages.AttemptFailed(attempt, failure):
-                    self._failed(context, progress)
-                    return self._broken(context, attempt, failure)
+                    self._record_failure(context, progress)
+                    return self._attempt_failed(context, attempt, failure)
                 case _:
                     raise errors.StreamClosed(
                         f"An unexpected {type(message).__name__}."
                     )
             message = exchange.receive(self._left(context))
 
-    def _follow(
+    def _attach(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         progress: Progress,
-        follow: attempts_module.Follow,
+        target: attempts_module.Attach,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Attaches to an attempt that runs or ran elsewhere."""
         name = context.name
@@ -317,66 +328,66 @@
             name.program,
             name.customer,
             name.key,
-            follow.attempt,
-            follow.sidecar,
+            target.attempt,
+            target.sidecar,
         )
         try:
-            exchange = self.streams.open(follow.address, attach)
+            exchange = self.streams.open(target.address, attach)
         except errors.StreamClosed:
-            return self._after_loss(context, follow)
+            return self._resolve_lost(context, target)
         try:
             first = exchange.receive(self._left(context))
             return (yield from self._relay(context, progress, exchange, first))
         except errors.StreamTimeout as error:
-            raise self._deadline(error) from None
+            raise self._deadline_error(error) from None
         except errors.StreamClosed:
-            progress.tried.add(follow.sidecar)
-            return self._after_loss(context, follow)
+            progress.tried.add(target.sidecar)
+            return self._resolve_lost(context, target)
         finally:
             exchange.close()
 
-    def _after_loss(
-        self, context: chat_call.Context, follow: attempts_module.Follow
-    ) -> attempts_module.Again | attempts_module.Follow:
-        self.timers.sleep(_MIN_WAIT)
+    def _resolve_lost(
+        self, context: chat_call.RequestContext, target: attempts_module.Attach
+    ) -> attempts_module.Retry | attempts_module.Attach:
+        self.timers.sleep(_MIN_WAIT_SECONDS)
         if self.timers.now() >= context.deadline_at:
-            raise self._deadline(None)
-        return self.attempts.after_loss(
+            raise self._deadline_error(None)
+        return self.attempts.resolve_lost(
             context.name,
-            follow.attempt,
-            follow.sidecar,
-            follow.address,
+            target.attempt,
+            target.sidecar,
+            target.address,
             idempotent=True,
         )
 
-    def _lost(
+    def _sidecar_lost(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         run: call_messages.RunTurn,
         address: str,
         error: errors.StreamClosed,
-    ) -> attempts_module.Again | attempts_module.Follow:
+    ) -> attempts_module.Retry | attempts_module.Attach:
         """Decides after the exchange with the sidecar was lost."""
         if not context.name.key or error.outcome == errors.NOT_RUN:
-            return attempts_module.Again(run.attempt, error)
-        follow = attempts_module.Follow(run.attempt, run.sidecar, address)
-        return self._after_loss(context, follow)
+            return attempts_module.Retry(run.attempt, error)
+        target = attempts_module.Attach(run.attempt, run.sidecar, address)
+        return self._resolve_lost(context, target)
 
-    def _overdue(
+    def _deadline_passed(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         run: call_messages.RunTurn,
         address: str,
         error: errors.StreamTimeout,
-    ) -> attempts_module.Again:
+    ) -> attempts_module.Retry:
         """Ends a call whose deadline passed, with a true outcome."""
         if not context.name.key:
-            raise self._deadline(error)
-        step = self.attempts.after_loss(
+            raise self._deadline_error(error)
+        step = self.attempts.resolve_lost(
             context.name, run.attempt, run.sidecar, address, idempotent=True
         )
         match step:
-            case attempts_module.Again(sealed, cause) if isinstance(
+            case attempts_module.Retry(sealed, cause) if isinstance(
                 cause, errors.NoUpstream
             ):
                 refusal = errors.DeadlineUnmet(
@@ -385,9 +396,9 @@
                 self.attempts.settle(context.name, sealed, refusal)
                 raise refusal
             case _:
-                raise self._deadline(error)
+                raise self._deadline_error(error)
 
-    def _deadline(
+    def _deadline_error(
         self, cause: errors.MintcleatError | None
     ) -> errors.DeadlineUnmet:
         logger.info("A call passed its deadline: {}", cause)
@@ -397,12 +408,12 @@
             remedy="Send the same request with the same key to get its answer.",
         )
 
-    def _left(self, context: chat_call.Context) -> float:
-        return max(context.deadline_at - self.timers.now(), _MIN_WAIT)
+    def _left(self, context: chat_call.RequestContext) -> float:
+        return max(context.deadline_at - self.timers.now(), _MIN_WAIT_SECONDS)
 
-    def _check_again(
+    def _check_retry(
         self,
-        context: chat_call.Context,
+        context: chat_call.RequestContext,
         progress: Progress,
         cause: errors.MintcleatError,
     ) -> None:
@@ -417,7 +428,7 @@
         if not over:
             return
         if progress.may_have_run:
-            cause = attempts_module.unsure(context.name, cause)
+            cause = attempts_module.with_unknown_outcome(context.name, cause)
         if progress.sealed and context.name.key:
             self.attempts.settle(context.name, progress.sealed, cause)
         raise cause
--- a/src/mintcleat/roles/entry/chat_call.py
+++ b/src/mintcleat/roles/entry/chat_call.py
@@ -21,7 +21,7 @@
 _TEMPLATE_TOKENS = 16
 
 
-class Context(NamedTuple):
+class RequestContext(NamedTuple):
     """What is fixed for all attempts of one call.
 
     Attributes:
@@ -52,12 +52,12 @@
     if delivery.seen == len(text):
         return
     delivery.restart()
-    new = delivery.take(0, text)
+    new = delivery.add(0, text)
     if new:
         yield requests.AnswerText(new)
 
 
-def place_call(context: Context, attempts: int) -> calls.Call:
+def place_call(context: RequestContext, attempts: int) -> calls.Call:
     """Returns the call as the placement decision sees it."""
     new_tokens = prompt_tokens(context.call)
     name = context.name
@@ -93,7 +93,7 @@
     return size + _TEMPLATE_TOKENS * (len(call.messages) + 1)
 
 
-def completion_limit(context: Context) -> int:
+def completion_limit(context: RequestContext) -> int:
     """Returns how many tokens the answer may have.
 
     Without the caller's own limit it is the default, or what the budget
@@ -108,7 +108,7 @@
     return max(1, min(DEFAULT_COMPLETION_TOKENS, left))
 
 
-def bounded_parameters(context: Context) -> str:
+def bounded_parameters(context: RequestContext) -> str:
     """Returns the body's parameters with a completion limit.
 
     Without a limit an engine could generate past what was reserved, and the
--- a/src/mintcleat/roles/entry/customer_calls.py
+++ b/src/mintcleat/roles/entry/customer_calls.py
@@ -14,7 +14,7 @@
 _CUSTOMER = "mintcleat-customer"
 
 
-class Calls(calls_port.EntryApi, Protocol):
+class UnscopedEntryApi(calls_port.EntryApi, Protocol):
     """The entry for any customer."""
 
     def view_program(self, program: str) -> program_messages.ProgramView:
@@ -29,7 +29,10 @@
     """
 
     def __init__(
-        self, calls: Calls, limiter: rate_limiter.RateLimiter, customer: str
+        self,
+        calls: UnscopedEntryApi,
+        limiter: rate_limiter.RateLimiter,
+        customer: str,
     ) -> None:
         self.calls = calls
         self.rate_limiter = limiter
@@ -52,46 +55,46 @@
     ) -> program_messages.ProgramView:
         """Creates a program, or returns the same one for a resend."""
         if new.parent:
-            self._own(new.parent)
+            self._check_owner(new.parent)
         return self.calls.create_program(new._replace(customer=self.customer))
 
     def show_program(self, program: str) -> program_messages.ProgramView:
         """Returns a program of the customer."""
-        self._own(program)
+        self._check_owner(program)
         return self.calls.show_program(program)
 
     def history(self, program: str) -> program_messages.History:
         """Returns its whole history."""
-        self._own(program)
+        self._check_owner(program)
         return self.calls.history(program)
 
     def close_program(self, program: str) -> None:
         """Closes it and its sub-agents."""
-        self._own(program)
+        self._check_owner(program)
         self.calls.close_program(program)
 
     def chat(
         self, call: requests.ChatCall
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Yields the parts of a chat answer and then its end."""
-        self._count(call)
+        self._admit(call)
         return self.calls.chat(call._replace(customer=self.customer))
 
     def service(self, call: requests.ServiceCall) -> requests.ServiceAnswer:
         """Returns the answer of a plain service."""
-        self._count(call)
+        self._admit(call)
         headers = [item for item in call.headers if item[0] != _CREDENTIALS]
         named = [*headers, [_CUSTOMER, self.customer]]
         return self.calls.service(
             call._replace(customer=self.customer, headers=named)
         )
 
-    def _count(self, call: requests.ChatCall | requests.ServiceCall) -> None:
+    def _admit(self, call: requests.ChatCall | requests.ServiceCall) -> None:
         if call.program:
-            self._own(call.program)
+            self._check_owner(call.program)
         self.rate_limiter.admit(self.customer, call.program, call.request)
 
-    def _own(self, program: str) -> None:
+    def _check_owner(self, program: str) -> None:
         """Refuses a program that is not the customer's.
 
         Raises:
--- a/src/mintcleat/roles/entry/delivery.py
+++ b/src/mintcleat/roles/entry/delivery.py
@@ -28,7 +28,7 @@
         """Begins the answer of another attempt, or the same one again."""
         self.seen = 0
 
-    def take(self, offset: int, text: str) -> str:
+    def add(self, offset: int, text: str) -> str:
         """Takes a part and returns what of it is new to the caller.
 
         Raises:
@@ -42,16 +42,16 @@
         self.seen += len(text)
         if not self.streamed or not text:
             return ""
-        known = self.length - start
-        if known > 0:
-            self._compare(start, text[:known])
-            text = text[known:]
+        overlap = self.length - start
+        if overlap > 0:
+            self._check_same(start, text[:overlap])
+            text = text[overlap:]
         if text:
             self.parts.append(text)
             self.length += len(text)
         return text
 
-    def _compare(self, start: int, text: str) -> None:
+    def _check_same(self, start: int, text: str) -> None:
         delivered = "".join(self.parts)
         self.parts = [delivered]
         if delivered[start : start + len(text)] != text:
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -32,9 +32,9 @@
 _PROGRAM_ID = re.compile(r"[A-Za-z0-9_-]{1,64}(\.[A-Za-z0-9_-]{1,64}){0,8}")
 # Views are about 300 bytes; the cache saves a read per turn for the programs
 # that this entry served last and is bounded so that an entry stays thin.
-_VIEWS_KEPT = 20_000
+_MAX_VIEWS = 20_000
 ANONYMOUS = "anonymous"
-_ENDED = {True: "ended", False: "failed or was left"}
+_OUTCOME_TEXTS = {True: "ended", False: "failed or was left"}
 
 
 class Entry:
@@ -111,7 +111,7 @@
             parent=new.parent,
             repeat_limit=agent.repeat_limit,
         )
-        return self._remember(self._ask(create.program, create))
+        return self._cache_view(self._ask(create.program, create))
 
     def authenticate(self, key: str, request: str) -> calls_port.EntryApi:
         """Returns the entry as the holder of a key may use it.
@@ -127,9 +127,9 @@
         arrived = self.timers.now()
         found = self.authenticator.caller(key)
         if found is None:
-            self.authenticator.confirm(request, key, arrived)
-            found = self.authenticator.sure_caller(key)
-        if not self.authenticator.register.required:
+            self.authenticator.await_updates(request, key, arrived)
+            found = self.authenticator.confirmed_caller(key)
+        if not self.authenticator.callers.required:
             return self
         return customer_calls.CustomerCalls(
             self, self.rate_limiter, found.customer
@@ -144,7 +144,7 @@
         """Returns the program by a linearizable read."""
         check_id(program)
         view = self._ask(program, program_messages.ShowProgram(program))
-        return self._remember(view)
+        return self._cache_view(view)
 
     def history(self, program: str) -> program_messages.History:
         """Returns the program's whole history."""
@@ -172,7 +172,7 @@
             # Made from the content, so that a resend without a key still
             # finds the first send's attempt instead of a taken turn.
             key = f"turn-{call.turn}-{digest.hex()}"
-        context = chat_call.Context(
+        context = chat_call.RequestContext(
             call=call,
             name=attempts_module.CallName(call.program, customer, key),
             service=self._model_service(call, view),
@@ -185,7 +185,7 @@
             tokens_left=tokens_left(view),
             refusal=refusal,
         )
-        return self._counted(context)
+        return self._run_chat(context)
 
     def service(self, call: requests.ServiceCall) -> requests.ServiceAnswer:
         """Returns the answer of a plain service."""
@@ -203,20 +203,22 @@
             raise refusal
         view = self._call_view(call.program, call.key)
         customer = view.customer if view else self._customer(call.customer)
-        fresh = not call.key
+        generated_key = not call.key
         key = call.key
-        if fresh and not idempotent:
+        if generated_key and not idempotent:
             key = attempts_module.new_key()
-        context = service_calls_module.Context(
+        context = service_calls_module.RequestContext(
             call=call,
-            name=attempts_module.CallName(call.program, customer, key, fresh),
+            name=attempts_module.CallName(
+                call.program, customer, key, generated_key
+            ),
             klass=view.klass if view else "interactive",
             digest=attempts_module.digest(
                 call.service, call.method, call.path, call.body
             ),
             deadline_at=self._deadline_at(call.deadline),
             idempotent=idempotent,
-            committed=not idempotent,
+            is_recorded=not idempotent,
             refusal=refusal,
         )
         self.metrics.count("calls_total", kind="service")
@@ -226,11 +228,11 @@
             return self.service_calls.run(context)
         finally:
             self.running -= 1
-            taken = self.timers.now() - started
-            self.metrics.observe("call_seconds", taken, kind="service")
+            elapsed = self.timers.now() - started
+            self.metrics.observe("call_seconds", elapsed, kind="service")
 
-    def _counted(
-        self, context: chat_call.Context
+    def _run_chat(
+        self, context: chat_call.RequestContext
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
         """Runs a chat call, counted as running until its last byte."""
         self.metrics.count("calls_total", kind="chat")
@@ -248,23 +250,23 @@
                 ended = isinstance(event, requests.AnswerEnd)
                 if ended:
                     attempt = event.attempt
-                    self._note_turn(context, event)
+                    self._update_view(context, event)
                 yield event
         finally:
             self.running -= 1
             if not ended:
                 self.views.pop(context.call.program, None)
-            taken = self.timers.now() - started
-            self.metrics.observe("call_seconds", taken, kind="chat")
+            elapsed = self.timers.now() - started
+            self.metrics.observe("call_seconds", elapsed, kind="chat")
             logger.bind(
                 request=context.call.request,
                 program=context.call.program,
                 turn=context.call.turn,
                 attempt=attempt,
-            ).debug("Chat call {} in {:.4f} s", _ENDED[ended], taken)
+            ).debug("Chat call {} in {:.4f} s", _OUTCOME_TEXTS[ended], elapsed)
 
-    def _note_turn(
-        self, context: chat_call.Context, end: requests.AnswerEnd
+    def _update_view(
+        self, context: chat_call.RequestContext, end: requests.AnswerEnd
     ) -> None:
         """Keeps where the program's history is cached now.
 
@@ -333,9 +335,9 @@
     ) -> identities.Budget:
         """Returns the tighter of the caller's and the manifest's limits."""
         return identities.Budget(
-            tokens=tighter(asked.tokens, agent.tokens),
-            turns=tighter(asked.turns, agent.turns),
-            seconds=tighter(asked.seconds, agent.seconds),
+            tokens=lower_limit(asked.tokens, agent.tokens),
+            turns=lower_limit(asked.turns, agent.turns),
+            seconds=lower_limit(asked.seconds, agent.seconds),
         )
 
     def _program_id(self, new: requests.NewProgram) -> str:
@@ -363,7 +365,7 @@
             return self._view(program)
         except errors.ControlUnavailable as error:
             name = attempts_module.CallName(program, "", key or "turn")
-            raise attempts_module.unsure(name, error) from None
+            raise attempts_module.with_unknown_outcome(name, error) from None
 
     def _view(self, program: str) -> program_messages.ProgramView:
         found = self.views.get(program)
@@ -372,12 +374,12 @@
             return found
         return self.show_program(program)
 
-    def _remember(
+    def _cache_view(
         self, view: program_messages.ProgramView
     ) -> program_messages.ProgramView:
         self.views[view.program] = view
         self.views.move_to_end(view.program)
-        if len(self.views) > _VIEWS_KEPT:
+        if len(self.views) > _MAX_VIEWS:
             self.views.popitem(last=False)
         return view
 
@@ -414,7 +416,7 @@
     return max(0, view.budget.tokens - view.used - view.reserved)
 
 
-def tighter(first: float, second: float) -> float:
+def lower_limit(first: float, second: float) -> float:
     """Returns the lower of two limits where 0 means none."""
     if not first or not second:
         return first or second
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -17,9 +17,9 @@
 from mintcleat.roles.entry import upstream_loads
 
 # Callers that name no deadline are taken to wait for this long.
-_PATIENT_SECONDS = 30.0
+_DEFAULT_DEADLINE_SECONDS = 30.0
 # How often a call that is held looks whether word has come.
-_LOOK_SECONDS = 0.01
+_POLL_SECONDS = 0.01
 
 
 class Gateway:
@@ -49,14 +49,14 @@
         self.loads = upstream_loads.UpstreamLoads(
             configuration, timers, events, upstreams.forget, entry, policy
         )
-        self.means = routed_run.Means(
+        self.context = routed_run.EntryContext(
             configuration, upstreams, self.loads, turns, timers, events
         )
         self.authenticator = authentication.Authenticator(
             configuration, timers, events
         )
         self.table = routes.Table({})
-        self.table_of: manifest.Manifest | None = None
+        self.table_manifest: manifest.Manifest | None = None
         self.draining = False
         self.started = timers.now()
         self.held = 0
@@ -92,27 +92,27 @@
                 error.retry_after = jitter.retry_after(
                     call.request, error.retry_after
                 )
-            self._tell_refusal(call, run, error, began)
+            self._emit_refusal(call, run, error, began)
             raise
 
     def _route(
         self, call: routed_calls.RoutedCall, began: float
     ) -> routed_run.RoutedRun:
-        if not self._has_word():
-            self._await_word(call)
+        if not self._has_configuration():
+            self._await_configuration(call)
         match = self._match(call)
         caller = self.authenticator.caller(call.key, match.route.public)
         if caller is None:
-            self.authenticator.confirm(call.request, call.key, began)
+            self.authenticator.await_updates(call.request, call.key, began)
             match = self._match(call)
             public = match.route.public
-            caller = self.authenticator.sure_caller(call.key, public)
+            caller = self.authenticator.confirmed_caller(call.key, public)
         call = call._replace(customer=caller.customer)
         key = call.program.program or call.affinity or call.request
         name = routes.service_of(match.route, key)
         service = self.configuration.manifest().services[name]
         return routed_run.RoutedRun(
-            self.means, call, match, name, service, began, caller.priority
+            self.context, call, match, name, service, began, caller.priority
         )
 
     def _match(self, call: routed_calls.RoutedCall) -> routes.Match:
@@ -124,9 +124,9 @@
         """
         configuration = self.configuration
         current = configuration.manifest()
-        if current is not self.table_of:
+        if current is not self.table_manifest:
             self.table = routes.Table(current.routes)
-            self.table_of = current
+            self.table_manifest = current
         match = self.table.find(call.host, call.path)
         if match is None:
             if not configuration.has_lease():
@@ -138,7 +138,7 @@
             raise errors.UnknownRoute(f"No route for {call.host}{call.path}.")
         return match
 
-    def _has_word(self) -> bool:
+    def _has_configuration(self) -> bool:
         """Tells whether a configuration and a lease on it have come.
 
         A leader that was just elected sends the first before it may grant the
@@ -149,20 +149,20 @@
         )
         return self.configured
 
-    def _await_word(self, call: routed_calls.RoutedCall) -> None:
+    def _await_configuration(self, call: routed_calls.RoutedCall) -> None:
         """Holds a call while this entry has just started.
 
         Raises:
             errors.ControlUnavailable: There is still no configuration.
         """
         uptime = self.timers.now() - self.started
-        deadline = call.deadline or _PATIENT_SECONDS
+        deadline = call.deadline or _DEFAULT_DEADLINE_SECONDS
         seconds = cold_start.hold_seconds(uptime, deadline, self.held)
         until = self.timers.now() + seconds
         self.held += 1
         try:
-            while not self._has_word() and self.timers.now() < until:
-                self.timers.sleep(_LOOK_SECONDS)
+            while not self._has_configuration() and self.timers.now() < until:
+                self.timers.sleep(_POLL_SECONDS)
         finally:
             self.held -= 1
         known = self.configuration.revision() > 0
@@ -183,11 +183,11 @@
                 retry_after=routed_run.RETRY_SECONDS,
             )
 
-    def _known_age(self) -> float:
+    def _configuration_age(self) -> float:
         known = self.configuration.known_until()
         return self.timers.now() - known if known > 0 else 0.0
 
-    def _tell_refusal(
+    def _emit_refusal(
         self,
         call: routed_calls.RoutedCall,
         run: routed_run.RoutedRun | None,
@@ -206,6 +206,6 @@
                 round(self.timers.now() - began, 4),
                 run.call.customer if run else "",
                 self.configuration.revision(),
-                round(max(0.0, self._known_age()), 4),
+                round(max(0.0, self._configuration_age()), 4),
             )
         )
--- a/src/mintcleat/roles/entry/placement.py
+++ b/src/mintcleat/roles/entry/placement.py
@@ -16,7 +16,7 @@
 from mintcleat.ports import streams as streams_port
 from mintcleat.ports import timers as timers_port
 
-_REWATCH_SECONDS = 1.0
+_REFRESH_SECONDS = 1.0
 _FORGET_SECONDS = 60.0
 # Until a sidecar has reported, its upstream is taken to be like the others.
 _UNKNOWN_LIMIT = 8
@@ -31,7 +31,7 @@
     reason: str
 
 
-class Service:
+class ServiceState:
     """One service's upstreams and retry budget, as this entry knows them."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         self.streams = streams
         self.timers = timers
         self.directory = directory
-        self.services: dict[str, Service] = {}
+        self.services: dict[str, ServiceState] = {}
         self.watched: set[identities.Incarnation] = set()
         self.subscriptions: list[timers_port.Subscription] = []
 
@@ -62,8 +62,8 @@
         """Begins to follow the members."""
         self.directory.subscribe(self.refresh)
         self.subscriptions = [
-            self.timers.every(_REWATCH_SECONDS, self.refresh),
-            self.timers.every(_FORGET_SECONDS, self._forget_guests),
+            self.timers.every(_REFRESH_SECONDS, self.refresh),
+            self.timers.every(_FORGET_SECONDS, self._forget_silent),
         ]
         self.refresh()
 
@@ -92,12 +92,12 @@
         service = self.services.get(name)
         if service is None:
             raise self._no_upstream(name)
-        place_at = self._resident(service, call, resident)
+        resident_at = self._resident(service, call, resident)
         policies = self.directory.manifest().policies
         choice = placement.choose(
             service.fleet,
             call,
-            place_at,
+            resident_at,
             placement.Weights(*weights_of(policies)),
             self.timers.now(),
             exclude=frozenset(one.instance for one in excluded),
@@ -106,10 +106,10 @@
             raise self._no_upstream(name)
         member = service.members[choice.name]
         return Placed(
-            member.sidecar, member.address, reason_of(choice, place_at)
+            member.sidecar, member.address, reason_of(choice, resident_at)
         )
 
-    def learn(self, report: call_messages.LoadReport) -> None:
+    def update_load(self, report: call_messages.LoadReport) -> None:
         """Takes a report that was pushed or came with an answer."""
         now = self.timers.now()
         for service in self.services.values():
@@ -118,7 +118,7 @@
                 service.fleet.report(report, now)
                 return
 
-    def ended(
+    def record_result(
         self, name: str, sidecar: identities.Incarnation, ok: bool
     ) -> None:
         """Counts the end of a call at a sidecar; refusals are not counted."""
@@ -135,7 +135,7 @@
         return service is not None and service.budget.take(attempts)
 
     def _refresh_service(self, name: str) -> None:
-        service = self.services.setdefault(name, Service())
+        service = self.services.setdefault(name, ServiceState())
         members = self.directory.members(name)
         old = service.members
         service.members = {one.sidecar.instance: one for one in members}
@@ -155,7 +155,7 @@
             self._ensure_watch(service, service.members[instance])
 
     def _ensure_watch(
-        self, service: Service, member: member_messages.Announcement
+        self, service: ServiceState, member: member_messages.Announcement
     ) -> None:
         if member.sidecar.instance not in service.fleet.upstreams:
             service.fleet.report(self._first_report(service, member), 0.0)
@@ -165,7 +165,7 @@
         self.timers.spawn(self._watch, member)
 
     def _first_report(
-        self, service: Service, member: member_messages.Announcement
+        self, service: ServiceState, member: member_messages.Announcement
     ) -> call_messages.LoadReport:
         """Returns what to assume of an upstream that has not reported yet.
 
@@ -187,7 +187,7 @@
 
     def _resident(
         self,
-        service: Service,
+        service: ServiceState,
         call: calls.Call,
         resident: identities.Incarnation | None,
     ) -> placement.Resident | None:
@@ -213,13 +213,13 @@
                 member.address, call_messages.WatchLoad(self.instance)
             )
             while True:
-                self.learn(exchange.receive())
+                self.update_load(exchange.receive())
         except errors.MintcleatError as error:
             logger.debug("Load watch of {} ended: {}", member.sidecar, error)
         finally:
             self.watched.discard(member.sidecar)
 
-    def _forget_guests(self) -> None:
+    def _forget_silent(self) -> None:
         for service in self.services.values():
             service.fleet.forget_silent(self.timers.now())
 
--- a/src/mintcleat/roles/entry/rate_limiter.py
+++ b/src/mintcleat/roles/entry/rate_limiter.py
@@ -50,7 +50,7 @@
         self.configuration = configuration
         self.timers = timers
         self.events = events
-        self.ahead = limits.RequestPrefetch()
+        self.prefetched = limits.RequestPrefetch()
         self.waiting = 0
 
     def limit_of(self, customer: str) -> program_messages.RateLimit | None:
@@ -59,7 +59,7 @@
         held = policies.customers.get(customer)
         return limits.limit_of(held, policies) if held else None
 
-    def counts_with(self, customer: str, program: str) -> bool:
+    def shares_group(self, customer: str, program: str) -> bool:
         """Tells whether a program's group counts its customer's requests."""
         groups = self.control.groups
         return groups == 1 or placement.group_of(
@@ -80,7 +80,7 @@
         """
         limit = self.limit_of(customer)
         now = self.timers.now()
-        if limit is None or self.ahead.take(customer, now):
+        if limit is None or self.prefetched.take(customer, now):
             return
         scope = placement.limit_scope(customer)
         count = program_messages.CountCall(customer, program, limit)
@@ -129,7 +129,7 @@
                 self._wait(seconds)
             else:
                 until = began + counting.AHEAD_SECONDS
-                self.ahead.put(request.customer, reply.ahead, until)
+                self.prefetched.put(request.customer, reply.ahead, until)
                 return reply
 
     def _wait(self, seconds: float) -> None:
--- a/src/mintcleat/roles/entry/response_relay.py
+++ b/src/mintcleat/roles/entry/response_relay.py
@@ -11,7 +11,7 @@
 from mintcleat.roles.entry import upstream_loads
 
 
-class RoutedAnswer:
+class ResponseRelay:
     """What the caller of one request has been given, over all attempts.
 
     Attributes:
@@ -23,10 +23,10 @@
         received: Whether the upstream's answer has come to its end.
         kept: Whether the turn is on record with its content.
         tokens: Tokens handed to the caller.
-        last_event: Id of the last event passed on.
+        last_event_id: Id of the last event passed on.
         first: Clock of the answer or its first event; 0 before.
         gap: Longest pause between two events, in seconds.
-        piece_at: Clock of the last event; 0 before the first.
+        last_event_at: Clock of the last event; 0 before the first.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         turns: turn_client.TurnClient,
         timers: timer_ports.Timers,
         request: str,
-        last_event: str,
+        last_event_id: str,
     ) -> None:
         self.route = route
         self.service = service
@@ -48,14 +48,14 @@
         self.turn: turn_client.OpenedTurn | None = None
         self.status = 0
         self.request = request
-        self.begun = False
-        self.received = False
-        self.kept = False
+        self.head_sent = False
+        self.complete = False
+        self.committed = False
         self.tokens = 0
-        self.last_event = last_event
-        self.first = 0.0
-        self.gap = 0.0
-        self.piece_at = 0.0
+        self.last_event_id = last_event_id
+        self.first_at = 0.0
+        self.max_gap = 0.0
+        self.last_event_at = 0.0
         self.output: list[bytes] = []
 
     @property
@@ -68,12 +68,12 @@
         """The life of the upstream asked last; empty for none."""
         return self.upstream.incarnation if self.upstream else ""
 
-    def deliver(
+    def relay(
         self,
         answer: forwarding.UpstreamResponse,
         reply: forwarding.CallerResponse,
         sent_at: float,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> None:
         """Passes one attempt's answer on, to its end.
 
@@ -81,92 +81,92 @@
             answer: The upstream's answer, its head read.
             reply: The caller's side.
             sent_at: Clock at which the request was sent.
-            may_repeat: Whether a failed answer may be replaced by another
+            may_retry: Whether a failed answer may be replaced by another
                 upstream's.
 
         Raises:
             errors.MintcleatError: The answer can't be passed on whole.
         """
         if answer.head.events:
-            self._deliver_events(answer, reply)
+            self._relay_events(answer, reply)
         else:
-            self._deliver_whole(answer, reply, sent_at, may_repeat)
+            self._relay_whole(answer, reply, sent_at, may_retry)
 
-    def _deliver_whole(
+    def _relay_whole(
         self,
         answer: forwarding.UpstreamResponse,
         reply: forwarding.CallerResponse,
         sent_at: float,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> None:
         head = answer.head
         body = answer.body()
         self.status = head.status
-        said = evidence.of_answer(head.status)
-        if said is evidence.Evidence.FAILURE and may_repeat:
+        verdict = evidence.of_answer(head.status)
+        if verdict is evidence.Evidence.FAILURE and may_retry:
             raise errors.UpstreamFailed(f"The upstream said {head.status}.")
-        if self.begun:
+        if self.head_sent:
             raise errors.UpstreamFailed("The stream did not go on.")
-        self.first = self.timers.now()
-        self._received()
-        if said is evidence.Evidence.SUCCESS:
-            self.loads.observe(self.incarnation, self.first - sent_at)
-        self.begun = True
+        self.first_at = self.timers.now()
+        self._mark_complete()
+        if verdict is evidence.Evidence.SUCCESS:
+            self.loads.observe(self.incarnation, self.first_at - sent_at)
+        self.head_sent = True
         reply.send_whole(head, body)
 
-    def _deliver_events(
+    def _relay_events(
         self,
         answer: forwarding.UpstreamResponse,
         reply: forwarding.CallerResponse,
     ) -> None:
-        if not self.begun:
+        if not self.head_sent:
             self.status = answer.head.status
-            self.begun = True
+            self.head_sent = True
             reply.send_head(answer.head)
         buffer = server_sent_events.EventBuffer()
         for data in answer.chunks():
             self.loads.arrived(self.incarnation)
             for event in buffer.feed(data):
-                self._pass_on(event, reply)
+                self._forward_event(event, reply)
         if buffer.rest:
             reply.write(buffer.rest)
-        self._received()
-        self._keep_turn()
+        self._mark_complete()
+        self._commit_turn()
         reply.end()
 
-    def _received(self) -> None:
+    def _mark_complete(self) -> None:
         """Notes that nothing more is due from the upstream.
 
         What follows waits for control or for the caller. Counted on, it
         would look like load on the upstream, and like its silence.
         """
-        self.received = True
+        self.complete = True
         self.loads.ended(self.incarnation, self.request)
 
-    def _pass_on(
+    def _forward_event(
         self, event: server_sent_events.Event, reply: forwarding.CallerResponse
     ) -> None:
         now = self.timers.now()
-        if self.piece_at:
-            pause = now - self.piece_at
-            self.gap = max(self.gap, pause)
+        if self.last_event_at:
+            pause = now - self.last_event_at
+            self.max_gap = max(self.max_gap, pause)
             self.loads.observe(self.incarnation, pause)
         else:
-            self.first = now
-        self.piece_at = now
+            self.first_at = now
+        self.last_event_at = now
         self.tokens += self.service.tokens_per_event
-        self.last_event = event.id or self.last_event
+        self.last_event_id = event.id or self.last_event_id
         if self.route.retention:
             self.output.append(event.data)
         reply.write(event.raw)
 
-    def _keep_turn(self) -> None:
+    def _commit_turn(self) -> None:
         """Commits the turn before its answer ends; a later turn may follow."""
         if self.turn is None or not self.route.retention:
             return
         output = b"".join(data + b"\n" for data in self.output)
         try:
-            self.turns.keep(
+            self.turns.commit(
                 self.turn,
                 self.tokens,
                 self.incarnation,
@@ -177,4 +177,4 @@
             raise errors.TurnUnrecorded(
                 f"The turn could not be recorded: {error.detail}"
             ) from error
-        self.kept = True
+        self.committed = True
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -41,17 +41,17 @@
 # about the time that a failover or a restart takes.
 RETRY_SECONDS = 0.5
 # A program of a route that keeps no turns keeps its budget for so long.
-BUDGET_SECONDS = 60.0
+BUDGET_RETENTION_SECONDS = 60.0
 # Urgency of the most urgent routes; 5 is what an upstream takes for a request
 # that says nothing.
-FIRST_URGENCY = 4
-LAST_URGENCY = 9
+BASE_URGENCY = 4
+MAX_URGENCY = 9
 # Silence of an upstream that is still usual, against the time in which a good
 # answer of the route comes. A loaded engine takes that time twice.
 SILENCE_FACTOR = 2.0
 
 
-class LimitReached(BaseException):
+class RequestTimeout(BaseException):
     """The request's time is over; no handler on the way may go on."""
 
 
@@ -77,7 +77,7 @@
         """Returns within which time a node in touch hears of every push."""
 
 
-class Means(NamedTuple):
+class EntryContext(NamedTuple):
     """What the requests of one entry share.
 
     Attributes:
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        means: Means,
+        context: EntryContext,
         call: routed_calls.RoutedCall,
         match: routes.Match,
         service_name: str,
@@ -117,7 +117,7 @@
         began: float,
         priority: int | None = None,
     ) -> None:
-        self.means = means
+        self.context = context
         self.call = call
         self.match = match
         self.route = match.route
@@ -128,18 +128,18 @@
         limit = self.route.timeout
         if call.deadline:
             limit = min(limit, call.deadline)
-        self.until = began + limit
+        self.deadline_at = began + limit
         self.timeout: eventlet.Timeout | None = None
         self.attempts = 0
         self.offers = 0
         self.tried: set[str] = set()
         self.sent_at = 0.0
-        self.answer = response_relay.RoutedAnswer(
+        self.relay = response_relay.ResponseRelay(
             self.route,
             service,
-            means.loads,
-            means.turns,
-            means.timers,
+            context.loads,
+            context.turns,
+            context.timers,
             call.request,
             call.last_event,
         )
@@ -147,36 +147,36 @@
     @property
     def now(self) -> float:
         """The clock."""
-        return self.means.timers.now()
+        return self.context.timers.now()
 
     def serve(self, reply: forwarding.CallerResponse) -> None:
         """Answers the request within its time."""
-        self._tell_taken()
+        self._emit_received()
         outcome = "cut"
         try:
-            self._limit(self.until - REFUSAL_MARGIN)
+            self._set_timeout(self.deadline_at - REFUSAL_MARGIN)
             self._open_turn()
-            self._attempt_all(reply)
+            self._run_attempts(reply)
             outcome = "whole"
-        except LimitReached:
-            raise self._late() from None
+        except RequestTimeout:
+            raise self._timeout_error() from None
         except errors.MintcleatError:
             raise
         except BaseException:
-            self._tell_gone()
+            self._emit_caller_gone()
             raise
         finally:
             self.timeout.cancel()
             self._settle()
-            if self.answer.begun:
-                self._tell_ended(outcome)
+            if self.relay.head_sent:
+                self._emit_ended(outcome)
 
-    def _limit(self, until: float) -> None:
+    def _set_timeout(self, until: float) -> None:
         """Ends the run at a time, in place of an earlier limit."""
         if self.timeout is not None:
             self.timeout.cancel()
         left = max(0.0, until - self.now)
-        self.timeout = eventlet.Timeout(left, LimitReached)
+        self.timeout = eventlet.Timeout(left, RequestTimeout)
 
     # --- The turn -------------------------------------------------------------
 
@@ -186,85 +186,89 @@
         if not program.program or not (keeps or program.budget):
             if program.previous:
                 raise errors.UnknownTurn("The route keeps no turns.")
-            self.means.turns.rate_limiter.admit(
+            self.context.turns.rate_limiter.admit(
                 self.call.customer, program.program, self.call.request
             )
             return
         step = max(1, self.service.tokens_per_event)
         reserve = step * math.ceil(self.call.generation.max_tokens / step)
-        retention = self.route.retention or BUDGET_SECONDS
-        loads = self.means.loads
-        turn = self.means.turns.open(
+        retention = self.route.retention or BUDGET_RETENTION_SECONDS
+        loads = self.context.loads
+        turn = self.context.turns.open(
             self.call, reserve, retention, loads.report()
         )
         loads.update_others(turn.others)
-        self.answer.turn = turn
+        self.relay.turn = turn
 
     def _settle(self) -> None:
         """Settles what was not kept; a turn that was kept stays so."""
-        answer = self.answer
-        if answer.turn is None or answer.kept:
+        answer = self.relay
+        if answer.turn is None or answer.committed:
             return
         # The program's cache is where a turn began to run, not where a
         # request for it went.
-        ran_at = answer.incarnation if answer.begun else ""
+        ran_at = answer.incarnation if answer.head_sent else ""
         ran = bool(self.attempts)
-        self.means.turns.settle(answer.turn, answer.tokens, ran_at, ran)
+        self.context.turns.settle(answer.turn, answer.tokens, ran_at, ran)
 
     # --- Attempts -------------------------------------------------------------
 
-    def _attempt_all(self, reply: forwarding.CallerResponse) -> None:
+    def _run_attempts(self, reply: forwarding.CallerResponse) -> None:
         while True:
             upstream = self._place()
             self.offers += 1
             self.tried.add(upstream.incarnation)
             self.sent_at = self.now
-            patience = SILENCE_FACTOR * self.route.target_latency
-            loads = self.means.loads
-            loads.began(upstream.incarnation, self.call.request, patience)
+            silence_timeout = SILENCE_FACTOR * self.route.target_latency
+            loads = self.context.loads
+            loads.began(
+                upstream.incarnation, self.call.request, silence_timeout
+            )
             try:
                 self._attempt(upstream, reply)
             except errors.MintcleatError as error:
-                self._failed(upstream, error)
-                self._check_repeat(error)
-                if self.now >= self.until - REFUSAL_MARGIN:
-                    raise self._late() from error
+                self._attempt_failed(upstream, error)
+                self._check_retry(error)
+                if self.now >= self.deadline_at - REFUSAL_MARGIN:
+                    raise self._timeout_error() from error
             except BaseException:
                 # The caller left, or its time is over.
-                silent = self.now - max(self.sent_at, self.answer.piece_at)
-                received = self.answer.received
-                self._note(
+                silent = self.now - max(self.sent_at, self.relay.last_event_at)
+                received = self.relay.complete
+                self._record_evidence(
                     upstream,
-                    evidence.of_cancellation(received, silent, patience),
+                    evidence.of_cancellation(received, silent, silence_timeout),
                 )
                 raise
             else:
-                self._note(upstream, evidence.of_answer(self.answer.status))
+                self._record_evidence(
+                    upstream, evidence.of_answer(self.relay.status)
+                )
                 return
             finally:
                 loads.ended(upstream.incarnation, self.call.request)
 
-    def _note(
+    def _record_evidence(
         self,
         upstream: member_messages.Registration,
-        said: evidence.Evidence,
+        verdict: evidence.Evidence,
     ) -> None:
-        match said:
+        match verdict:
             case evidence.Evidence.FAILURE:
-                self.means.loads.failed(upstream)
+                self.context.loads.failed(upstream)
             case evidence.Evidence.SUCCESS:
-                self.means.loads.answered(upstream.incarnation, self.sent_at)
+                self.context.loads.answered(upstream.incarnation, self.sent_at)
 
     def _place(self) -> member_messages.Registration:
-        turn = self.answer.turn
-        found = self.means.loads.choose(
+        turn = self.relay.turn
+        found = self.context.loads.choose(
             self.service_name,
             self.tried,
             upstream_loads.PlacementRequest(
                 self.call,
                 turn.hint if turn else "",
                 "" if turn else self.call.affinity,
-                self._may_repeat(),
+                self._may_retry(),
             ),
         )
         if found is None:
@@ -278,18 +282,18 @@
                 retry_after=RETRY_SECONDS,
             )
         upstream, choice, candidates = found
-        self.means.events.emit(
+        self.context.events.emit(
             event_types.CallPlaced(
                 self.call.request,
                 upstream.upstream,
                 self.offers + 1,
                 choice.reason,
-                self.means.loads.running(upstream.incarnation),
-                self.means.loads.running_elsewhere(upstream.incarnation),
-                self.means.loads.others_age(),
+                self.context.loads.running(upstream.incarnation),
+                self.context.loads.running_elsewhere(upstream.incarnation),
+                self.context.loads.others_age(),
                 candidates,
-                round(self.until - self.now, 3),
-                self.means.configuration.registered.version,
+                round(self.deadline_at - self.now, 3),
+                self.context.configuration.registered.version,
             )
         )
         return upstream
@@ -299,43 +303,43 @@
         upstream: member_messages.Registration,
         reply: forwarding.CallerResponse,
     ) -> None:
-        turn = self.answer.turn
+        turn = self.relay.turn
         body = turn.body() if turn else self.call.body
-        self._limit(self.until + GRACE_SECONDS)
+        self._set_timeout(self.deadline_at + GRACE_SECONDS)
         self.attempts += 1
-        self.answer.upstream = upstream
-        answer = self.means.upstreams.send(
+        self.relay.upstream = upstream
+        answer = self.context.upstreams.send(
             upstream,
             self.call,
             routed_calls.UpstreamRequest(
                 body,
-                max(0.0, self.until - self.now),
-                self.answer.last_event,
-                min(LAST_URGENCY, FIRST_URGENCY + self.priority),
+                max(0.0, self.deadline_at - self.now),
+                self.relay.last_event_id,
+                min(MAX_URGENCY, BASE_URGENCY + self.priority),
             ),
         )
         try:
-            self.means.loads.arrived(upstream.incarnation)
+            self.context.loads.arrived(upstream.incarnation)
             repeat = self.route.repeat == "any"
             left = self.attempts < self.route.attempts
-            self.answer.deliver(answer, reply, self.sent_at, repeat and left)
+            self.relay.relay(answer, reply, self.sent_at, repeat and left)
         finally:
             answer.close()
 
-    def _may_repeat(self) -> bool:
+    def _may_retry(self) -> bool:
         """Tells whether the next attempt may be followed by another one."""
         repeatable = self.route.repeat in ("any", "resume")
         return repeatable and self.attempts + 1 < self.route.attempts
 
-    def _failed(
+    def _attempt_failed(
         self,
         upstream: member_messages.Registration,
         error: errors.MintcleatError,
     ) -> None:
         if error.outcome == errors.NOT_RUN:
             self.attempts -= 1
-        self._note(upstream, evidence.of_error(error))
-        self.means.events.emit(
+        self._record_evidence(upstream, evidence.of_error(error))
+        self.context.events.emit(
             event_types.AttemptFailed(
                 self.call.request,
                 upstream.upstream,
@@ -344,11 +348,11 @@
                 error.detail,
                 error.outcome,
                 round(self.now - self.sent_at, 4),
-                self.answer.last_event,
+                self.relay.last_event_id,
             )
         )
 
-    def _check_repeat(self, error: errors.MintcleatError) -> None:
+    def _check_retry(self, error: errors.MintcleatError) -> None:
         """Lets the next attempt begin, or raises what the caller is told."""
         if error.outcome == errors.NOT_RUN:
             if self.offers < MAX_OFFERS:
@@ -362,15 +366,17 @@
         if isinstance(error, errors.TurnUnrecorded):
             # Another run would only repeat what the caller has been given.
             raise errors.StreamClosed(error.detail) from error
-        if self.answer.begun and not (repeat == "resume" and self.route.stream):
+        if self.relay.head_sent and not (
+            repeat == "resume" and self.route.stream
+        ):
             raise errors.StreamClosed("The answer broke off.") from error
         if repeat == "never" or self.attempts >= self.route.attempts:
             raise errors.OutcomeUnknown(
                 f"The request may have run: {error.detail}"
             ) from error
 
-    def _late(self) -> errors.MintcleatError:
-        if self.answer.begun:
+    def _timeout_error(self) -> errors.MintcleatError:
+        if self.relay.head_sent:
             return errors.StreamClosed("The request's time is over.")
         if self.attempts:
             return errors.OutcomeUnknown("No answer came in time.")
@@ -381,10 +387,10 @@
 
     # --- What is told ---------------------------------------------------------
 
-    def _tell_taken(self) -> None:
-        configuration = self.means.configuration
+    def _emit_received(self) -> None:
+        configuration = self.context.configuration
         program = self.call.program
-        self.means.events.emit(
+        self.context.events.emit(
             event_types.CallTaken(
                 self.call.request,
                 self.match.name,
@@ -392,7 +398,7 @@
                 program.program,
                 program.session,
                 program.previous,
-                round(self.until - self.began, 3),
+                round(self.deadline_at - self.began, 3),
                 configuration.revision(),
                 round(configuration.lease_left(), 3),
                 configuration.registered.version,
@@ -400,20 +406,20 @@
             )
         )
 
-    def _tell_gone(self) -> None:
-        self.means.events.emit(
+    def _emit_caller_gone(self) -> None:
+        self.context.events.emit(
             event_types.CallerGone(
                 self.call.request,
                 self.match.name,
                 self.call.program.program,
-                self.answer.upstream_name,
+                self.relay.upstream_name,
                 round(self.now - self.began, 4),
             )
         )
 
-    def _tell_ended(self, outcome: str) -> None:
-        answer = self.answer
-        self.means.events.emit(
+    def _emit_ended(self, outcome: str) -> None:
+        answer = self.relay
+        self.context.events.emit(
             event_types.CallEnded(
                 self.call.request,
                 self.match.name,
@@ -422,8 +428,8 @@
                 answer.status,
                 outcome,
                 self.offers,
-                round(max(0.0, answer.first - self.began), 4),
-                round(answer.gap, 4),
+                round(max(0.0, answer.first_at - self.began), 4),
+                round(answer.max_gap, 4),
                 round(self.now - self.began, 4),
                 answer.tokens,
             )
--- a/src/mintcleat/roles/entry/service_calls.py
+++ b/src/mintcleat/roles/entry/service_calls.py
@@ -16,10 +16,10 @@
 from mintcleat.roles.entry import attempts as attempts_module
 from mintcleat.roles.entry import placement as placement_module
 
-_MIN_WAIT = 0.05
+_MIN_WAIT_SECONDS = 0.05
 
 
-class Context(NamedTuple):
+class RequestContext(NamedTuple):
     """What is fixed for all attempts of one call.
 
     Attributes:
@@ -33,7 +33,7 @@
     digest: bytes
     deadline_at: float
     idempotent: bool
-    committed: bool
+    is_recorded: bool
     refusal: errors.MintcleatError | None = None
 
 
@@ -54,7 +54,7 @@
         self.timers = timers
         self.metrics = metrics
 
-    def run(self, context: Context) -> requests.ServiceAnswer:
+    def run(self, context: RequestContext) -> requests.ServiceAnswer:
         """Returns the service's answer.
 
         Raises:
@@ -78,41 +78,41 @@
 
     def _attempt(
         self,
-        context: Context,
+        context: RequestContext,
         tried: set[identities.Incarnation],
         sealed: int,
-    ) -> requests.ServiceAnswer | attempts_module.Again:
+    ) -> requests.ServiceAnswer | attempts_module.Retry:
         """Places and runs one attempt."""
         try:
             placed = self._place(context, tried, sealed)
         except errors.MintcleatError as refusal:
-            if sealed or not context.committed:
+            if sealed or not context.is_recorded:
                 raise
-            reply = self.attempts.known(
+            reply = self.attempts.find_earlier(
                 context.name, 0, context.digest, refusal
             )
-            return self._earlier(context, reply)
+            return self._use_earlier(context, reply)
         tried.add(placed.sidecar)
-        if not context.committed:
+        if not context.is_recorded:
             return self._run(context, placed, 0)
         reply = self._begin(context, placed, sealed)
         if isinstance(reply, program_messages.AttemptGranted):
             return self._run(context, placed, reply.attempt)
-        return self._earlier(context, reply)
+        return self._use_earlier(context, reply)
 
-    def _earlier(
+    def _use_earlier(
         self,
-        context: Context,
+        context: RequestContext,
         reply: program_messages.CallRecorded | program_messages.AttemptRunning,
-    ) -> requests.ServiceAnswer | attempts_module.Again:
+    ) -> requests.ServiceAnswer | attempts_module.Retry:
         """Returns the recorded answer, or follows the attempt under way."""
         if isinstance(reply, program_messages.AttemptRunning):
-            return self._follow(context, reply)
+            return self._attach(context, reply)
         return recorded_answer(reply)
 
     def _place(
         self,
-        context: Context,
+        context: RequestContext,
         tried: set[identities.Incarnation],
         sealed: int,
     ) -> placement_module.Placed:
@@ -131,7 +131,7 @@
 
     def _begin(
         self,
-        context: Context,
+        context: RequestContext,
         placed: placement_module.Placed,
         sealed: int,
     ) -> (
@@ -158,10 +158,10 @@
 
     def _run(
         self,
-        context: Context,
+        context: RequestContext,
         placed: placement_module.Placed,
         attempt: int,
-    ) -> requests.ServiceAnswer | attempts_module.Again:
+    ) -> requests.ServiceAnswer | attempts_module.Retry:
         call = context.call
         run = call_messages.RunTool(
             program=call.program,
@@ -183,59 +183,59 @@
             reply = self.streams.ask(placed.address, run, self._left(context))
         except errors.StreamClosed as error:
             if error.outcome == errors.NOT_RUN:
-                return attempts_module.Again(attempt, error)
-            return self._after_loss(context, attempt, placed)
+                return attempts_module.Retry(attempt, error)
+            return self._resolve_lost(context, attempt, placed)
         except errors.StreamTimeout:
-            return self._after_loss(context, attempt, placed)
+            return self._resolve_lost(context, attempt, placed)
         if isinstance(reply, call_messages.AttemptFailed) and (
             attempts_module.never_delivered(reply.failure)
         ):
             cause = errors.NoUpstream("The sidecar was just restarted.")
-            return attempts_module.Again(attempt, cause)
+            return attempts_module.Retry(attempt, cause)
         return self._answer(context, attempt, reply)
 
     def _answer(
         self,
-        context: Context,
+        context: RequestContext,
         attempt: int,
         reply: call_messages.ToolAnswer
         | call_messages.AttemptRefused
         | call_messages.AttemptFailed,
-    ) -> requests.ServiceAnswer | attempts_module.Again:
+    ) -> requests.ServiceAnswer | attempts_module.Retry:
         match reply:
             case call_messages.ToolAnswer(_, status, headers, body, load):
-                self.placement.learn(load)
-                self.placement.ended(
+                self.placement.update_load(load)
+                self.placement.record_result(
                     context.call.service, load.sidecar, ok=True
                 )
                 return requests.ServiceAnswer(
                     status, headers, body, attempt, replayed=False
                 )
             case call_messages.AttemptRefused(_, failure, load):
-                self.placement.learn(load)
-                return attempts_module.Again(
+                self.placement.update_load(load)
+                return attempts_module.Retry(
                     attempt, errors.from_failure(failure)
                 )
             case call_messages.AttemptFailed(_, failure):
-                return self._broken(context, attempt, failure)
+                return self._attempt_failed(context, attempt, failure)
             case _:
                 raise errors.OutcomeUnknown(
                     f"The sidecar sent an unexpected {type(reply).__name__}."
                 )
 
-    def _broken(
-        self, context: Context, attempt: int, failure: errors.Failure
-    ) -> attempts_module.Again:
+    def _attempt_failed(
+        self, context: RequestContext, attempt: int, failure: errors.Failure
+    ) -> attempts_module.Retry:
         """An attempt that may have had its effect is never run again."""
         cause = errors.from_failure(failure)
         if failure.outcome == errors.NOT_RUN or context.idempotent:
-            return attempts_module.Again(attempt, cause)
+            return attempts_module.Retry(attempt, cause)
         self.attempts.settle(context.name, attempt, cause)
         raise cause
 
-    def _follow(
-        self, context: Context, underway: program_messages.AttemptRunning
-    ) -> requests.ServiceAnswer | attempts_module.Again:
+    def _attach(
+        self, context: RequestContext, underway: program_messages.AttemptRunning
+    ) -> requests.ServiceAnswer | attempts_module.Retry:
         name = context.name
         attach = call_messages.AttachAttempt(
             name.program,
@@ -252,19 +252,19 @@
                 underway.address, attach, self._left(context)
             )
         except (errors.StreamClosed, errors.StreamTimeout):
-            return self._after_loss(context, underway.attempt, placed)
+            return self._resolve_lost(context, underway.attempt, placed)
         return self._answer(context, underway.attempt, reply)
 
-    def _after_loss(
+    def _resolve_lost(
         self,
-        context: Context,
+        context: RequestContext,
         attempt: int,
         placed: placement_module.Placed,
-    ) -> attempts_module.Again:
-        if not context.committed:
+    ) -> attempts_module.Retry:
+        if not context.is_recorded:
             cause = errors.OutcomeUnknown("The sidecar was lost.")
-            return attempts_module.Again(0, cause)
-        step = self.attempts.after_loss(
+            return attempts_module.Retry(0, cause)
+        step = self.attempts.resolve_lost(
             context.name,
             attempt,
             placed.sidecar,
@@ -272,7 +272,7 @@
             context.idempotent,
         )
         match step:
-            case attempts_module.Again():
+            case attempts_module.Retry():
                 return step
             case _:
                 raise errors.OutcomeUnknown(
@@ -284,19 +284,19 @@
 
     def _give_up(
         self,
-        context: Context,
+        context: RequestContext,
         sealed: int,
         cause: errors.MintcleatError,
     ) -> None:
-        if context.committed and sealed:
+        if context.is_recorded and sealed:
             self.attempts.settle(context.name, sealed, cause)
         raise cause
 
-    def _left(self, context: Context) -> float:
-        return max(context.deadline_at - self.timers.now(), _MIN_WAIT)
+    def _left(self, context: RequestContext) -> float:
+        return max(context.deadline_at - self.timers.now(), _MIN_WAIT_SECONDS)
 
 
-def place_call(context: Context) -> calls.Call:
+def place_call(context: RequestContext) -> calls.Call:
     """Returns the call as the placement decision sees it."""
     return calls.Call(
         call_id=f"{context.name.scope}/{context.call.request}",
--- a/src/mintcleat/roles/entry/turn_client.py
+++ b/src/mintcleat/roles/entry/turn_client.py
@@ -126,7 +126,7 @@
             self.chains.turns, call.customer, program.previous
         )
         limit = self.rate_limiter.limit_of(call.customer)
-        if limit and not self.rate_limiter.counts_with(
+        if limit and not self.rate_limiter.shares_group(
             call.customer, program.program
         ):
             self.rate_limiter.admit(
@@ -136,7 +136,9 @@
         began = self.timers.now()
         ahead = 0
         if limit:
-            ahead = self.rate_limiter.ahead.prefetch_count(call.customer, began)
+            ahead = self.rate_limiter.prefetched.prefetch_count(
+                call.customer, began
+            )
         request = program_messages.OpenTurn(
             program.program,
             call.request,
@@ -154,7 +156,7 @@
             reply = self.rate_limiter.ask(program.program, request)
         except (errors.OutcomeUnknown, errors.Superseded) as error:
             # The turn itself did not run, whatever was committed.
-            self.forget(call)
+            self.cancel(call)
             raise errors.ControlUnavailable(
                 error.detail, retry_after=control_outage.RETRY_SECONDS
             ) from None
@@ -182,7 +184,7 @@
             reply.counted_at,
         )
 
-    def keep(
+    def commit(
         self,
         turn: OpenedTurn,
         tokens: int,
@@ -225,7 +227,7 @@
                 call.customer,
             ),
         )
-        self._tell_settled(call, tokens, True, began)
+        self._emit_settled(call, tokens, True, began)
 
     def settle(
         self, turn: OpenedTurn, tokens: int, upstream: str, ran: bool
@@ -249,7 +251,7 @@
             counted_at,
         )
 
-    def forget(self, call: routed_calls.RoutedCall) -> None:
+    def cancel(self, call: routed_calls.RoutedCall) -> None:
         """Takes back an opening that may or may not have been committed."""
         self.timers.spawn(self._settle, call, 0, "", 0.0)
 
@@ -281,9 +283,9 @@
                 )
             )
             return
-        self._tell_settled(call, tokens, False, began)
+        self._emit_settled(call, tokens, False, began)
 
-    def _tell_settled(
+    def _emit_settled(
         self,
         call: routed_calls.RoutedCall,
         tokens: int,
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -19,7 +19,7 @@
 from mintcleat.ports import timers as timer_ports
 
 # From this age on, what other entries told is not even worth a figure, in s.
-FORGOTTEN = 60.0
+MAX_REPORT_AGE_SECONDS = 60.0
 
 
 class Configuration(Protocol):
@@ -65,7 +65,7 @@
         configuration: Configuration,
         timers: timer_ports.Timers,
         events: event_ports.EventReporter,
-        gone: Callable[[str], None],
+        on_removed: Callable[[str], None],
         entry: str,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
@@ -75,7 +75,7 @@
         self.configuration = configuration
         self.timers = timers
         self.events = events
-        self.gone = gone
+        self.on_removed = on_removed
         self.penalties = upstream_health.FailurePenalties()
         self.silence_detector = upstream_health.SilenceDetector()
         self.latencies = load_balancing.LatencyTracker()
@@ -90,15 +90,19 @@
             item.incarnation: item for item in registered.entries.values()
         }
         for incarnation in self.known.keys() - entries.keys():
-            held = self.known[incarnation]
-            self._tell(held._replace(state="gone"), registered.version)
+            previous = self.known[incarnation]
+            self._emit_changed(
+                previous._replace(state="gone"), registered.version
+            )
             self.latencies.forget(incarnation)
             self.penalties.forget(incarnation)
-            self.gone(incarnation)
+            self.on_removed(incarnation)
         for incarnation, item in entries.items():
-            held = self.known.get(incarnation)
-            if held is None or not directory.same_except_renewal(held, item):
-                self._tell(item, registered.version)
+            previous = self.known.get(incarnation)
+            if previous is None or not directory.same_except_renewal(
+                previous, item
+            ):
+                self._emit_changed(item, registered.version)
         self.known = entries
         self.by_service = {}
         for incarnation, item in entries.items():
@@ -106,7 +110,7 @@
                 self.by_service.setdefault(item.service, {})[incarnation] = item
 
     def choose(
-        self, service: str, tried: set[str], wanted: PlacementRequest
+        self, service: str, tried: set[str], request: PlacementRequest
     ) -> tuple[member_messages.Registration, load_balancing.Choice, int] | None:
         """Returns an upstream, why, and among how many; None for none."""
         now = self.timers.now()
@@ -116,13 +120,13 @@
             [incarnation for incarnation in ready if incarnation not in tried],
             self.penalties if policy.standing else None,
             self.silence_detector if policy.silence else None,
-            wanted.repeatable,
+            request.repeatable,
             now,
         )
         slow = (
             self.latencies.slowdown_factors(names, now) if policy.speed else {}
         )
-        others = self._elsewhere(now)
+        others = self._others_running(now)
         candidates = [
             load_balancing.Candidate(
                 name,
@@ -132,24 +136,27 @@
             )
             for name in names
         ]
-        hint = wanted.hint if policy.resident else ""
+        hint = request.hint if policy.resident else ""
         choice = load_balancing.choose(
-            candidates, hint, wanted.affinity, wanted.call.request
+            candidates, hint, request.affinity, request.call.request
         )
         if choice is None:
             return None
         return self.known[choice.upstream], choice, len(candidates)
 
-    def began(self, incarnation: str, request: str, patience: float) -> None:
+    def began(
+        self, incarnation: str, request: str, silence_timeout: float
+    ) -> None:
         """Counts a request that goes there.
 
         Args:
             incarnation: Where it goes.
             request: Its id.
-            patience: Seconds of silence that are still usual for its route.
+            silence_timeout: Seconds of silence after which the upstream
+                counts as silent.
         """
         self.silence_detector.began(
-            incarnation, request, patience, self.timers.now()
+            incarnation, request, silence_timeout, self.timers.now()
         )
 
     def arrived(self, incarnation: str) -> None:
@@ -162,12 +169,12 @@
 
     def running_elsewhere(self, incarnation: str) -> int:
         """Returns how many requests other entries have there; 0 if unknown."""
-        return self._elsewhere(self.timers.now()).get(incarnation, 0)
+        return self._others_running(self.timers.now()).get(incarnation, 0)
 
     def others_age(self) -> float:
         """Returns how old that knowledge is, in seconds; -1 without any."""
         age = self.timers.now() - self.others.received_at
-        return round(age, 3) if age < FORGOTTEN else -1.0
+        return round(age, 3) if age < MAX_REPORT_AGE_SECONDS else -1.0
 
     def report(self) -> program_messages.RunningCounts:
         """Returns what this entry has running."""
@@ -200,20 +207,22 @@
         if upstream.incarnation not in self.known:
             return
         now = self.timers.now()
-        held = self.penalties.failed(upstream.incarnation, now)
+        previous = self.penalties.failed(upstream.incarnation, now)
         self.events.emit(
             event_types.UpstreamAvoided(
                 upstream.upstream,
                 upstream.service,
-                round(held.failures, 2),
-                round(held.until - now, 3),
+                round(previous.failures, 2),
+                round(previous.until - now, 3),
             )
         )
 
-    def _elsewhere(self, now: float) -> Mapping[str, int]:
+    def _others_running(self, now: float) -> Mapping[str, int]:
         return self.others.current(now) if self.policy.shared_load else {}
 
-    def _tell(self, item: member_messages.Registration, version: int) -> None:
+    def _emit_changed(
+        self, item: member_messages.Registration, version: int
+    ) -> None:
         self.events.emit(
             event_types.UpstreamChanged(
                 item.upstream, item.service, item.address, item.state, version
--- a/testing/fakes/platform_engine.py
+++ b/testing/fakes/platform_engine.py
@@ -16,7 +16,7 @@
 _BLOCK = 65536
 
 
-class Seen:
+class ReceivedRequest:
     """One request that began to run."""
 
     def __init__(self, head: h11.Request, body: bytes) -> None:
@@ -33,7 +33,7 @@
         return self.headers["x-request-id"]
 
 
-class Talk:
+class Connection:
     """One connection of a caller, for the scripts."""
 
     def __init__(self, engine: "Engine", sock: Any) -> None:
@@ -41,38 +41,40 @@
         self.sock = sock
         self.http = h11.Connection(h11.SERVER)
 
-    def raw(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def head(self, seen: Seen, extra: dict[str, str] | None = None) -> bytes:
+    def head(
+        self, received: ReceivedRequest, extra: dict[str, str] | None = None
+    ) -> bytes:
         fields = {
-            "X-Request-Id": seen.request,
+            "X-Request-Id": received.request,
             "X-Response-Signature": f"sig-{self.engine.name}",
             **(extra or {}),
         }
         lines = [f"{name}: {value}\r\n" for name, value in fields.items()]
         return ("HTTP/1.1 200 OK\r\n" + "".join(lines) + "\r\n").encode()
 
-    def answer(self, seen: Seen, body: bytes) -> None:
+    def answer(self, received: ReceivedRequest, body: bytes) -> None:
         length = {"Content-Length": str(len(body))}
-        self.raw(self.head(seen, length) + body)
+        self.send(self.head(received, length) + body)
 
-    def begin_stream(self, seen: Seen) -> None:
+    def begin_stream(self, received: ReceivedRequest) -> None:
         fields = {
             "Content-Type": "text/event-stream",
             "Transfer-Encoding": "chunked",
         }
-        self.raw(self.head(seen, fields))
+        self.send(self.head(received, fields))
 
     def chunk(self, data: bytes) -> None:
-        self.raw(b"%x\r\n%b\r\n" % (len(data), data))
+        self.send(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end_stream(self) -> None:
-        self.raw(b"0\r\n\r\n")
+        self.send(b"0\r\n\r\n")
 
-    def refuse(self, seen: Seen, status: int) -> None:
-        self.raw(
-            f"HTTP/1.1 {status} No\r\nX-Request-Id: {seen.request}\r\n"
+    def refuse(self, received: ReceivedRequest, status: int) -> None:
+        self.send(
+            f"HTTP/1.1 {status} No\r\nX-Request-Id: {received.request}\r\n"
             "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n".encode()
         )
 
@@ -84,28 +86,30 @@
         self.sock.close()
 
 
-Script = Callable[[Talk, Seen], bool]
+Script = Callable[[Connection, ReceivedRequest], bool]
 
 
 def event(number: int) -> bytes:
     return f"id: {number}\ndata: piece-{number}\n\n".encode()
 
 
-def whole(talk: Talk, seen: Seen) -> bool:
-    talk.answer(seen, f"{talk.engine.name} {seen.target}".encode())
+def whole(connection: Connection, received: ReceivedRequest) -> bool:
+    connection.answer(
+        received, f"{connection.engine.name} {received.target}".encode()
+    )
     return True
 
 
 def stream(count: int = 3, pause: float = 0.0) -> Script:
     """Events from the one after Last-Event-Id on."""
 
-    def run(talk: Talk, seen: Seen) -> bool:
-        first = int(seen.headers.get("last-event-id", "0")) + 1
-        talk.begin_stream(seen)
+    def run(connection: Connection, received: ReceivedRequest) -> bool:
+        first = int(received.headers.get("last-event-id", "0")) + 1
+        connection.begin_stream(received)
         for number in range(first, count + 1):
-            talk.chunk(event(number))
+            connection.chunk(event(number))
             eventlet.sleep(pause)
-        talk.end_stream()
+        connection.end_stream()
         return True
 
     return run
@@ -125,7 +129,7 @@
     def __init__(self, name: str, script: Script = whole) -> None:
         self.name = name
         self.script = script
-        self.seen: list[Seen] = []
+        self.received: list[ReceivedRequest] = []
         self.misdirected = 0
         self.started = 0
         self.connections = 0
@@ -158,23 +162,23 @@
         while True:
             sock, _ = self.listener.accept()
             self.connections += 1
-            eventlet.spawn(self._serve, Talk(self, sock))
+            eventlet.spawn(self._serve, Connection(self, sock))
 
-    def _serve(self, talk: Talk) -> None:
+    def _serve(self, connection: Connection) -> None:
         try:
-            while self._serve_one(talk):
-                talk.http = h11.Connection(h11.SERVER)
+            while self._serve_one(connection):
+                connection.http = h11.Connection(h11.SERVER)
         except (OSError, h11.ProtocolError):
             pass
         finally:
-            talk.sock.close()
+            connection.sock.close()
 
-    def _serve_one(self, talk: Talk) -> bool:
+    def _serve_one(self, connection: Connection) -> bool:
         head, body = None, b""
         while True:
-            item = talk.http.next_event()
+            item = connection.http.next_event()
             if item is h11.NEED_DATA:
-                talk.http.receive_data(talk.sock.recv(_BLOCK))
+                connection.http.receive_data(connection.sock.recv(_BLOCK))
             elif isinstance(item, h11.Request):
                 head = item
             elif isinstance(item, h11.Data):
@@ -183,17 +187,17 @@
                 break
             else:
                 return False
-        seen = Seen(head, body)
-        if seen.headers.get("x-expect-instance", self.name) != self.name:
+        received = ReceivedRequest(head, body)
+        if received.headers.get("x-expect-instance", self.name) != self.name:
             self.misdirected += 1
-            talk.raw(
+            connection.send(
                 b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n"
                 b"X-Instance-Id: other\r\n\r\n"
             )
             return True
-        self.seen.append(seen)
+        self.received.append(received)
         try:
-            return self.script(talk, seen)
+            return self.script(connection, received)
         except OSError:
-            seen.dropped = True
+            received.dropped = True
             raise
--- a/testing/test_authentication.py
+++ b/testing/test_authentication.py
@@ -170,13 +170,13 @@
         # An entry that had not heard of a new key yet told its customer 401,
         # and no caller tries again after that.
         self.configuration.words.append((0.1, 0.05))
-        self.authenticator.confirm("r1", sent("new"), 0.0)
+        self.authenticator.await_updates("r1", sent("new"), 0.0)
         self.assertGreaterEqual(self.clock.now(), 0.1)
 
     def test_unknown_key_at_an_entry_out_of_touch_is_no_401(self) -> None:
         error = self.assertRaises(
             errors.ControlUnavailable,
-            self.authenticator.confirm,
+            self.authenticator.await_updates,
             "r1",
             sent("new"),
             self.clock.now() + 1.0,
@@ -188,7 +188,7 @@
         began = self.clock.now()
         self.assertRaises(
             errors.ControlUnavailable,
-            self.authenticator.confirm,
+            self.authenticator.await_updates,
             "r1",
             sent("new"),
             began + 1.0,
--- a/testing/test_chat_call.py
+++ b/testing/test_chat_call.py
@@ -8,7 +8,7 @@
 from mintcleat.roles.entry import chat_call
 
 
-def context(**changes: object) -> chat_call.Context:
+def context(**changes: object) -> chat_call.RequestContext:
     call = requests.ChatCall(
         request="r",
         program="p",
@@ -22,7 +22,7 @@
         max_tokens=0,
         streamed=False,
     )
-    base = chat_call.Context(
+    base = chat_call.RequestContext(
         call=call,
         name=attempts.CallName("p", "a", "k"),
         service="m",
--- a/testing/test_hosted.py
+++ b/testing/test_hosted.py
@@ -28,14 +28,14 @@
             (200, b"e1 /unsafe/a?b=c"), (answer.status, answer.body)
         )
         self.assertEqual("sig-e1", answer.headers["x-response-signature"])
-        (seen,) = engine.seen
+        (received,) = engine.received
         self.assertEqual(
             ("POST", "/unsafe/a?b=c", b"content"),
-            (seen.method, seen.target, seen.body),
+            (received.method, received.target, received.body),
         )
-        self.assertEqual("kept", seen.headers["x-other"])
-        self.assertEqual("e1", seen.headers["x-expect-instance"])
-        left = int(seen.headers["x-deadline-milliseconds"])
+        self.assertEqual("kept", received.headers["x-other"])
+        self.assertEqual("e1", received.headers["x-expect-instance"])
+        left = int(received.headers["x-deadline-milliseconds"])
         self.assertTrue(2000 < left <= 3000, left)
 
     def test_fields_that_are_ours_to_set_are_dropped(self) -> None:
@@ -47,7 +47,7 @@
             "Kv-Fetch", "X-Request-Urgency",
         )  # fmt: skip
         self.system.call("GET", "/safe/a", **dict.fromkeys(fields, "evil"))
-        self.assertNotIn("evil", engine.seen[0].headers.values())
+        self.assertNotIn("evil", engine.received[0].headers.values())
 
     def test_without_a_configuration_the_answer_is_come_back(self) -> None:
         answer = self.system.call("GET", "/safe/a")
@@ -75,7 +75,7 @@
     def test_body_over_the_limit_is_refused(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
         answer = self.system.call("POST", "/unsafe/a", b"x" * 100_001)
-        self.assertEqual((413, []), (answer.status, engine.seen))
+        self.assertEqual((413, []), (answer.status, engine.received))
 
     def test_chunked_body_arrives_whole(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
@@ -87,7 +87,7 @@
             b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         )
         self.assertEqual(200, platform_system.read_answer(sock).status)
-        self.assertEqual(b"abcde", engine.seen[0].body)
+        self.assertEqual(b"abcde", engine.received[0].body)
 
     def test_garbage_is_answered_and_the_listener_lives_on(self) -> None:
         self.ready(("e1", "desk"))
@@ -111,7 +111,7 @@
             )
             answer = platform_system.read_answer(sock)
             self.assertEqual(f"r{number}", answer.headers["x-request-id"])
-        self.assertEqual((5, 1), (len(engine.seen), engine.connections))
+        self.assertEqual((5, 1), (len(engine.received), engine.connections))
 
 
 class RepeatTest(platform_system.HostedTest):
@@ -121,7 +121,7 @@
         )
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(504, answer.status)
-        self.assertEqual(2, len(first.seen) + len(second.seen))
+        self.assertEqual(2, len(first.received) + len(second.received))
         first.script = second.script = platform_engine.whole
         self.assertEqual(200, self.system.call("GET", "/safe/a").status)
 
@@ -133,7 +133,7 @@
         )
         answer = self.system.call("POST", "/unsafe/a", b"book")
         self.assertIn(answer.status, (502, 504))
-        self.assertEqual(1, len(first.seen) + len(second.seen))
+        self.assertEqual(1, len(first.received) + len(second.received))
 
     def test_unsafe_request_that_did_not_run_goes_elsewhere(self) -> None:
         self.ready(("e1", "desk", _busy), ("e2", "desk"), ("e3", "desk", _busy))
@@ -152,28 +152,34 @@
         other = self.system.engines[0]
         other.name = "e9"
         answer = self.system.call("POST", "/unsafe/a", b"book")
-        self.assertEqual((503, []), (answer.status, other.seen))
+        self.assertEqual((503, []), (answer.status, other.received))
         self.assertEqual(1, other.misdirected)
 
     def test_answer_to_an_earlier_request_is_passed_over(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
         self.system.call("GET", "/safe/a", request="r1")
 
-        def twice(talk: platform_engine.Talk, seen: object) -> bool:
-            stale = platform_engine.Seen.__new__(platform_engine.Seen)
+        def twice(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
+            stale = platform_engine.ReceivedRequest.__new__(
+                platform_engine.ReceivedRequest
+            )
             stale.headers = {"x-request-id": "r1"}
-            talk.answer(stale, b"stale")
-            return platform_engine.whole(talk, seen)
+            connection.answer(stale, b"stale")
+            return platform_engine.whole(connection, received)
 
         engine.script = twice
         answer = self.system.call("GET", "/safe/b", request="r2")
         self.assertEqual((200, b"e1 /safe/b"), (answer.status, answer.body))
 
     def test_body_that_a_reset_cut_short_is_no_answer(self) -> None:
-        def cut(talk: platform_engine.Talk, seen: object) -> bool:
-            talk.raw(talk.head(seen) + b"half of the")
+        def cut(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
+            connection.send(connection.head(received) + b"half of the")
             eventlet.sleep(0.05)
-            talk.reset()
+            connection.reset()
             return False
 
         self.ready(("e1", "desk", cut))
@@ -181,8 +187,10 @@
         self.assertIn(answer.status, (502, 504))
 
     def test_body_without_a_length_ends_with_its_connection(self) -> None:
-        def unframed(talk: platform_engine.Talk, seen: object) -> bool:
-            talk.raw(talk.head(seen) + b"all of it")
+        def unframed(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
+            connection.send(connection.head(received) + b"all of it")
             return False
 
         self.ready(("e1", "desk", unframed))
@@ -190,8 +198,10 @@
         self.assertEqual((200, b"all of it"), (answer.status, answer.body))
 
     def test_success_without_a_mark_is_not_passed_on(self) -> None:
-        def bare(talk: platform_engine.Talk, seen: object) -> bool:
-            talk.raw(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+        def bare(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
+            connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             return True
 
         self.ready(("e1", "desk", bare))
@@ -214,7 +224,7 @@
         failing, sound = self.ready(("e1", "desk", _fail), ("e2", "desk"))
         answers = [self.call(number) for number in range(20)]
         self.assertEqual(1, answers.count(500))
-        self.assertEqual((1, 19), (len(failing.seen), len(sound.seen)))
+        self.assertEqual((1, 19), (len(failing.received), len(sound.received)))
 
     def test_request_that_had_too_little_time_speaks_against_nobody(
         self,
@@ -236,7 +246,7 @@
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(504, answer.status)
         self.assertIn("x-response-signature", answer.headers)
-        self.assertEqual(1, sum(len(engine.seen) for engine in engines))
+        self.assertEqual(1, sum(len(engine.received) for engine in engines))
 
     def test_silent_upstream_gets_no_more_requests(self) -> None:
         # One upstream stands still with a request; its connections stay open.
@@ -244,16 +254,16 @@
         self.patch(routed_run, "SILENCE_FACTOR", 0.4)
         silent, _ = self.ready(("e1", "desk", _silent), ("e2", "desk"))
         for number in range(50):
-            if silent.seen:
+            if silent.received:
                 break
             call = eventlet.spawn(self.call, number)
             self.addCleanup(call.kill)
             eventlet.sleep(0.02)
         eventlet.sleep(0.2)
-        self.assertEqual(1, len(silent.seen))
+        self.assertEqual(1, len(silent.received))
         answers = [self.call(number) for number in range(100, 120)]
         self.assertEqual([200] * 20, answers)
-        self.assertEqual(1, len(silent.seen))
+        self.assertEqual(1, len(silent.received))
 
 
 class TimeTest(platform_system.HostedTest):
@@ -266,14 +276,16 @@
         took = self.system.entry_common.timers.now() - began
         self.assertEqual(504, answer.status)
         self.assertTrue(0.4 <= took < 0.4 + BUSY, took)
-        self.assertEqual(1, len(engine.seen))
+        self.assertEqual(1, len(engine.received))
 
     def test_answer_that_comes_at_the_last_moment_is_delivered(self) -> None:
         self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
 
-        def late(talk: platform_engine.Talk, seen: object) -> bool:
+        def late(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
             eventlet.sleep(0.6)
-            return platform_engine.whole(talk, seen)
+            return platform_engine.whole(connection, received)
 
         self.ready(("e1", "desk", late))
         answer = self.system.call(
@@ -304,9 +316,11 @@
     def test_what_no_upstream_took_is_not_run_also_when_late(self) -> None:
         self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
 
-        def slow_busy(talk: platform_engine.Talk, seen: object) -> bool:
+        def slow_busy(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
             eventlet.sleep(0.3)
-            return _busy(talk, seen)
+            return _busy(connection, received)
 
         self.ready(("e1", "desk", slow_busy), ("e2", "desk", slow_busy))
         answer = self.system.call(
@@ -325,35 +339,41 @@
     def test_broken_stream_goes_on_elsewhere_without_a_gap(self) -> None:
         # The upstream stops within an event. Passed on in pieces, the half
         # event would come twice; each whole one must come once.
-        def breaks(talk: platform_engine.Talk, seen: object) -> bool:
-            talk.begin_stream(seen)
-            talk.chunk(platform_engine.event(1))
-            talk.chunk(platform_engine.event(2)[:7])
+        def breaks(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
+            connection.begin_stream(received)
+            connection.chunk(platform_engine.event(1))
+            connection.chunk(platform_engine.event(2)[:7])
             eventlet.sleep(0.02)
-            talk.reset()
+            connection.reset()
             return False
 
         first, second = self.ready(("e1", "lm", breaks), ("e2", "lm", breaks))
 
-        def mend(talk: platform_engine.Talk, seen: object) -> bool:
+        def mend(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
             first.script = second.script = platform_engine.stream(4)
-            return breaks(talk, seen)
+            return breaks(connection, received)
 
         first.script = second.script = mend
         answer = self.system.call("POST", "/resumable/a", b"in")
         expected = b"".join(platform_engine.event(n) for n in (1, 2, 3, 4))
         self.assertEqual((expected, True), (answer.body, answer.whole))
-        seen = [*first.seen, *second.seen]
+        received = [*first.received, *second.received]
         self.assertEqual(
-            {None, "1"}, {one.headers.get("last-event-id") for one in seen}
+            {None, "1"}, {one.headers.get("last-event-id") for one in received}
         )
 
     def test_stream_that_can_not_go_on_does_not_look_complete(self) -> None:
-        def breaks(talk: platform_engine.Talk, seen: object) -> bool:
-            talk.begin_stream(seen)
-            talk.chunk(platform_engine.event(1))
+        def breaks(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
+            connection.begin_stream(received)
+            connection.chunk(platform_engine.event(1))
             eventlet.sleep(0.02)
-            talk.reset()
+            connection.reset()
             return False
 
         first, second = self.ready(("e1", "lm", breaks), ("e2", "lm", breaks))
@@ -363,7 +383,7 @@
         self.assertEqual(
             (platform_engine.event(1), False), (answer.body, answer.whole)
         )
-        self.assertEqual(1, len(first.seen) + len(second.seen))
+        self.assertEqual(1, len(first.received) + len(second.received))
 
     def test_upstream_hears_at_once_that_the_caller_left(self) -> None:
         (engine,) = self.ready(("e1", "lm", platform_engine.stream(1000, 0.02)))
@@ -375,14 +395,16 @@
         eventlet.sleep(0.2)
         sock.close()
         with eventlet.Timeout(NOTICED):
-            while not engine.seen[0].dropped:
+            while not engine.received[0].dropped:
                 eventlet.sleep(0.01)
 
     def test_caller_that_leaves_before_the_first_byte_is_noticed(self) -> None:
         gone = []
 
-        def silent(talk: platform_engine.Talk, seen: object) -> bool:
-            gone.append(talk.sock.recv(1))
+        def silent(
+            connection: platform_engine.Connection, received: object
+        ) -> bool:
+            gone.append(connection.sock.recv(1))
             return False
 
         self.ready(("e1", "desk", silent))
@@ -420,7 +442,7 @@
         self.assertEqual(
             [b"one;", b"one;" + said + b"two;",
              b"one;" + said + b"two;" + said + b"three;"],
-            [seen.body for seen in engine.seen],
+            [received.body for received in engine.received],
         )  # fmt: skip
 
     def test_chain_survives_an_entry_that_knows_nothing(self) -> None:
@@ -428,12 +450,12 @@
         self.turn("t1", b"one;")
         self.system.entry.gateway.turns.chains.turns.clear()
         self.turn("t2", b"two;", X_Previous_Turn="t1")
-        self.assertEqual(b"one;piece-1\ntwo;", engine.seen[1].body)
+        self.assertEqual(b"one;piece-1\ntwo;", engine.received[1].body)
 
     def test_unknown_previous_turn_reaches_no_upstream(self) -> None:
         (engine,) = self.ready(("e1", "lm", platform_engine.stream(1)))
         answer = self.turn("t2", b"two;", X_Previous_Turn="never")
-        self.assertEqual((404, []), (answer.status, engine.seen))
+        self.assertEqual((404, []), (answer.status, engine.received))
 
     def test_budget_is_held_before_the_turn_runs(self) -> None:
         # Three tokens an event: a turn of two events takes 6 of the 15, and
@@ -442,7 +464,7 @@
         self.assertEqual(200, self.turn("t1", b"a", X_Token_Budget="15").status)
         self.assertEqual(200, self.turn("t2", b"b", X_Token_Budget="15").status)
         self.assertEqual(402, self.turn("t3", b"c", X_Token_Budget="15").status)
-        self.assertEqual(2, len(engine.seen))
+        self.assertEqual(2, len(engine.received))
 
     def test_turn_that_did_not_run_costs_nothing(self) -> None:
         (engine,) = self.ready(("e1", "lm", _busy))
@@ -514,26 +536,26 @@
         self.assertEqual([True], [answer.whole for answer in found])
 
 
-def _reset(talk: platform_engine.Talk, seen: object) -> bool:
-    talk.reset()
+def _reset(connection: platform_engine.Connection, received: object) -> bool:
+    connection.reset()
     return False
 
 
 def _fail(
-    talk: platform_engine.Talk,
-    seen: platform_engine.Seen,
+    connection: platform_engine.Connection,
+    received: platform_engine.ReceivedRequest,
     status: bytes = b"500 Failed",
 ) -> bool:
-    head = talk.head(seen, {"Content-Length": "0"})
-    talk.raw(head.replace(b"200 OK", status))
+    head = connection.head(received, {"Content-Length": "0"})
+    connection.send(head.replace(b"200 OK", status))
     return True
 
 
-def _silent(talk: platform_engine.Talk, seen: object) -> bool:
-    talk.sock.recv(1)
+def _silent(connection: platform_engine.Connection, received: object) -> bool:
+    connection.sock.recv(1)
     return False
 
 
-def _busy(talk: platform_engine.Talk, seen: object) -> bool:
-    talk.refuse(seen, 503)
+def _busy(connection: platform_engine.Connection, received: object) -> bool:
+    connection.refuse(received, 503)
     return True
--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -59,14 +59,14 @@
 
     def test_upstream_is_told_the_customer_and_never_the_key(self) -> None:
         self.assertEqual(200, self.get(api_key=FARMERS).status)
-        (seen,) = self.desk.seen
-        self.assertEqual("farmers", seen.headers["x-tenant"])
-        self.assertNotIn(FARMERS, str(seen.headers))
+        (received,) = self.desk.received
+        self.assertEqual("farmers", received.headers["x-tenant"])
+        self.assertNotIn(FARMERS, str(received.headers))
 
     def test_customers_rank_goes_before_the_routes(self) -> None:
         self.get(api_key=FARMERS)
         self.get(api_key=STUDIOS)
-        first, second = self.desk.seen
+        first, second = self.desk.received
         self.assertEqual("5", first.headers["x-request-urgency"])
         self.assertEqual("4", second.headers["x-request-urgency"])
 
@@ -74,20 +74,20 @@
         # It would run under another customer's name.
         self.get(api_key=FARMERS, x_tenant="studios")
         self.get("/open/a", x_tenant="studios")
-        named, anonymous = self.desk.seen
+        named, anonymous = self.desk.received
         self.assertEqual("farmers", named.headers["x-tenant"])
         self.assertNotIn("x-tenant", anonymous.headers)
 
     def test_public_route_tells_who_it_is_where_a_key_does(self) -> None:
         self.assertEqual(200, self.get("/open/a", api_key=STUDIOS).status)
         self.assertEqual(200, self.get("/open/a", api_key="none").status)
-        self.assertEqual("studios", self.desk.seen[0].headers["x-tenant"])
-        self.assertNotIn("x-tenant", self.desk.seen[1].headers)
+        self.assertEqual("studios", self.desk.received[0].headers["x-tenant"])
+        self.assertNotIn("x-tenant", self.desk.received[1].headers)
 
     def test_unknown_key_and_none_are_401_and_run_nowhere(self) -> None:
         self.assertEqual(401, self.get(api_key="no-such-key").status)
         self.assertEqual(401, self.get().status)
-        self.assertEqual([], self.desk.seen)
+        self.assertEqual([], self.desk.received)
 
     def test_key_that_is_added_and_taken_away(self) -> None:
         self.assertEqual(401, self.get(api_key=LATER).status)
@@ -118,8 +118,10 @@
         self.assertEqual(200, self.turn("t1", FARMERS).status)
         self.assertEqual(404, self.turn("t2", STUDIOS, "t1").status)
         self.assertEqual(200, self.turn("t3", FARMERS, "t1").status)
-        self.assertEqual([b"t1"], [seen.body for seen in self.lm.seen][:1])
-        self.assertEqual(2, len(self.lm.seen))
+        self.assertEqual(
+            [b"t1"], [received.body for received in self.lm.received][:1]
+        )
+        self.assertEqual(2, len(self.lm.received))
 
     def test_no_line_that_a_run_with_keys_wrote_shows_one(self) -> None:
         self.turn("t1", FARMERS)
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -12,8 +12,11 @@
 SECOND = FIRST + 2_500
 
 
-def lose_answer(talk: platform_engine.Talk, seen: platform_engine.Seen) -> bool:
-    talk.reset()
+def lose_answer(
+    connection: platform_engine.Connection,
+    received: platform_engine.ReceivedRequest,
+) -> bool:
+    connection.reset()
     return False
 
 
@@ -64,7 +67,7 @@
         began = time.monotonic()
         second = self.start(SECOND, 1)
         answer = self.system.call("GET", "/safe/a", request="r2")
-        self.assertEqual((200, 1), (answer.status, len(second.seen)))
+        self.assertEqual((200, 1), (answer.status, len(second.received)))
         # One heartbeat, one commit and one change sent to the entry.
         self.assertTrue(time.monotonic() - began < 5.0)
 
@@ -91,16 +94,17 @@
         holding: list[platform_engine.Engine] = []
 
         def restart(
-            talk: platform_engine.Talk, seen: platform_engine.Seen
+            connection: platform_engine.Connection,
+            received: platform_engine.ReceivedRequest,
         ) -> bool:
             holding.append(self.start(SECOND, 1))
-            talk.reset()
+            connection.reset()
             return False
 
         self.start(FIRST, 900, restart)
         answer = self.system.call("POST", "/unsafe/a", request="r1")
         self.assertEqual(504, answer.status)
-        self.assertEqual([], holding[0].seen)
+        self.assertEqual([], holding[0].received)
         avoided = self.system.reporter.of(events.UpstreamAvoided)
         self.assertEqual([], avoided)
 
@@ -119,7 +123,7 @@
         )
         self.system.settle()
         answer = self.system.call("GET", "/safe/a")
-        self.assertEqual((200, 1), (answer.status, len(new.seen)))
+        self.assertEqual((200, 1), (answer.status, len(new.received)))
 
     def test_what_others_write_changes_nothing_and_is_told(self) -> None:
         engine = self.start(FIRST, 1)
--- a/testing/test_hosted_operators.py
+++ b/testing/test_hosted_operators.py
@@ -78,7 +78,7 @@
         self.system.settle()
         for number in range(10):
             self.system.call("GET", "/safe/a", request=f"r{number}")
-        self.assertEqual((0, 10), (len(first.seen), len(second.seen)))
+        self.assertEqual((0, 10), (len(first.received), len(second.received)))
 
     def test_late_heartbeat_does_not_revive_an_upstream_that_left(
         self,
