--- a/src/mintcleat/roles/entry/attempts.py
+++ b/src/mintcleat/roles/entry/attempts.py
@@ -1,8 +1,8 @@
-"""What an entry asks of a program's group and of a sidecar per attempt.
+"""Attempts of a call: begin, lookup, settlement and sealing.
 
-A call is an idempotency key within a program, or within a customer. It gets
-attempts one after another; only the sidecar that an attempt is bound to may
-run it.
+A call is identified by an idempotency key within a program or a customer. Its
+attempts follow one another; each is bound to one sidecar, and only that
+sidecar may run it.
 """
 
 import dataclasses
@@ -27,10 +27,11 @@
 
 
 class CallName(NamedTuple):
-    """Names a call to its program group and to sidecars.
+    """Identity of a call at its program group and at sidecars.
 
     Attributes:
-        fresh: This entry made the key up, so no earlier send can have run.
+        generated_key: Whether this entry generated the key, so that no earlier
+            send can have run.
     """
 
     program: str
@@ -40,22 +41,23 @@
 
     @property
     def scope(self) -> str:
-        """What the group of the call is found by."""
+        """The scope that determines the group of the call."""
         return self.program or placement.call_scope(self.customer, self.key)
 
 
 @dataclasses.dataclass(frozen=True)
 class Answered:
-    """The caller has its whole answer."""
+    """The caller has received the complete answer."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Retry:
-    """The attempt ended and never runs again; another may be granted.
+    """The attempt has ended for good; another may be granted.
 
     Attributes:
-        sealed: Its number, or 0 when the group already settled it.
-        cause: Why, for metrics and the last refusal.
+        sealed: Number of the attempt; 0 when the group has settled it.
+        cause: Why it ended: the metric's label, and the caller's error if no
+            attempt follows.
     """
 
     sealed: int
@@ -64,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Attach:
-    """The attempt runs, or ran, at its sidecar: attach to it."""
+    """The attempt is running or has run at its sidecar: attach to it."""
 
     attempt: int
     sidecar: identities.Incarnation
@@ -74,10 +76,10 @@
 def with_unknown_outcome(
     name: CallName, error: errors.MintcleatError
 ) -> errors.MintcleatError:
-    """Returns the error with a true outcome for a call that may be a resend.
+    """Returns the error with outcome `unknown` if the call may be a resend.
 
-    Nothing was run for this send. An earlier send under the same key may
-    have run, and the group that knows can't be asked.
+    This send ran nothing, but an earlier one with the same key may have run,
+    and the group that recorded it can't be reached.
     """
     if name.generated_key or not name.key:
         return error
@@ -90,16 +92,16 @@
 
 
 def never_delivered(failure: errors.Failure) -> bool:
-    """Tells whether the answer to an attempt's only send proves it unrun.
+    """Returns whether a failure proves that the attempt never ran.
 
-    The sidecar restarted after it was chosen, so the frame reached its next
-    life, which refused it. An attempt is sent once and by one entry.
+    The sidecar restarted after it was chosen, and its next incarnation
+    refused the message. An attempt is sent once and by one entry only.
     """
     return failure.kind == errors.OtherIncarnation.kind
 
 
 def digest(*parts: str | bytes) -> bytes:
-    """Returns 16 bytes that tell one request's content from another's."""
+    """Returns a 16-byte hash of a request's content."""
     state = xxhash.xxh3_128()
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
@@ -109,12 +111,12 @@
 
 
 def new_key() -> str:
-    """Returns a key for a call whose caller sent none."""
+    """Returns a random key for a call whose caller sent none."""
     return f"auto-{uuid.uuid4().hex}"
 
 
 class Attempts:
-    """Begins, settles and seals attempts."""
+    """Begins, settles and seals attempts at groups and sidecars."""
 
     def __init__(
         self,
@@ -127,7 +129,7 @@
         self.timers = timers
 
     def begin(self, name: CallName, begin: program_messages.BeginCall) -> Any:
-        """Returns AttemptGranted, CallRecorded or AttemptRunning."""
+        """Returns an AttemptGranted, a CallRecorded or an AttemptRunning."""
         try:
             return self.control.ask(name.scope, begin, CONTROL_SECONDS)
         except errors.ControlUnavailable as error:
@@ -140,15 +142,15 @@
         request_digest: bytes,
         refusal: errors.MintcleatError,
     ) -> Any:
-        """Returns an earlier send's CallRecorded or AttemptRunning, or refuses.
+        """Returns the CallRecorded or AttemptRunning of an earlier send.
 
-        This entry takes no new work, but the caller may be sending again
-        what has run already. "Not run" would then be untrue, and the caller
-        would book a second time under another key.
+        Called when no new attempt can start. The call may be a resend that
+        has run already. The outcome `not_run` would then be false, and the
+        caller would repeat the action under another key.
 
         Raises:
             errors.MintcleatError: `refusal`, if nothing ran under this key;
-                with an unknown outcome, if nobody could be asked.
+                with outcome `unknown`, if the group can't be reached.
         """
         if not name.key or name.generated_key:
             raise refusal
@@ -158,7 +160,7 @@
         try:
             found = self.control.ask(name.scope, find, CONTROL_SECONDS)
         except (errors.ControlUnavailable, errors.OutcomeUnknown) as error:
-            logger.info("Earlier sends of {} are unknown: {}", name, error)
+            logger.info("Can't look up earlier sends of {}: {}", name, error)
             raise with_unknown_outcome(name, refusal) from None
         if isinstance(found, identities.Done):
             raise refusal
@@ -167,11 +169,11 @@
     def settle(
         self, name: CallName, attempt: int, error: errors.MintcleatError
     ) -> None:
-        """Tells the group how an attempt without an answer ended.
+        """Reports the outcome of an attempt without an answer to the group.
 
-        The caller's answer doesn't wait on it being possible: a group that
-        can't be reached keeps the reservation until the outcome is settled
-        by the caller's resend or by expiry.
+        A failure is only logged: a group that can't be reached keeps the
+        reservation until a resend by the caller settles the call or the
+        reservation expires.
         """
         settle = program_messages.SettleCall(
             name.program,
@@ -185,7 +187,7 @@
             self.control.ask(name.scope, settle, CONTROL_SECONDS)
         except errors.MintcleatError as failure:
             logger.warning(
-                "Attempt {} of {} stays unsettled: {}",
+                "Attempt {} of {} could not be settled: {}",
                 attempt,
                 name.scope,
                 failure,
@@ -199,11 +201,11 @@
         address: str,
         idempotent: bool,
     ) -> Retry | Attach:
-        """Finds out what became of an attempt whose sidecar was lost.
+        """Determines the state of an attempt after its sidecar was lost.
 
         Raises:
-            errors.OutcomeUnknown: Nobody can tell, and a second run might
-                do harm.
+            errors.OutcomeUnknown: The state can't be determined, and the call
+                is not idempotent.
         """
         state = self._seal(name, attempt, sidecar, address)
         match state:
@@ -228,17 +230,17 @@
         try:
             return self.streams.ask(address, seal, SEAL_SECONDS).state
         except errors.MintcleatError as error:
-            logger.info("Attempt {} can't be sealed: {}", attempt, error)
+            logger.info("Attempt {} could not be sealed: {}", attempt, error)
             return "unknown"
 
     def _settle_unknown(
         self, name: CallName, attempt: int, idempotent: bool
     ) -> Retry:
-        """Settles as unknown; only an idempotent call may go on.
+        """Settles the attempt as unknown; only an idempotent call may retry.
 
-        An action with an effect may have happened: running it again could
-        double it and "not run" could be a lie, so the caller is told that
-        the outcome is unknown and the group keeps the key taken.
+        The action may have taken effect: a second run could repeat it, and
+        the outcome `not_run` could be false. The caller gets the outcome
+        `unknown`, and the group keeps the key in use.
         """
         error = errors.OutcomeUnknown(
             "The upstream's sidecar was lost while it had the request."
--- a/src/mintcleat/roles/entry/authentication.py
+++ b/src/mintcleat/roles/entry/authentication.py
@@ -1,10 +1,10 @@
-"""Who sends a routed request, as far as the entry's configuration can tell.
+"""Authenticates callers by the API keys in the entry's configuration.
 
-A customer's key that was taken away must stop at every entry within a bound,
-also at one that is cut off and can't hear of it; so keys are taken for as
-long as the configuration lease allows and no longer. A key that is not known
-may have been added a moment ago: only an entry that has heard from control
-since the request came is sure that it is none.
+A revoked key must stop working at every entry within a bounded time, also at
+one that is partitioned from control. Keys are therefore accepted only for a
+limited time after the configuration lease. An unknown key may have been added
+a moment ago: it is rejected only once the entry has the configuration that was
+in force when the request arrived.
 """
 
 from typing import Protocol
@@ -18,37 +18,39 @@
 from mintcleat.ports import timers as timer_ports
 
 _POLL_SECONDS = 0.02
-# Unknown keys that wait for that word at once. More are strangers who try
-# keys: they hear "not run" at once, and cost nobody a place.
+# Requests with unknown keys that may wait for updates at the same time. Any
+# beyond that, such as those of somebody who guesses keys, are refused at once
+# with outcome `not_run`.
 MAX_UNCONFIRMED = 64
 RETRY_SECONDS = 0.5
 
 
 class Configuration(Protocol):
-    """What is asked of the configuration that this entry follows."""
+    """The part of the followed configuration that authentication needs."""
 
     def manifest(self) -> manifest.Manifest:
-        """Returns the manifest applied here."""
+        """Returns the manifest applied on this node."""
 
     def revision(self) -> int:
-        """Returns the revision applied here; 0 before the first."""
+        """Returns the revision applied on this node; 0 before the first."""
 
     def key_seconds(self) -> float:
-        """Returns for how long customers' keys may still be taken."""
+        """Returns the seconds for which keys may still be accepted."""
 
     def known_until(self) -> float:
-        """Returns the clock up to which no accepted push is unknown here."""
+        """Returns the time up to which all accepted pushes are applied."""
 
     def word_seconds(self) -> float:
-        """Returns within which time a node in touch hears of every push."""
+        """Returns the seconds in which a connected node gets every push."""
 
 
 class Authenticator:
-    """Tells customers by their keys.
+    """Finds customers by their keys.
 
     Attributes:
-        register: Customers of the manifest that it was made from.
-        unconfirmed: Requests that wait for word on their unknown keys.
+        policies: Policies that `callers` was built from.
+        callers: Index of the customers by key.
+        unconfirmed: Requests with unknown keys that wait for updates.
     """
 
     def __init__(
@@ -65,26 +67,26 @@
         self.unconfirmed = 0
 
     def caller(self, key: str, public: bool = False) -> customers.Caller | None:
-        """Returns whose request it is, as far as this entry knows now.
+        """Returns the caller by the configuration applied now.
 
         Args:
-            key: Digest of the key that it carries; empty for none.
-            public: Whether it may come without a key.
+            key: Digest of the request's key; empty for none.
+            public: Whether the route serves requests without a key.
 
         Returns:
-            None when the key is unknown and `confirm` has to say whether it
-            is new.
+            None when the key is unknown; call `await_updates` before the
+            request is refused.
 
         Raises:
-            errors.LeaseExpired: This entry may not take keys any more.
+            errors.LeaseExpired: This entry may not accept keys any more.
         """
         self._refresh()
         if not self.callers.required or (public and not key):
             return self.callers.find(key)
         if self.configuration.key_seconds() <= 0:
             raise errors.LeaseExpired(
-                "This entry has been without control for too long to tell "
-                "customers by their keys.",
+                "This entry has been without control for too long to accept "
+                "customers' keys.",
                 retry_after=RETRY_SECONDS,
             )
         found = self.callers.find(key)
@@ -93,11 +95,11 @@
     def confirmed_caller(
         self, key: str, public: bool = False
     ) -> customers.Caller:
-        """Returns whose request it is, after `confirm`.
+        """Returns the caller; to be called after `await_updates`.
 
         Raises:
-            errors.Unauthorized: The key is surely no customer's.
-            errors.LeaseExpired: This entry may not take keys any more.
+            errors.Unauthorized: No customer has the key.
+            errors.LeaseExpired: This entry may not accept keys any more.
         """
         found = self.caller(key, public)
         if found is None and not public:
@@ -105,16 +107,16 @@
         return found or customers.UNKNOWN_CALLER
 
     def await_updates(self, request: str, key: str, arrived: float) -> None:
-        """Waits until this entry knows every push from before a request.
+        """Waits until all pushes from before a request are applied here.
 
         Args:
-            request: Its id.
-            key: Digest of its key, which is not known here.
-            arrived: Clock of its arrival.
+            request: Request id.
+            key: Digest of its key, which is unknown here.
+            arrived: Monotonic time of its arrival, in seconds.
 
         Raises:
-            errors.ControlUnavailable: There was no word from control in time,
-                or too many requests wait for it.
+            errors.ControlUnavailable: No update came from control in time, or
+                too many requests wait already.
         """
         updated = self._poll_updates(arrived)
         self.events.emit(
@@ -130,7 +132,7 @@
         )
         if not updated:
             raise errors.ControlUnavailable(
-                "The key is not known here and may be new.",
+                "The key is unknown, but may have been added recently.",
                 retry_after=RETRY_SECONDS,
             )
 
@@ -156,10 +158,10 @@
 
 
 def _unauthorized(key: str) -> errors.Unauthorized:
-    """Returns the refusal of a request whose key surely opens nothing."""
+    """Returns the error for a key that no customer has."""
     shown = keys.short_digest(key)
-    named = f"The key {shown}" if shown else "A request without one key"
+    named = f"The key {shown}" if shown else "A request without exactly one key"
     return errors.Unauthorized(
-        f"{named} is no customer's.",
-        remedy="Send one key that the operator has given out.",
+        f"{named} doesn't belong to a customer.",
+        remedy="Send exactly one key that the operator has issued.",
     )
--- a/src/mintcleat/roles/entry/chat.py
+++ b/src/mintcleat/roles/entry/chat.py
@@ -1,4 +1,4 @@
-"""Chat calls at the entry: attempts, streamed answers and retries."""
+"""Runs chat calls at the entry: attempts, streamed answers and retries."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -18,19 +18,22 @@
 from mintcleat.roles.entry import delivery as delivery_module
 from mintcleat.roles.entry import placement as placement_module
 
-# A sidecar sends nothing while a call waits or a prompt is built, so silence
-# alone is no fault; the streams' heartbeats find a lost peer.
+# Lower bound of the waits below. Only the deadline limits the wait for a
+# sidecar: it sends nothing while a call is queued or its prompt is processed,
+# and a lost peer is detected by the heartbeats of the streams.
 _MIN_WAIT_SECONDS = 0.05
 
 
 class Progress:
-    """What one call has been through.
+    """State of one call over its attempts.
 
     Attributes:
-        delivery: What the caller has of the answer.
-        tried: Sidecars that refused or were lost.
-        sealed: Attempt that never runs again; the next one replaces it.
-        may_have_run: An earlier attempt of this call reached its engine.
+        delivery: The part of the answer that the caller has received.
+        tried: Sidecars that refused, failed or were lost.
+        sealed: Number of the sealed attempt that the next one replaces.
+        attempts: Attempts so far.
+        sidecar: Sidecar of the last attempt.
+        may_have_run: Whether an earlier attempt may have reached its engine.
     """
 
     def __init__(self, streamed: bool) -> None:
@@ -62,10 +65,10 @@
     def run(
         self, context: chat_call.RequestContext
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Yields the answer's parts and then its end.
+        """Yields the answer's text in parts, then its end.
 
         Raises:
-            errors.MintcleatError: The refusal or failure to tell the caller.
+            errors.MintcleatError: The refusal or failure for the caller.
         """
         progress = Progress(context.call.streamed)
         step: Any = None
@@ -84,7 +87,7 @@
     def _attempt(
         self, context: chat_call.RequestContext, progress: Progress
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Places and runs one attempt; returns what to do next."""
+        """Places and runs one attempt; returns the next step."""
         progress.attempts += 1
         try:
             placed = self._place(context, progress)
@@ -114,7 +117,7 @@
         progress: Progress,
         refusal: errors.MintcleatError,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Tells what an earlier send of the call left, or refuses."""
+        """Uses what an earlier send of the call left, or refuses."""
         reply = self.attempts.find_earlier(
             context.name, context.call.turn, context.digest, refusal
         )
@@ -125,7 +128,7 @@
         progress: Progress,
         reply: program_messages.CallRecorded | program_messages.AttemptRunning,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Replays a recorded answer, or follows the attempt under way."""
+        """Replays the recorded answer or attaches to the running attempt."""
         if isinstance(reply, program_messages.AttemptRunning):
             return attempts_module.Attach(
                 reply.attempt, reply.sidecar, reply.address
@@ -148,8 +151,8 @@
                 progress.tried,
             )
         except errors.NoUpstream as error:
-            # The last attempt is sealed and none follows: free its key and
-            # its reservation, so that the caller's resend is a fresh start.
+            # The last attempt is sealed and no other follows. Settling it
+            # releases the key and the reservation for the caller's resend.
             if progress.may_have_run:
                 error = attempts_module.with_unknown_outcome(
                     context.name, error
@@ -219,7 +222,7 @@
         placed: placement_module.Placed,
         run: call_messages.RunTurn,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Sends one attempt to its sidecar and relays what comes."""
+        """Sends one attempt to its sidecar and relays the answer."""
         try:
             exchange = self.streams.open(placed.address, run)
         except errors.StreamClosed as error:
@@ -247,7 +250,11 @@
         attempt: int,
         failure: errors.Failure,
     ) -> attempts_module.Retry:
-        """Only an attempt that did not run may pass as sealed."""
+        """Returns the retry after a failed attempt.
+
+        An attempt that may have run doesn't count as sealed; it is settled as
+        unknown.
+        """
         cause = errors.from_failure(failure)
         if failure.outcome == errors.NOT_RUN or not context.name.key:
             return attempts_module.Retry(attempt, cause)
@@ -258,7 +265,7 @@
     def _record_failure(
         self, context: chat_call.RequestContext, progress: Progress
     ) -> None:
-        """Notes that the sidecar of the last attempt failed the call."""
+        """Counts a failure against the sidecar of the last attempt."""
         if progress.sidecar is None:
             return
         progress.tried.add(progress.sidecar)
@@ -284,7 +291,7 @@
         exchange: streams_port.Exchange,
         first: Any,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Relays one answer; returns what to do next."""
+        """Relays one answer; returns the next step."""
         message = first
         delivery = progress.delivery
         delivery.restart()
@@ -312,7 +319,8 @@
                     return self._attempt_failed(context, attempt, failure)
                 case _:
                     raise errors.StreamClosed(
-                        f"An unexpected {type(message).__name__}."
+                        "Expected a part or the end of an answer, received "
+                        f"{type(message).__name__}."
                     )
             message = exchange.receive(self._left(context))
 
@@ -322,7 +330,7 @@
         progress: Progress,
         target: attempts_module.Attach,
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Attaches to an attempt that runs or ran elsewhere."""
+        """Attaches to an attempt that an earlier send started."""
         name = context.name
         attach = call_messages.AttachAttempt(
             name.program,
@@ -367,7 +375,7 @@
         address: str,
         error: errors.StreamClosed,
     ) -> attempts_module.Retry | attempts_module.Attach:
-        """Decides after the exchange with the sidecar was lost."""
+        """Returns the next step after the sidecar's stream was lost."""
         if not context.name.key or error.outcome == errors.NOT_RUN:
             return attempts_module.Retry(run.attempt, error)
         target = attempts_module.Attach(run.attempt, run.sidecar, address)
@@ -380,7 +388,7 @@
         address: str,
         error: errors.StreamTimeout,
     ) -> attempts_module.Retry:
-        """Ends a call whose deadline passed, with a true outcome."""
+        """Ends a call at its deadline; `not_run` only if that is certain."""
         if not context.name.key:
             raise self._deadline_error(error)
         step = self.attempts.resolve_lost(
@@ -401,9 +409,9 @@
     def _deadline_error(
         self, cause: errors.MintcleatError | None
     ) -> errors.DeadlineUnmet:
-        logger.info("A call passed its deadline: {}", cause)
+        logger.info("Call exceeded its deadline: {}", cause)
         return errors.DeadlineUnmet(
-            "The call was still under way at its deadline.",
+            "The call was still running at its deadline.",
             outcome=errors.UNKNOWN,
             remedy="Send the same request with the same key to get its answer.",
         )
@@ -417,7 +425,7 @@
         progress: Progress,
         cause: errors.MintcleatError,
     ) -> None:
-        """Raises the final refusal when no further attempt is allowed."""
+        """Raises the final error when no further attempt is allowed."""
         self.metrics.count("retries_total", cause=cause.kind)
         progress.may_have_run |= cause.outcome != errors.NOT_RUN
         over = (
--- a/src/mintcleat/roles/entry/chat_call.py
+++ b/src/mintcleat/roles/entry/chat_call.py
@@ -1,4 +1,4 @@
-"""One chat call as an entry sees it: its context, limits and events."""
+"""One chat call at the entry: context, token limits and answer events."""
 
 from collections.abc import Iterator
 import json
@@ -14,21 +14,24 @@
 from mintcleat.roles.entry import delivery as delivery_module
 
 DEFAULT_COMPLETION_TOKENS = 1024
-# What a call without a limit generates is unknown; only the comparison of
-# upstreams uses this, where the same figure stands on both sides.
+# Assumed answer length of a call without a limit, in tokens. Placement compares
+# upstreams by it, so its error is the same for all of them.
 EXPECTED_TOKENS = 128
 _CHARACTERS_PER_TOKEN = 4
 _TEMPLATE_TOKENS = 16
 
 
 class RequestContext(NamedTuple):
-    """What is fixed for all attempts of one call.
+    """What all attempts of one call have in common.
 
     Attributes:
+        digest: Hash of the call's content.
+        deadline_at: Deadline by the entry's monotonic clock, in seconds.
+        resident: Sidecar that holds the program's prefix cache, if known.
         context_tokens: Tokens of the conversation so far.
-        tokens_left: Tokens left in the budget when last seen; -1 without one.
-        refusal: Why this entry takes no new work; only what an earlier send
-            of the same call left is told then.
+        tokens_left: Tokens left in the cached view's budget; -1 without one.
+        refusal: Why this entry takes no new work, if it doesn't. Then the call
+            only gets what an earlier send of it left.
     """
 
     call: requests.ChatCall
@@ -47,7 +50,7 @@
 def replay(
     delivery: delivery_module.Delivery, message: str
 ) -> Iterator[requests.AnswerText]:
-    """Yields what the caller lacks of the whole recorded answer."""
+    """Yields the part of the complete answer that the caller lacks."""
     text = answer_text(message)
     if delivery.seen == len(text):
         return
@@ -58,7 +61,7 @@
 
 
 def place_call(context: RequestContext, attempts: int) -> calls.Call:
-    """Returns the call as the placement decision sees it."""
+    """Returns the call as input of the placement decision."""
     new_tokens = prompt_tokens(context.call)
     name = context.name
     return calls.Call(
@@ -77,27 +80,27 @@
 
 
 def prompt_tokens(call: requests.ChatCall) -> int:
-    """Returns an estimate of the tokens in a call's new messages."""
+    """Returns an estimate of the number of tokens in the new messages."""
     characters = sum(len(message) for message in call.messages)
     return characters // _CHARACTERS_PER_TOKEN + 1
 
 
 def prompt_bound(call: requests.ChatCall) -> int:
-    """Returns a number of tokens that the new messages can't exceed.
+    """Returns an upper bound of the number of tokens in the new messages.
 
-    No tokenizer makes more tokens than there are bytes; the prompt template
-    adds a few for each message, the answer before it included. An estimate
-    would let the last turn of a program overdraw its budget.
+    A tokenizer makes at most one token per byte. The prompt template adds a
+    few per message, the preceding answer included. With an estimate instead,
+    the last turn of a program could exceed its budget.
     """
     size = sum(len(message.encode()) for message in call.messages)
     return size + _TEMPLATE_TOKENS * (len(call.messages) + 1)
 
 
 def completion_limit(context: RequestContext) -> int:
-    """Returns how many tokens the answer may have.
+    """Returns the maximum number of tokens of the answer.
 
-    Without the caller's own limit it is the default, or what the budget
-    still allows when that is less.
+    Without a limit from the caller it is the default, or the rest of the
+    budget if that is less.
     """
     call = context.call
     if call.max_tokens:
@@ -109,10 +112,10 @@
 
 
 def bounded_parameters(context: RequestContext) -> str:
-    """Returns the body's parameters with a completion limit.
+    """Returns the parameters with a limit on the completion's tokens.
 
-    Without a limit an engine could generate past what was reserved, and the
-    program's budget would not hold.
+    Without it an engine could generate more tokens than were reserved and
+    exceed the program's budget.
     """
     call = context.call
     if call.max_tokens or not call.program:
@@ -123,7 +126,7 @@
 
 
 def answer_text(message: str) -> str:
-    """Returns the text of an assistant message in JSON."""
+    """Returns the text of an assistant message given as JSON."""
     return json.loads(message).get("content") or ""
 
 
@@ -140,7 +143,7 @@
 
 
 def recorded_end(reply: program_messages.CallRecorded) -> requests.AnswerEnd:
-    """Returns the end event of an answer recorded earlier."""
+    """Returns the end event of a recorded answer."""
     return requests.AnswerEnd(
         reply.answer.decode(), "stop", reply.usage, reply.attempt, replayed=True
     )
--- a/src/mintcleat/roles/entry/customer_calls.py
+++ b/src/mintcleat/roles/entry/customer_calls.py
@@ -1,4 +1,4 @@
-"""The entry as one customer sees it: its own programs, its own limit."""
+"""The entry's API restricted to one customer's programs and rate limit."""
 
 from collections.abc import Iterator
 from typing import Protocol
@@ -9,23 +9,23 @@
 from mintcleat.ports import calls as calls_port
 from mintcleat.roles.entry import rate_limiter
 
-# A customer's key goes no further than the entry; its name does.
+# The entry removes the customer's key and adds the customer's name.
 _CREDENTIALS = "authorization"
 _CUSTOMER = "mintcleat-customer"
 
 
 class UnscopedEntryApi(calls_port.EntryApi, Protocol):
-    """The entry for any customer."""
+    """The entry's API without a check of the programs' customers."""
 
     def view_program(self, program: str) -> program_messages.ProgramView:
-        """Returns a program, maybe as it was a moment ago."""
+        """Returns a program, possibly from the cache and out of date."""
 
 
 class CustomerCalls:
-    """Implements `ports.calls.EntryApi` for a customer that showed its key.
+    """Implements `ports.calls.EntryApi` for an authenticated customer.
 
-    What a request says itself of its customer counts nothing, and another
-    customer's program is one that never was.
+    The customer that a request names itself is ignored, and another
+    customer's program appears as an unknown one.
     """
 
     def __init__(
@@ -39,11 +39,11 @@
         self.customer = customer
 
     def authenticate(self, key: str, request: str) -> "CustomerCalls":
-        """Returns itself: who calls is decided once."""
+        """Returns itself; the caller is authenticated already."""
         return self
 
     def ready(self) -> bool:
-        """Tells whether this entry takes new work."""
+        """Returns whether the load balancer may send new work here."""
         return self.calls.ready()
 
     def models(self) -> list[str]:
@@ -53,30 +53,30 @@
     def create_program(
         self, new: requests.NewProgram
     ) -> program_messages.ProgramView:
-        """Creates a program, or returns the same one for a resend."""
+        """Creates a program; a resend returns the existing one."""
         if new.parent:
             self._check_owner(new.parent)
         return self.calls.create_program(new._replace(customer=self.customer))
 
     def show_program(self, program: str) -> program_messages.ProgramView:
-        """Returns a program of the customer."""
+        """Returns the program by a linearizable read."""
         self._check_owner(program)
         return self.calls.show_program(program)
 
     def history(self, program: str) -> program_messages.History:
-        """Returns its whole history."""
+        """Returns the program's complete history."""
         self._check_owner(program)
         return self.calls.history(program)
 
     def close_program(self, program: str) -> None:
-        """Closes it and its sub-agents."""
+        """Closes the program and its sub-agents."""
         self._check_owner(program)
         self.calls.close_program(program)
 
     def chat(
         self, call: requests.ChatCall
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Yields the parts of a chat answer and then its end."""
+        """Yields the text of a chat answer in parts, then its end."""
         self._admit(call)
         return self.calls.chat(call._replace(customer=self.customer))
 
@@ -95,10 +95,12 @@
         self.rate_limiter.admit(self.customer, call.program, call.request)
 
     def _check_owner(self, program: str) -> None:
-        """Refuses a program that is not the customer's.
+        """Checks that a program belongs to the customer.
 
         Raises:
-            errors.UnknownProgram: It is another's, or there is none.
+            errors.UnknownProgram: It doesn't exist or is another customer's.
         """
         if self.calls.view_program(program).customer != self.customer:
+            # The same text as for a program that doesn't exist, so that it
+            # reveals nothing about other customers' programs.
             raise errors.UnknownProgram(f"No program {program}.")
--- a/src/mintcleat/roles/entry/delivery.py
+++ b/src/mintcleat/roles/entry/delivery.py
@@ -1,9 +1,8 @@
-"""The part of a streamed answer that a caller already has.
+"""Deduplicates a streamed answer over several attempts.
 
-A caller that reads an answer while it is made can't give a part back. When a
-second attempt takes over, its answer must begin with what was delivered;
-otherwise the caller would hold the start of one answer and the end of
-another.
+Text that was sent to the caller can't be taken back. The answer of a later
+attempt must therefore begin with the text already delivered; otherwise the
+caller would get the start of one answer and the end of another.
 """
 
 from mintcleat.domain import errors
@@ -13,7 +12,7 @@
     """Joins the answers of successive attempts into one stream.
 
     Attributes:
-        streamed: Whether the caller reads parts; if not, nothing is kept.
+        streamed: Whether the caller reads a stream; if not, no text is kept.
         seen: Characters received from the current attempt.
         length: Characters delivered to the caller.
     """
@@ -25,18 +24,25 @@
         self.parts: list[str] = []
 
     def restart(self) -> None:
-        """Begins the answer of another attempt, or the same one again."""
+        """Starts again at the first character, for another stream."""
         self.seen = 0
 
     def add(self, offset: int, text: str) -> str:
-        """Takes a part and returns what of it is new to the caller.
+        """Adds a part of an answer; returns its text not yet delivered.
+
+        Args:
+            offset: Position of the part in the answer, in characters.
+            text: Text of the part.
 
         Raises:
             errors.StreamClosed: Characters before `offset` are missing.
-            errors.UpstreamFailed: It differs from what was delivered.
+            errors.UpstreamFailed: The text differs from the delivered text.
         """
         if offset > self.seen:
-            raise errors.StreamClosed("A part of the answer is missing.")
+            raise errors.StreamClosed(
+                f"Expected the answer's part at character {self.seen}, "
+                f"received the one at {offset}."
+            )
         text = text[self.seen - offset :]
         start = self.seen
         self.seen += len(text)
@@ -56,7 +62,8 @@
         self.parts = [delivered]
         if delivered[start : start + len(text)] != text:
             raise errors.UpstreamFailed(
-                "The upstream was lost and its successor's answer differs.",
+                "The upstream was lost, and the next upstream's answer differs "
+                "from the text already delivered.",
                 remedy="Send the same request with the same key again: "
                 "it gets the whole recorded answer.",
             )
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -1,4 +1,4 @@
-"""The entry role: checks a call against the manifest and has it run."""
+"""The entry role: validates calls against the manifest and runs them."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -30,15 +30,22 @@
 from mintcleat.roles.entry import service_calls as service_calls_module
 
 _PROGRAM_ID = re.compile(r"[A-Za-z0-9_-]{1,64}(\.[A-Za-z0-9_-]{1,64}){0,8}")
-# Views are about 300 bytes; the cache saves a read per turn for the programs
-# that this entry served last and is bounded so that an entry stays thin.
+# Programs in the view cache, which saves one read per turn. A view takes about
+# 300 bytes; the bound keeps the memory of an entry small.
 _MAX_VIEWS = 20_000
 ANONYMOUS = "anonymous"
 _OUTCOME_TEXTS = {True: "ended", False: "failed or was left"}
 
 
 class Entry:
-    """Takes callers' requests; holds nothing that must survive it."""
+    """Serves callers' requests; keeps no state that must survive a restart.
+
+    Attributes:
+        views: Cached views of programs, least recently used first.
+        leaving: Whether readiness is withdrawn ahead of a planned stop.
+        draining: Whether new work is refused.
+        running: Calls that have not ended yet.
+    """
 
     def __init__(
         self,
@@ -76,7 +83,7 @@
         )
 
     def ready(self) -> bool:
-        """Tells the balancer whether this entry takes new work."""
+        """Returns whether the load balancer may send new work here."""
         return not self.leaving and self.directory.has_lease()
 
     def models(self) -> list[str]:
@@ -91,7 +98,12 @@
     def create_program(
         self, new: requests.NewProgram
     ) -> program_messages.ProgramView:
-        """Creates a program, or returns the same one for a resend."""
+        """Creates a program; a resend returns the existing one.
+
+        Raises:
+            errors.MintcleatError: The manifest doesn't have what the request
+                names, or this entry takes no new work.
+        """
         refusal = self._refusal(idempotent_service=False)
         if refusal is not None:
             raise refusal
@@ -114,15 +126,16 @@
         return self._cache_view(self._ask(create.program, create))
 
     def authenticate(self, key: str, request: str) -> calls_port.EntryApi:
-        """Returns the entry as the holder of a key may use it.
+        """Returns the API with the permissions of a key's customer.
 
         Args:
-            key: Digest of the key that a request carries; empty for none.
-            request: Its id.
+            key: Digest of the request's key; empty for none.
+            request: Request id.
 
         Raises:
-            errors.Unauthorized: The key is surely no customer's.
-            errors.MintcleatError: This entry can't tell.
+            errors.Unauthorized: No customer has the key.
+            errors.MintcleatError: This entry can't decide whether a customer
+                has the key.
         """
         arrived = self.timers.now()
         found = self.authenticator.caller(key)
@@ -136,7 +149,7 @@
         )
 
     def view_program(self, program: str) -> program_messages.ProgramView:
-        """Returns the program, maybe as it was a moment ago."""
+        """Returns the program, possibly from the cache and out of date."""
         check_id(program)
         return self._view(program)
 
@@ -147,7 +160,7 @@
         return self._cache_view(view)
 
     def history(self, program: str) -> program_messages.History:
-        """Returns the program's whole history."""
+        """Returns the program's complete history."""
         check_id(program)
         return self._ask(program, program_messages.FetchHistory(program))
 
@@ -160,7 +173,11 @@
     def chat(
         self, call: requests.ChatCall
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Yields the parts of a chat answer and then its end."""
+        """Yields the text of a chat answer in parts, then its end.
+
+        Raises:
+            errors.MintcleatError: The call was refused or failed.
+        """
         refusal = self._refusal(idempotent_service=False)
         if refusal is not None and not (call.program or call.key):
             raise refusal
@@ -169,8 +186,8 @@
         key = call.key
         digest = attempts_module.digest(*call.messages, call.parameters)
         if view and not key:
-            # Made from the content, so that a resend without a key still
-            # finds the first send's attempt instead of a taken turn.
+            # Derived from the content: a resend without a key then finds the
+            # attempt of the first send instead of a conflict over the turn.
             key = f"turn-{call.turn}-{digest.hex()}"
         context = chat_call.RequestContext(
             call=call,
@@ -188,7 +205,11 @@
         return self._run_chat(context)
 
     def service(self, call: requests.ServiceCall) -> requests.ServiceAnswer:
-        """Returns the answer of a plain service."""
+        """Returns the answer of a plain service.
+
+        Raises:
+            errors.MintcleatError: The call was refused or failed.
+        """
         manifest = self.directory.manifest()
         service = manifest.services.get(call.service)
         if service is None or service.kind != "plain":
@@ -234,7 +255,7 @@
     def _run_chat(
         self, context: chat_call.RequestContext
     ) -> Iterator[requests.AnswerText | requests.AnswerEnd]:
-        """Runs a chat call, counted as running until its last byte."""
+        """Runs a chat call; it counts as running until its last part."""
         self.metrics.count("calls_total", kind="chat")
         started = self.timers.now()
         self.running += 1
@@ -268,10 +289,10 @@
     def _update_view(
         self, context: chat_call.RequestContext, end: requests.AnswerEnd
     ) -> None:
-        """Keeps where the program's history is cached now.
+        """Updates the cached view with the residency after a turn.
 
-        A stale note costs a rebuild, never a wrong answer: order and budget
-        are checked by the program's group, not by this cache.
+        A stale view costs a prefill of the whole prompt but never a wrong
+        answer: the program's group checks the order of turns and the budget.
         """
         view = self.views.get(context.call.program)
         if view is None:
@@ -289,11 +310,11 @@
     def _refusal(
         self, idempotent_service: bool
     ) -> errors.MintcleatError | None:
-        """Returns why no new work is taken: stopping, or out of lease.
+        """Returns the error for new work while draining or without a lease.
 
-        A node that is cut off can't know of a newer manifest. Its callers
-        would see an old one in force; refusing is true and lets them go to
-        another entry. `stale_lease: serve` keeps harmless reads going.
+        Without a lease this entry may have missed a newer manifest and would
+        apply an outdated one. The refusal sends callers to another entry.
+        With `stale_lease: serve`, idempotent calls are still served.
         """
         if self.draining:
             return errors.Draining("This entry is stopping.")
@@ -303,7 +324,7 @@
         if idempotent_service and policy == "serve":
             return None
         return errors.LeaseExpired(
-            "This entry's configuration lease ran out.", retry_after=1.0
+            "This entry's configuration lease expired.", retry_after=1.0
         )
 
     def _customer(self, customer: str) -> str:
@@ -333,7 +354,7 @@
     def _budget(
         self, asked: identities.Budget, agent: manifest_module.Program
     ) -> identities.Budget:
-        """Returns the tighter of the caller's and the manifest's limits."""
+        """Returns the lower of the caller's and the manifest's limits."""
         return identities.Budget(
             tokens=lower_limit(asked.tokens, agent.tokens),
             turns=lower_limit(asked.turns, agent.turns),
@@ -358,7 +379,12 @@
     def _call_view(
         self, program: str, key: str
     ) -> program_messages.ProgramView | None:
-        """Returns the program of a call, with a true outcome if it can't."""
+        """Returns the view of a call's program; None without a program.
+
+        Raises:
+            errors.MintcleatError: The view can't be read. The outcome is
+                unknown where an earlier send of the call may have run.
+        """
         if not program:
             return None
         try:
@@ -401,23 +427,27 @@
 
 
 def check_id(program: str) -> None:
-    """Refuses a text that can't be a program id."""
+    """Checks the syntax of a program id.
+
+    Raises:
+        errors.BadRequest: It is not a valid program id.
+    """
     if not _PROGRAM_ID.fullmatch(program):
         raise errors.BadRequest(
-            f"{program[:80]!r} is no program id (letters, digits, _ and -, "
-            "64 at most per part)."
+            f"{program[:80]!r} is not a valid program id: expected up to 9 "
+            "parts separated by dots, each of 1 to 64 letters, digits, _ or -."
         )
 
 
 def tokens_left(view: program_messages.ProgramView | None) -> int:
-    """Returns what is left of a program's budget; -1 for no limit."""
+    """Returns the tokens left in a program's budget; -1 for no limit."""
     if view is None or not view.budget.tokens:
         return -1
     return max(0, view.budget.tokens - view.used - view.reserved)
 
 
 def lower_limit(first: float, second: float) -> float:
-    """Returns the lower of two limits where 0 means none."""
+    """Returns the lower of two limits, where 0 means no limit."""
     if not first or not second:
         return first or second
     return min(first, second)
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -1,4 +1,4 @@
-"""The entry's way of a routed request: its route, and its refusals."""
+"""Serves routed requests: finds the route, authenticates, runs, refuses."""
 
 from mintcleat.decisions import cold_start
 from mintcleat.decisions import jitter
@@ -16,9 +16,9 @@
 from mintcleat.roles.entry import turn_client
 from mintcleat.roles.entry import upstream_loads
 
-# Callers that name no deadline are taken to wait for this long.
+# Assumed for callers that name no deadline.
 _DEFAULT_DEADLINE_SECONDS = 30.0
-# How often a call that is held looks whether word has come.
+# Interval at which a held call checks for the configuration.
 _POLL_SECONDS = 0.01
 
 
@@ -26,10 +26,11 @@
     """Serves routed requests.
 
     Attributes:
-        draining: Set when the process takes no new work.
-        started: Clock of this object's making.
-        held: Calls that wait for the first word of control.
-        informed: Whether it has come.
+        table: Route table of `table_manifest`.
+        draining: Whether the process takes no new work.
+        started: Monotonic time of construction, in seconds.
+        held: Calls that wait for the first configuration and lease.
+        configured: Whether a configuration and a lease have arrived.
     """
 
     def __init__(
@@ -63,24 +64,24 @@
         self.configured = False
 
     def ready(self) -> bool:
-        """Tells whether requests can be served here."""
-        # Without a lease, turns can't be recorded here while others can; the
-        # balancer uses every entry anyway when too few are ready. It moves no
-        # open connection: a caller that keeps one would be refused on it again.
+        """Returns whether the load balancer should send requests here."""
+        # An entry without a lease can't record turns, and others can. When too
+        # few entries are ready, the balancer uses all of them. It doesn't move
+        # open connections: a caller that kept one would be refused again.
         return not self.draining and self.configuration.has_lease()
 
     def limits(self) -> manifest.Limits:
-        """Returns what callers may send."""
+        """Returns the limits on the size and time of callers' requests."""
         return self.configuration.manifest().limits
 
     def handle(
         self, call: routed_calls.RoutedCall, reply: forwarding.CallerResponse
     ) -> None:
-        """Answers a request.
+        """Serves a request and sends its response.
 
         Raises:
-            errors.MintcleatError: The refusal; nothing was sent to the caller
-                unless it is a StreamClosed.
+            errors.MintcleatError: The request was refused or failed. Only with
+                a StreamClosed may part of a response have been sent.
         """
         began = self.timers.now()
         run: routed_run.RoutedRun | None = None
@@ -119,8 +120,9 @@
         """Returns the route of a request.
 
         Raises:
-            errors.UnknownRoute: There surely is none.
-            errors.LeaseExpired: This entry can't tell.
+            errors.UnknownRoute: No route matches.
+            errors.LeaseExpired: No route matches, but the configuration may
+                be out of date.
         """
         configuration = self.configuration
         current = configuration.manifest()
@@ -130,19 +132,22 @@
         match = self.table.find(call.host, call.path)
         if match is None:
             if not configuration.has_lease():
-                # A route that was added since can't be told from none.
+                # The route may have been added since.
                 raise errors.LeaseExpired(
-                    "No route is known, and the configuration may be old.",
+                    f"No route matches {call.host}{call.path}, but the "
+                    "configuration may be out of date.",
                     retry_after=routed_run.RETRY_SECONDS,
                 )
-            raise errors.UnknownRoute(f"No route for {call.host}{call.path}.")
+            raise errors.UnknownRoute(
+                f"No route matches {call.host}{call.path}."
+            )
         return match
 
     def _has_configuration(self) -> bool:
-        """Tells whether a configuration and a lease on it have come.
+        """Returns whether a configuration and a lease have ever arrived.
 
-        A leader that was just elected sends the first before it may grant the
-        second. Between them keys can't be told and turns can't be recorded.
+        A newly elected leader sends the configuration before it may grant
+        leases. In between, keys can't be checked and turns can't be recorded.
         """
         self.configured = self.configured or (
             self.configuration.revision() > 0 and self.configuration.has_lease()
@@ -150,10 +155,10 @@
         return self.configured
 
     def _await_configuration(self, call: routed_calls.RoutedCall) -> None:
-        """Holds a call while this entry has just started.
+        """Holds a call that arrives just after the start of this entry.
 
         Raises:
-            errors.ControlUnavailable: There is still no configuration.
+            errors.ControlUnavailable: No configuration has arrived in time.
         """
         uptime = self.timers.now() - self.started
         deadline = call.deadline or _DEFAULT_DEADLINE_SECONDS
@@ -179,7 +184,7 @@
             )
         if not known:
             raise errors.ControlUnavailable(
-                "This entry knows no configuration yet.",
+                "This entry has not received a configuration yet.",
                 retry_after=routed_run.RETRY_SECONDS,
             )
 
--- a/src/mintcleat/roles/entry/placement.py
+++ b/src/mintcleat/roles/entry/placement.py
@@ -1,4 +1,4 @@
-"""The entry's view of upstream load: joins `decisions.placement` to streams."""
+"""Follows the load of sidecars and places calls with `decisions.placement`."""
 
 from typing import NamedTuple
 
@@ -18,13 +18,14 @@
 
 _REFRESH_SECONDS = 1.0
 _FORGET_SECONDS = 60.0
-# Until a sidecar has reported, its upstream is taken to be like the others.
+# Concurrency limit assumed for a sidecar that has announced no capacity and
+# not reported its load yet.
 _UNKNOWN_LIMIT = 8
 _NO_UPSTREAM_RETRY_SECONDS = 1.0
 
 
 class Placed(NamedTuple):
-    """The chosen sidecar and why."""
+    """The chosen sidecar and the reason of the choice."""
 
     sidecar: identities.Incarnation
     address: str
@@ -32,7 +33,11 @@
 
 
 class ServiceState:
-    """One service's upstreams and retry budget, as this entry knows them."""
+    """One service's sidecars and retry budget at this entry.
+
+    Attributes:
+        members: Announcements by sidecar instance.
+    """
 
     def __init__(self) -> None:
         self.fleet = placement.Fleet()
@@ -41,7 +46,11 @@
 
 
 class Placement:
-    """Watches a subset of each service's sidecars and chooses among them."""
+    """Watches a subset of each service's sidecars and places calls on them.
+
+    Attributes:
+        watched: Sidecars whose load reports are received.
+    """
 
     def __init__(
         self,
@@ -59,7 +68,7 @@
         self.subscriptions: list[timers_port.Subscription] = []
 
     def start(self) -> None:
-        """Begins to follow the members."""
+        """Starts to follow the members."""
         self.directory.subscribe(self.refresh)
         self.subscriptions = [
             self.timers.every(_REFRESH_SECONDS, self.refresh),
@@ -68,12 +77,12 @@
         self.refresh()
 
     def stop(self) -> None:
-        """Opens no further watches."""
+        """Stops opening watches; open ones stay."""
         for subscription in self.subscriptions:
             subscription.cancel()
 
     def refresh(self) -> None:
-        """Takes over the members and watches those of the subset."""
+        """Updates the members and watches those in the subset."""
         for name in self.directory.manifest().services:
             self._refresh_service(name)
 
@@ -110,7 +119,7 @@
         )
 
     def update_load(self, report: call_messages.LoadReport) -> None:
-        """Takes a report that was pushed or came with an answer."""
+        """Applies a load report that was pushed or came with an answer."""
         now = self.timers.now()
         for service in self.services.values():
             member = service.members.get(report.sidecar.instance)
@@ -121,7 +130,7 @@
     def record_result(
         self, name: str, sidecar: identities.Incarnation, ok: bool
     ) -> None:
-        """Counts the end of a call at a sidecar; refusals are not counted."""
+        """Records whether a call at a sidecar succeeded; not for refusals."""
         service = self.services.get(name)
         if service is None:
             return
@@ -130,7 +139,7 @@
             service.budget.succeeded()
 
     def may_retry(self, name: str, attempts: int) -> bool:
-        """Tells whether a call may have a further attempt."""
+        """Returns whether a call may have another attempt."""
         service = self.services.get(name)
         return service is not None and service.budget.take(attempts)
 
@@ -167,10 +176,10 @@
     def _first_report(
         self, service: ServiceState, member: member_messages.Announcement
     ) -> call_messages.LoadReport:
-        """Returns what to assume of an upstream that has not reported yet.
+        """Returns the load assumed for a sidecar that has not reported yet.
 
-        It is taken as idle and as fast as the rest; its first answer or
-        report puts that right.
+        It counts as idle and as fast as the average until its first answer or
+        report.
         """
         return call_messages.LoadReport(
             sidecar=member.sidecar,
@@ -191,10 +200,9 @@
         call: calls.Call,
         resident: identities.Incarnation | None,
     ) -> placement.Resident | None:
-        """Returns the residency hint if that very incarnation is a member.
+        """Returns the residency hint if the same incarnation is a member.
 
-        A restarted sidecar's engine may have lost its cache; its name alone
-        says nothing about what it holds.
+        The engine of a restarted sidecar may have lost its prefix cache.
         """
         if resident is None:
             return None
@@ -215,7 +223,7 @@
             while True:
                 self.update_load(exchange.receive())
         except errors.MintcleatError as error:
-            logger.debug("Load watch of {} ended: {}", member.sidecar, error)
+            logger.debug("Load watch of {} closed: {}", member.sidecar, error)
         finally:
             self.watched.discard(member.sidecar)
 
@@ -225,13 +233,13 @@
 
     def _no_upstream(self, name: str) -> errors.NoUpstream:
         return errors.NoUpstream(
-            f"No upstream of {name} takes new work now.",
+            f"No upstream of service {name!r} takes new work.",
             retry_after=_NO_UPSTREAM_RETRY_SECONDS,
         )
 
 
 def weights_of(policies: object) -> tuple[float, float]:
-    """Returns the manifest's two weights."""
+    """Returns the weights of program latency and of wasted cache."""
     weights = policies.weights
     return weights.program_latency, weights.wasted_cache
 
@@ -239,7 +247,7 @@
 def reason_of(
     choice: placement.Choice, resident: placement.Resident | None
 ) -> str:
-    """Returns a label for the metric of placements."""
+    """Returns the `reason` label for the metric `placements_total`."""
     if choice.probe:
         return "probe"
     if resident is not None and choice.name == resident.name:
--- a/src/mintcleat/roles/entry/rate_limiter.py
+++ b/src/mintcleat/roles/entry/rate_limiter.py
@@ -1,8 +1,8 @@
-"""Has requests counted against their customers' limits before they are sent.
+"""Rate limits of customers, as an entry applies them before it sends a request.
 
-The opening of a turn is counted by its own group with the commit that it takes
-anyway. Any other request is counted by a commit of its own, unless one was
-counted ahead with an earlier turn.
+A program group counts the requests of a customer. A request that opens a turn
+is counted in the commit that opens the turn. Any other request takes a commit
+of its own, unless an earlier commit prefetched an allowance for it.
 """
 
 from typing import Any
@@ -22,21 +22,21 @@
 
 
 class Configuration(Protocol):
-    """What is asked of the configuration that this entry follows."""
+    """The part of the followed configuration that the limiter needs."""
 
     def manifest(self) -> manifest.Manifest:
-        """Returns the manifest applied here."""
+        """Returns the manifest applied on this node."""
 
     def lease_left(self) -> float:
-        """Returns the seconds left of the lease on the configuration."""
+        """Returns the seconds left of the configuration lease."""
 
 
 class RateLimiter:
-    """What customers may send, as this entry asks for it.
+    """Counts requests at the groups that hold their customers' limits.
 
     Attributes:
-        ahead: Requests that were counted for calls to come.
-        waiting: Requests that wait for their limit.
+        prefetched: Requests counted in advance and not used yet.
+        waiting: Requests that wait here until their limit admits them.
     """
 
     def __init__(
@@ -54,29 +54,29 @@
         self.waiting = 0
 
     def limit_of(self, customer: str) -> program_messages.RateLimit | None:
-        """Returns a customer's limit as this entry knows it; None for none."""
+        """Returns a customer's limit in the applied manifest, if any."""
         policies = self.configuration.manifest().policies
         held = policies.customers.get(customer)
         return limits.limit_of(held, policies) if held else None
 
     def shares_group(self, customer: str, program: str) -> bool:
-        """Tells whether a program's group counts its customer's requests."""
+        """Returns whether the program's group also holds the limit."""
         groups = self.control.groups
         return groups == 1 or placement.group_of(
             program, groups
         ) == placement.group_of(placement.limit_scope(customer), groups)
 
     def admit(self, customer: str, program: str, request: str) -> None:
-        """Has one request counted that opens no turn.
+        """Counts a request that opens no turn.
 
         Args:
-            customer: Whose it is; empty for nobody's.
-            program: Program that it belongs to; empty for none.
-            request: Its id.
+            customer: Customer of the request; empty for none.
+            program: Program of the request; empty for none.
+            request: Request id.
 
         Raises:
-            errors.LimitReached: The customer may not send it now.
-            errors.ControlUnavailable: Nobody could count it.
+            errors.LimitReached: The customer is over its limit.
+            errors.ControlUnavailable: The group that counts didn't answer.
         """
         limit = self.limit_of(customer)
         now = self.timers.now()
@@ -87,7 +87,7 @@
         try:
             self.ask(scope, count)
         except errors.OutcomeUnknown as error:
-            # Counted or not, the request itself did not run.
+            # The count may be committed, but the request has not run.
             raise errors.ControlUnavailable(
                 error.detail, retry_after=control_outage.RETRY_SECONDS
             ) from None
@@ -98,14 +98,14 @@
         )
 
     def ask(self, scope: str, request: Any) -> Any:
-        """Sends a request that is counted, and waits a little at a limit.
+        """Sends a request that is counted; retries after a short limit wait.
 
         Args:
-            scope: Of its group.
+            scope: Scope that determines the group.
             request: An OpenTurn or a CountCall.
 
         Raises:
-            errors.MintcleatError: The group's refusal; it did not run.
+            errors.MintcleatError: The group refused; nothing has run.
         """
         began = self.timers.now()
         while True:
--- a/src/mintcleat/roles/entry/response_relay.py
+++ b/src/mintcleat/roles/entry/response_relay.py
@@ -1,4 +1,4 @@
-"""Passes an upstream's answer to a routed request on to its caller."""
+"""Relays an upstream's response to the caller of a routed request."""
 
 from mintcleat.decisions import evidence
 from mintcleat.domain import errors
@@ -12,21 +12,24 @@
 
 
 class ResponseRelay:
-    """What the caller of one request has been given, over all attempts.
+    """Relays the responses of one request's attempts to its caller.
+
+    Times are monotonic, in seconds.
 
     Attributes:
-        upstream: The upstream of the attempt at hand.
-        turn: The turn that the request runs, if any.
-        status: Status of the answer.
-        request: Id of the request.
-        begun: Whether the head of an answer was passed on.
-        received: Whether the upstream's answer has come to its end.
-        kept: Whether the turn is on record with its content.
-        tokens: Tokens handed to the caller.
-        last_event_id: Id of the last event passed on.
-        first: Clock of the answer or its first event; 0 before.
-        gap: Longest pause between two events, in seconds.
-        last_event_at: Clock of the last event; 0 before the first.
+        upstream: Upstream of the current attempt.
+        turn: Turn that the request opened, if any.
+        status: HTTP status of the response.
+        request: Request id.
+        head_sent: Whether the head of a response was sent to the caller.
+        complete: Whether the upstream's response was received completely.
+        committed: Whether the turn is committed with its content.
+        tokens: Tokens sent to the caller.
+        last_event_id: Id of the last event sent to the caller.
+        first_at: Time of the response or its first event; 0 before.
+        max_gap: Longest pause between two events, in seconds.
+        last_event_at: Time of the last event; 0 before the first.
+        output: Data of the events, for the turn's record.
     """
 
     def __init__(
@@ -60,12 +63,12 @@
 
     @property
     def upstream_name(self) -> str:
-        """The upstream asked last; empty for none."""
+        """Name of the upstream of the last attempt; empty for none."""
         return self.upstream.upstream if self.upstream else ""
 
     @property
     def incarnation(self) -> str:
-        """The life of the upstream asked last; empty for none."""
+        """Incarnation of the last attempt's upstream; empty for none."""
         return self.upstream.incarnation if self.upstream else ""
 
     def relay(
@@ -75,17 +78,16 @@
         sent_at: float,
         may_retry: bool,
     ) -> None:
-        """Passes one attempt's answer on, to its end.
+        """Relays one attempt's response to its end.
 
         Args:
-            answer: The upstream's answer, its head read.
-            reply: The caller's side.
-            sent_at: Clock at which the request was sent.
-            may_retry: Whether a failed answer may be replaced by another
-                upstream's.
+            answer: Response of the upstream, with its head read.
+            reply: Response to the caller.
+            sent_at: Time at which the request was sent.
+            may_retry: Whether another upstream may replace a failed response.
 
         Raises:
-            errors.MintcleatError: The answer can't be passed on whole.
+            errors.MintcleatError: The response can't be relayed completely.
         """
         if answer.head.events:
             self._relay_events(answer, reply)
@@ -104,9 +106,14 @@
         self.status = head.status
         verdict = evidence.of_answer(head.status)
         if verdict is evidence.Evidence.FAILURE and may_retry:
-            raise errors.UpstreamFailed(f"The upstream said {head.status}.")
+            raise errors.UpstreamFailed(
+                f"The upstream answered with status {head.status}."
+            )
         if self.head_sent:
-            raise errors.UpstreamFailed("The stream did not go on.")
+            raise errors.UpstreamFailed(
+                "Expected the rest of the event stream from the upstream, "
+                f"received a plain response with status {head.status}."
+            )
         self.first_at = self.timers.now()
         self._mark_complete()
         if verdict is evidence.Evidence.SUCCESS:
@@ -135,10 +142,10 @@
         reply.end()
 
     def _mark_complete(self) -> None:
-        """Notes that nothing more is due from the upstream.
+        """Ends the request's count at the upstream.
 
-        What follows waits for control or for the caller. Counted on, it
-        would look like load on the upstream, and like its silence.
+        The rest waits for control or for the caller. It must not count as load
+        on the upstream, nor as its silence.
         """
         self.complete = True
         self.loads.ended(self.incarnation, self.request)
@@ -161,7 +168,10 @@
         reply.write(event.raw)
 
     def _commit_turn(self) -> None:
-        """Commits the turn before its answer ends; a later turn may follow."""
+        """Commits the turn before its response ends.
+
+        The caller may send the next turn as soon as it has the end.
+        """
         if self.turn is None or not self.route.retention:
             return
         output = b"".join(data + b"\n" for data in self.output)
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -1,8 +1,8 @@
-"""One routed request on its way: its turn, its attempts, its end.
+"""Runs one routed request: opens its turn, makes attempts, settles the turn.
 
-What may be sent again follows from the route alone: after an upstream's own
-word that it did not run the request, any request; after anything else, only
-one that may repeat or resume.
+Whether a failed attempt may be retried depends on the route alone. If the
+upstream states that it did not run the request, any request may be retried;
+otherwise only one whose route allows repeating or resuming.
 """
 
 import math
@@ -27,36 +27,39 @@
 from mintcleat.roles.entry import turn_client
 from mintcleat.roles.entry import upstream_loads
 
-# Upstreams that one request is offered to when each says that it does not
-# run it. More would only carry an overload from one to the next.
+# Upstreams to which one request is sent if each refuses to run it. More would
+# only spread an overload from one upstream to the next.
 MAX_OFFERS = 4
-# What was not sent to an upstream by then never will be in time; the caller is
-# told while it still listens.
-REFUSAL_MARGIN = 0.05
-# What an upstream is at is waited for a little beyond its time: the upstream's
-# own answer, or the last pieces of a stream, may be on their way, and the
-# caller knows best when it has waited long enough.
+# A request that has not been sent this long before its deadline can't be
+# answered in time; it is refused while the caller still waits.
+REFUSAL_MARGIN_SECONDS = 0.05
+# Extra time after the deadline of a request that an upstream is running. Its
+# response or the last events of a stream may be on the way, and the caller
+# decides itself when to stop waiting.
 GRACE_SECONDS = 0.15
-# A caller that hears of a lost quorum, or of no upstream, comes back after
-# about the time that a failover or a restart takes.
+# Retry delay for callers after a lost quorum or without an upstream: about the
+# duration of a failover or a restart.
 RETRY_SECONDS = 0.5
-# A program of a route that keeps no turns keeps its budget for so long.
+# Time for which the budget of a program is kept on a route without retention.
 BUDGET_RETENTION_SECONDS = 60.0
-# Urgency of the most urgent routes; 5 is what an upstream takes for a request
-# that says nothing.
+# Urgency sent to upstreams for priority 0, the most urgent, and its maximum. An
+# upstream assumes 5 for a request without one.
 BASE_URGENCY = 4
 MAX_URGENCY = 9
-# Silence of an upstream that is still usual, against the time in which a good
-# answer of the route comes. A loaded engine takes that time twice.
+# Silence after which an upstream counts as silent, as a multiple of the route's
+# target latency. A loaded engine takes up to twice that latency.
 SILENCE_FACTOR = 2.0
 
 
 class RequestTimeout(BaseException):
-    """The request's time is over; no handler on the way may go on."""
+    """The request timed out.
+
+    Derived from BaseException so that no error handler on the way catches it.
+    """
 
 
 class Configuration(directory_port.Directory, Protocol):
-    """The configuration as routed requests read it.
+    """The followed configuration, as routed requests need it.
 
     Attributes:
         registered: Upstreams that registered themselves.
@@ -65,26 +68,26 @@
     registered: directory_module.Directory
 
     def lease_left(self) -> float:
-        """Returns the seconds left of the lease on the configuration."""
+        """Returns the seconds left of the configuration lease."""
 
     def key_seconds(self) -> float:
-        """Returns for how long customers' keys may still be taken."""
+        """Returns the seconds for which keys may still be accepted."""
 
     def known_until(self) -> float:
-        """Returns the clock up to which no accepted push is unknown here."""
+        """Returns the time up to which all accepted pushes are applied."""
 
     def word_seconds(self) -> float:
-        """Returns within which time a node in touch hears of every push."""
+        """Returns the seconds in which a connected node gets every push."""
 
 
 class EntryContext(NamedTuple):
-    """What the requests of one entry share.
+    """Dependencies that all requests of one entry share.
 
     Attributes:
-        configuration: The configuration that this process follows.
-        upstreams: The way to upstreams.
-        loads: What is known of the upstreams.
-        turns: The way to the leaders that keep turns and budgets.
+        configuration: Configuration that this process follows.
+        upstreams: Client for requests to upstreams.
+        loads: Load and health of the upstreams.
+        turns: Client of the leaders that keep turns and budgets.
     """
 
     configuration: Configuration
@@ -96,15 +99,21 @@
 
 
 class RoutedRun:
-    """One request on its way.
+    """The run of one request.
+
+    Times are monotonic, in seconds.
 
     Attributes:
-        priority: Rank of the request: its customer's, or else its route's.
-        until: Clock at which its caller must have the answer.
-        attempts: Upstreams that may have run it.
-        offers: Upstreams that it was sent to at all.
-        tried: Lives of upstreams that it was sent to.
-        answer: What its caller has been given.
+        began: Time of the request's arrival.
+        priority: Priority of the customer, or else of the route; 0 is the most
+            urgent.
+        deadline_at: Time by which the caller must have the response.
+        timeout: The current timeout, which raises a RequestTimeout.
+        attempts: Number of upstreams that may have run it.
+        offers: Number of upstreams that it was sent to.
+        tried: Incarnations of the upstreams that it was sent to.
+        sent_at: Time at which it was last sent to an upstream.
+        relay: Relay of the responses to the caller.
     """
 
     def __init__(
@@ -146,15 +155,19 @@
 
     @property
     def now(self) -> float:
-        """The clock."""
+        """The current time."""
         return self.context.timers.now()
 
     def serve(self, reply: forwarding.CallerResponse) -> None:
-        """Answers the request within its time."""
+        """Serves the request within its deadline.
+
+        Raises:
+            errors.MintcleatError: The request was refused or failed.
+        """
         self._emit_received()
         outcome = "cut"
         try:
-            self._set_timeout(self.deadline_at - REFUSAL_MARGIN)
+            self._set_timeout(self.deadline_at - REFUSAL_MARGIN_SECONDS)
             self._open_turn()
             self._run_attempts(reply)
             outcome = "whole"
@@ -172,20 +185,23 @@
                 self._emit_ended(outcome)
 
     def _set_timeout(self, until: float) -> None:
-        """Ends the run at a time, in place of an earlier limit."""
+        """Ends the run at a time; replaces an earlier timeout."""
         if self.timeout is not None:
             self.timeout.cancel()
         left = max(0.0, until - self.now)
         self.timeout = eventlet.Timeout(left, RequestTimeout)
 
-    # --- The turn -------------------------------------------------------------
+    # --- Turn -----------------------------------------------------------------
 
     def _open_turn(self) -> None:
         program = self.call.program
-        keeps = self.route.retention > 0 and self.route.stream
-        if not program.program or not (keeps or program.budget):
+        retains = self.route.retention > 0 and self.route.stream
+        if not program.program or not (retains or program.budget):
             if program.previous:
-                raise errors.UnknownTurn("The route keeps no turns.")
+                raise errors.UnknownTurn(
+                    f"Route {self.match.name!r} doesn't retain turns, but the "
+                    f"request names the previous turn {program.previous!r}."
+                )
             self.context.turns.rate_limiter.admit(
                 self.call.customer, program.program, self.call.request
             )
@@ -201,15 +217,15 @@
         self.relay.turn = turn
 
     def _settle(self) -> None:
-        """Settles what was not kept; a turn that was kept stays so."""
-        answer = self.relay
-        if answer.turn is None or answer.committed:
+        """Settles the turn unless it is committed."""
+        relay = self.relay
+        if relay.turn is None or relay.committed:
             return
-        # The program's cache is where a turn began to run, not where a
-        # request for it went.
-        ran_at = answer.incarnation if answer.head_sent else ""
+        # The program's prefix cache is at the upstream that began to run the
+        # turn, not at one that the request was only sent to.
+        ran_at = relay.incarnation if relay.head_sent else ""
         ran = bool(self.attempts)
-        self.context.turns.settle(answer.turn, answer.tokens, ran_at, ran)
+        self.context.turns.settle(relay.turn, relay.tokens, ran_at, ran)
 
     # --- Attempts -------------------------------------------------------------
 
@@ -229,15 +245,15 @@
             except errors.MintcleatError as error:
                 self._attempt_failed(upstream, error)
                 self._check_retry(error)
-                if self.now >= self.deadline_at - REFUSAL_MARGIN:
+                if self.now >= self.deadline_at - REFUSAL_MARGIN_SECONDS:
                     raise self._timeout_error() from error
             except BaseException:
-                # The caller left, or its time is over.
+                # The caller disconnected, or the request timed out.
                 silent = self.now - max(self.sent_at, self.relay.last_event_at)
-                received = self.relay.complete
+                complete = self.relay.complete
                 self._record_evidence(
                     upstream,
-                    evidence.of_cancellation(received, silent, silence_timeout),
+                    evidence.of_cancellation(complete, silent, silence_timeout),
                 )
                 raise
             else:
@@ -274,11 +290,12 @@
         if found is None:
             if self.tried:
                 raise errors.Overloaded(
-                    f"No other upstream of {self.service_name} is left.",
+                    f"No upstream of service {self.service_name!r} is left; "
+                    f"{len(self.tried)} failed or refused the request.",
                     retry_after=RETRY_SECONDS,
                 )
             raise errors.NoUpstream(
-                f"No upstream of {self.service_name} takes new work.",
+                f"No upstream of service {self.service_name!r} takes new work.",
                 retry_after=RETRY_SECONDS,
             )
         upstream, choice, candidates = found
@@ -327,7 +344,7 @@
             answer.close()
 
     def _may_retry(self) -> bool:
-        """Tells whether the next attempt may be followed by another one."""
+        """Returns whether another attempt may follow the next one."""
         repeatable = self.route.repeat in ("any", "resume")
         return repeatable and self.attempts + 1 < self.route.attempts
 
@@ -353,23 +370,29 @@
         )
 
     def _check_retry(self, error: errors.MintcleatError) -> None:
-        """Lets the next attempt begin, or raises what the caller is told."""
+        """Returns if another attempt may follow; else raises the final error.
+
+        Raises:
+            errors.MintcleatError: The error for the caller.
+        """
         if error.outcome == errors.NOT_RUN:
             if self.offers < MAX_OFFERS:
                 return
             raise errors.Overloaded(
-                f"{self.offers} upstreams of {self.service_name} did not "
-                "take the request.",
+                f"{self.offers} upstreams of service {self.service_name!r} "
+                "refused the request.",
                 retry_after=RETRY_SECONDS,
             ) from error
         repeat = self.route.repeat
         if isinstance(error, errors.TurnUnrecorded):
-            # Another run would only repeat what the caller has been given.
+            # Another run would only repeat what the caller has received.
             raise errors.StreamClosed(error.detail) from error
         if self.relay.head_sent and not (
             repeat == "resume" and self.route.stream
         ):
-            raise errors.StreamClosed("The answer broke off.") from error
+            raise errors.StreamClosed(
+                f"The response broke off after it had begun: {error.detail}"
+            ) from error
         if repeat == "never" or self.attempts >= self.route.attempts:
             raise errors.OutcomeUnknown(
                 f"The request may have run: {error.detail}"
@@ -377,15 +400,19 @@
 
     def _timeout_error(self) -> errors.MintcleatError:
         if self.relay.head_sent:
-            return errors.StreamClosed("The request's time is over.")
+            return errors.StreamClosed(
+                "The deadline passed before the end of the response."
+            )
         if self.attempts:
-            return errors.OutcomeUnknown("No answer came in time.")
+            return errors.OutcomeUnknown(
+                "No upstream answered before the deadline."
+            )
         return errors.DeadlineUnmet(
-            "The request's time was over before it could be sent.",
+            "The deadline passed before the request could be sent.",
             retry_after=RETRY_SECONDS,
         )
 
-    # --- What is told ---------------------------------------------------------
+    # --- Events ---------------------------------------------------------------
 
     def _emit_received(self) -> None:
         configuration = self.context.configuration
@@ -418,19 +445,19 @@
         )
 
     def _emit_ended(self, outcome: str) -> None:
-        answer = self.relay
+        relay = self.relay
         self.context.events.emit(
             event_types.CallEnded(
                 self.call.request,
                 self.match.name,
                 self.call.program.program,
-                answer.upstream_name,
-                answer.status,
+                relay.upstream_name,
+                relay.status,
                 outcome,
                 self.offers,
-                round(max(0.0, answer.first_at - self.began), 4),
-                round(answer.max_gap, 4),
+                round(max(0.0, relay.first_at - self.began), 4),
+                round(relay.max_gap, 4),
                 round(self.now - self.began, 4),
-                answer.tokens,
+                relay.tokens,
             )
         )
--- a/src/mintcleat/roles/entry/service_calls.py
+++ b/src/mintcleat/roles/entry/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services at the entry."""
+"""Runs calls to plain services at the entry."""
 
 from typing import NamedTuple
 
@@ -20,11 +20,14 @@
 
 
 class RequestContext(NamedTuple):
-    """What is fixed for all attempts of one call.
+    """What all attempts of one call have in common.
 
     Attributes:
-        committed: The call takes an attempt from its group before it runs.
-        refusal: Why this entry takes no new work, if it takes none.
+        digest: Hash of the call's content.
+        deadline_at: Deadline by the entry's monotonic clock, in seconds.
+        is_recorded: Whether the program group grants the attempts and records
+            the answer.
+        refusal: Why this entry takes no new work, if it doesn't.
     """
 
     call: requests.ServiceCall
@@ -58,7 +61,7 @@
         """Returns the service's answer.
 
         Raises:
-            errors.MintcleatError: The refusal or failure to tell the caller.
+            errors.MintcleatError: The refusal or failure for the caller.
         """
         tried: set[identities.Incarnation] = set()
         sealed = 0
@@ -82,7 +85,7 @@
         tried: set[identities.Incarnation],
         sealed: int,
     ) -> requests.ServiceAnswer | attempts_module.Retry:
-        """Places and runs one attempt."""
+        """Places and runs one attempt; returns its answer or a retry."""
         try:
             placed = self._place(context, tried, sealed)
         except errors.MintcleatError as refusal:
@@ -105,7 +108,7 @@
         context: RequestContext,
         reply: program_messages.CallRecorded | program_messages.AttemptRunning,
     ) -> requests.ServiceAnswer | attempts_module.Retry:
-        """Returns the recorded answer, or follows the attempt under way."""
+        """Returns the recorded answer, or attaches to the running attempt."""
         if isinstance(reply, program_messages.AttemptRunning):
             return self._attach(context, reply)
         return recorded_answer(reply)
@@ -190,7 +193,7 @@
         if isinstance(reply, call_messages.AttemptFailed) and (
             attempts_module.never_delivered(reply.failure)
         ):
-            cause = errors.NoUpstream("The sidecar was just restarted.")
+            cause = errors.NoUpstream("The sidecar has restarted.")
             return attempts_module.Retry(attempt, cause)
         return self._answer(context, attempt, reply)
 
@@ -220,13 +223,18 @@
                 return self._attempt_failed(context, attempt, failure)
             case _:
                 raise errors.OutcomeUnknown(
-                    f"The sidecar sent an unexpected {type(reply).__name__}."
+                    "Expected the answer of an attempt from the sidecar, "
+                    f"received {type(reply).__name__}."
                 )
 
     def _attempt_failed(
         self, context: RequestContext, attempt: int, failure: errors.Failure
     ) -> attempts_module.Retry:
-        """An attempt that may have had its effect is never run again."""
+        """Returns a retry, unless the attempt may have taken effect.
+
+        Raises:
+            errors.MintcleatError: It may have run and is not idempotent.
+        """
         cause = errors.from_failure(failure)
         if failure.outcome == errors.NOT_RUN or context.idempotent:
             return attempts_module.Retry(attempt, cause)
@@ -276,7 +284,7 @@
                 return step
             case _:
                 raise errors.OutcomeUnknown(
-                    "The request is still under way at its upstream.",
+                    "The request is still running at its upstream.",
                     remedy="Send the same request with the same key to get "
                     "its answer.",
                     retry_after=1.0,
@@ -297,7 +305,7 @@
 
 
 def place_call(context: RequestContext) -> calls.Call:
-    """Returns the call as the placement decision sees it."""
+    """Returns the call as input of the placement decision."""
     return calls.Call(
         call_id=f"{context.name.scope}/{context.call.request}",
         program=context.name.program,
@@ -312,7 +320,7 @@
 def recorded_answer(
     reply: program_messages.CallRecorded,
 ) -> requests.ServiceAnswer:
-    """Returns the answer that an earlier send of this call got."""
+    """Returns the recorded answer of an earlier send of the call."""
     status, headers, body = msgpack.unpackb(reply.answer, raw=False)
     return requests.ServiceAnswer(
         status, headers, body, reply.attempt, replayed=True
--- a/src/mintcleat/roles/entry/turn_client.py
+++ b/src/mintcleat/roles/entry/turn_client.py
@@ -1,4 +1,4 @@
-"""Opens and settles the turns of routed programs at the control leaders."""
+"""Opens, commits and settles turns of routed programs at control leaders."""
 
 import collections
 from collections.abc import Mapping
@@ -14,19 +14,25 @@
 from mintcleat.programs import branches
 from mintcleat.roles.entry import rate_limiter
 
-# Recording a turn takes two hops and a sync, some 10 ms; after a leader's loss
-# about a second. A caller that waits longer is served sooner elsewhere.
+# Committing a turn takes two hops and a disk sync, about 10 ms, or about a
+# second after the loss of a leader. A caller that waits longer gets its answer
+# sooner by a retry at another entry.
 COMMIT_SECONDS = 2.0
-# Until a turn is settled its program misses the tokens that it did not use,
-# so this goes on for longer than any failover takes.
+# Unused tokens of a turn stay reserved until the turn is settled, so this is
+# longer than any failover.
 SETTLE_SECONDS = 30.0
-# Content of recent turns that this process keeps, in bytes. It saves the
-# leader from sending a conversation again for each of its turns.
+# Size of the cache of recent turns. Without it the leader would send the whole
+# conversation again for each turn.
 CHAIN_BYTES = 4 * 1024 * 1024
 
 
 class ChainCache:
-    """Content of turns that ended, by customer and id; bounded."""
+    """LRU cache of finished turns by customer and id.
+
+    Attributes:
+        limit: Maximum size of the content, in bytes.
+        size: Current size of the content, in bytes.
+    """
 
     def __init__(self, limit: int = CHAIN_BYTES) -> None:
         self.limit = limit
@@ -36,7 +42,7 @@
         ] = collections.OrderedDict()
 
     def put(self, kept: program_messages.KeptTurn) -> None:
-        """Takes a turn that surely ended whole."""
+        """Adds a turn whose commit is confirmed."""
         key = branches.ScopedId(kept.customer, kept.turn)
         if key in self.turns:
             self.turns.move_to_end(key)
@@ -49,14 +55,17 @@
 
 
 class OpenedTurn:
-    """A turn whose tokens are reserved.
+    """An open turn with reserved tokens.
 
     Attributes:
-        chain: Turns before it, oldest first.
-        hint: Life of the upstream where the program ran last; empty for none.
-        others: What other entries have running, by life of the upstream.
-        counted: When it was counted against its customer's limit; below 0 for
-            not at all.
+        retention: Seconds for which it can be continued.
+        chain: Preceding turns, oldest first.
+        hint: Incarnation of the upstream that ran the program last; empty for
+            none.
+        others: Requests that other entries have running, by incarnation of
+            the upstream.
+        counted_at: When it was counted against its customer's limit, by the
+            group's clock; negative if it was not counted.
     """
 
     def __init__(
@@ -76,7 +85,7 @@
         self.counted_at = counted_at
 
     def body(self) -> bytes:
-        """Returns what the upstream is to receive."""
+        """Returns the request body: preceding turns and the new input."""
         parts = []
         for kept in self.chain:
             parts.append(kept.input)
@@ -86,7 +95,7 @@
 
 
 class TurnClient:
-    """Asks the leader of each program's group."""
+    """Sends turn operations to the leader of each program's group."""
 
     def __init__(
         self,
@@ -108,18 +117,18 @@
         retention: float,
         running: program_messages.RunningCounts,
     ) -> OpenedTurn:
-        """Reserves a turn's tokens and returns what it goes on from.
+        """Opens a turn and reserves its tokens.
 
         Args:
-            call: The turn's request.
-            reserve: Most tokens that it can hand out.
+            call: Request of the turn.
+            reserve: Maximum number of tokens that it can generate.
             retention: Seconds for which it can be continued.
-            running: What this entry has running.
+            running: Running requests of this entry.
 
         Raises:
-            errors.BudgetExhausted: The budget does not hold this turn.
-            errors.UnknownTurn: There is no such previous turn.
-            errors.ControlUnavailable: No leader could be asked in time.
+            errors.BudgetExhausted: The rest of the budget is too small.
+            errors.UnknownTurn: The previous turn doesn't exist.
+            errors.ControlUnavailable: No leader answered in time.
         """
         program = call.program
         known = branches.chain_of(
@@ -155,7 +164,7 @@
         try:
             reply = self.rate_limiter.ask(program.program, request)
         except (errors.OutcomeUnknown, errors.Superseded) as error:
-            # The turn itself did not run, whatever was committed.
+            # The opening may be committed, but the turn has not run.
             self.cancel(call)
             raise errors.ControlUnavailable(
                 error.detail, retry_after=control_outage.RETRY_SECONDS
@@ -192,10 +201,10 @@
         output: bytes,
         running: program_messages.RunningCounts,
     ) -> None:
-        """Commits a turn that ended whole, so that others can go on from it.
+        """Commits a complete turn, so that later turns can continue it.
 
         Raises:
-            errors.MintcleatError: Nobody can tell whether it is on record.
+            errors.MintcleatError: The commit failed or its result is unknown.
         """
         call = turn.call
         program = call.program
@@ -232,14 +241,17 @@
     def settle(
         self, turn: OpenedTurn, tokens: int, upstream: str, ran: bool
     ) -> None:
-        """Replaces the reservation by what was handed out; returns at once.
+        """Settles an incomplete turn in the background.
+
+        The tokens used replace the reservation.
 
         Args:
             turn: The turn.
-            tokens: Tokens that were handed out.
-            upstream: Where it began to run; empty for nowhere.
-            ran: Whether it may have run; otherwise its customer gets the
-                request back.
+            tokens: Tokens that were sent to the caller.
+            upstream: Incarnation of the upstream that began to run it; empty
+                for none.
+            ran: Whether it may have run; otherwise the request is refunded to
+                the customer's limit.
         """
         counted_at = -1.0 if ran else turn.counted_at
         self.timers.spawn(
@@ -252,7 +264,7 @@
         )
 
     def cancel(self, call: routed_calls.RoutedCall) -> None:
-        """Takes back an opening that may or may not have been committed."""
+        """Cancels, in the background, an opening that may be committed."""
         self.timers.spawn(self._settle, call, 0, "", 0.0)
 
     def _settle(
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the upstreams that it sends routed requests to."""
+"""Load and health of the upstreams that an entry sends routed requests to."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -18,26 +18,27 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 
-# From this age on, what other entries told is not even worth a figure, in s.
+# Age from which on a load report of other entries counts as missing.
 MAX_REPORT_AGE_SECONDS = 60.0
 
 
 class Configuration(Protocol):
-    """The registered upstreams as this process follows them."""
+    """The part of the followed configuration that holds the upstreams."""
 
     registered: directory.Directory
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Calls back after each change."""
+        """Calls `callback` after each change."""
 
 
 class PlacementRequest(NamedTuple):
-    """A request that is to be placed.
+    """A request that needs an upstream.
 
     Attributes:
-        hint: Life of the upstream where its program ran last; empty for none.
-        affinity: Program or object that requests have in common.
-        repeatable: Whether it may run once more elsewhere.
+        hint: Incarnation of the upstream that ran its program last; empty for
+            none.
+        affinity: Key shared by requests that should go to one upstream.
+        repeatable: Whether another upstream may run it after a failure.
     """
 
     call: routed_calls.RoutedCall
@@ -47,17 +48,18 @@
 
 
 class UpstreamLoads:
-    """Counts running requests; leaves out upstreams that fail or keep silent.
+    """Tracks load and health of upstreams and chooses among them.
 
-    All that is learned is kept by the life of an upstream: what starts again
-    under the same id has no cache and owes nothing for the life before.
+    State is kept per incarnation: an upstream that restarts under the same id
+    has an empty cache and doesn't inherit penalties.
 
     Attributes:
-        entry: Name of this entry among all.
-        others: What other entries have running.
-        known: Registrations in force, by life.
-        by_service: Upstreams that take new work, by service and life.
-        gone: Called with each life that is over.
+        entry: Name of this entry.
+        policy: Decisions that are switched on.
+        others: Running requests of other entries.
+        on_removed: Called with each incarnation that is removed.
+        known: Current registrations by incarnation.
+        by_service: Upstreams that accept new work, by service and incarnation.
     """
 
     def __init__(
@@ -84,7 +86,7 @@
         configuration.subscribe(self.refresh)
 
     def refresh(self) -> None:
-        """Takes the directory as it is now."""
+        """Applies the current directory and reports the changes."""
         registered = self.configuration.registered
         entries = {
             item.incarnation: item for item in registered.entries.values()
@@ -112,7 +114,17 @@
     def choose(
         self, service: str, tried: set[str], request: PlacementRequest
     ) -> tuple[member_messages.Registration, load_balancing.Choice, int] | None:
-        """Returns an upstream, why, and among how many; None for none."""
+        """Chooses an upstream for a request.
+
+        Args:
+            service: Service that runs it.
+            tried: Incarnations that are excluded.
+            request: The request.
+
+        Returns:
+            The upstream, the choice and the number of candidates; None when
+            no upstream is left.
+        """
         now = self.timers.now()
         ready = self.by_service.get(service, {})
         policy = self.policy
@@ -147,11 +159,11 @@
     def began(
         self, incarnation: str, request: str, silence_timeout: float
     ) -> None:
-        """Counts a request that goes there.
+        """Counts a request that is sent to an upstream.
 
         Args:
-            incarnation: Where it goes.
-            request: Its id.
+            incarnation: Incarnation of the upstream.
+            request: Request id.
             silence_timeout: Seconds of silence after which the upstream
                 counts as silent.
         """
@@ -160,24 +172,24 @@
         )
 
     def arrived(self, incarnation: str) -> None:
-        """Notes that something came from it."""
+        """Records that data arrived from an upstream."""
         self.silence_detector.arrived(incarnation, self.timers.now())
 
     def running(self, incarnation: str) -> int:
-        """Returns how many requests of this process run there."""
+        """Returns the number of this entry's requests at an upstream."""
         return self.silence_detector.waiting(incarnation)
 
     def running_elsewhere(self, incarnation: str) -> int:
-        """Returns how many requests other entries have there; 0 if unknown."""
+        """Returns the number of other entries' requests; 0 if unknown."""
         return self._others_running(self.timers.now()).get(incarnation, 0)
 
     def others_age(self) -> float:
-        """Returns how old that knowledge is, in seconds; -1 without any."""
+        """Returns the age of the others' report in seconds; -1 for none."""
         age = self.timers.now() - self.others.received_at
         return round(age, 3) if age < MAX_REPORT_AGE_SECONDS else -1.0
 
     def report(self) -> program_messages.RunningCounts:
-        """Returns what this entry has running."""
+        """Returns this entry's running requests by upstream."""
         waits = self.silence_detector.pending_requests
         counts = {
             incarnation: len(requests)
@@ -186,24 +198,24 @@
         return program_messages.RunningCounts(self.entry, counts)
 
     def update_others(self, others: Mapping[str, int]) -> None:
-        """Takes what other entries have running."""
+        """Replaces the running requests of other entries."""
         self.others.update(others, self.timers.now())
 
     def ended(self, incarnation: str, request: str) -> None:
-        """Takes the request back out of the count; safe to repeat."""
+        """Removes a request from the count; idempotent."""
         self.silence_detector.ended(incarnation, request)
 
     def observe(self, incarnation: str, seconds: float) -> None:
-        """Takes the pause before a piece, or the time of a whole answer."""
+        """Records the gap before an event or the time of a whole response."""
         if incarnation in self.known:
             self.latencies.observe(incarnation, seconds, self.timers.now())
 
     def answered(self, incarnation: str, began: float) -> None:
-        """Notes a good answer to a request that was sent at `began`."""
+        """Records a good response to a request that was sent at `began`."""
         self.penalties.answered(incarnation, began, self.timers.now())
 
     def failed(self, upstream: member_messages.Registration) -> None:
-        """Notes that it failed a request, broke off or was not reached."""
+        """Records a failed request, a broken response or a failed connect."""
         if upstream.incarnation not in self.known:
             return
         now = self.timers.now()
--- a/testing/test_concurrent_path.py
+++ b/testing/test_concurrent_path.py
@@ -84,7 +84,7 @@
 
 
 def is_prefix(rig: path_rig.Rig, prompt: list[str]) -> bool:
-    """Tells whether a prompt is its program's past and one new message."""
+    """Returns whether a prompt is its program's past and one new message."""
     program, _, number = rig.sent[prompt[-1]]
     turns = rig.record.finals[program].turns[: number - 1]
     return prompt[:-1] == [text for turn in turns for text in turn.messages]
