--- a/testing/fakes/path_rig.py
+++ b/testing/fakes/path_rig.py
@@ -1,4 +1,4 @@
-"""Real entries, sidecars, control and stand-in upstreams in one process."""
+"""Real entries, sidecars and control with stand-in upstreams, in-process."""
 
 from collections.abc import Callable
 from typing import Any
@@ -30,7 +30,7 @@
 TIMERS = timers.EventletTimers()
 GROUPS = groups.group_names(2)
 ANY = "127.0.0.1:0"
-# Sidecars that die together; with two, a service can be without any.
+# Sidecars that die at the same time; two can leave a service without any.
 MAX_DEATHS = 2
 SERVICES = {
     "chat": manifest.Service(kind="model", model="model-1"),
@@ -39,7 +39,7 @@
 
 
 class NoMetrics:
-    """Counts nothing."""
+    """Discards all metrics."""
 
     def count(self, name: str, **labels: str) -> None:
         return None
@@ -52,44 +52,44 @@
 
 
 class Directory(service_rig.FakeDirectory):
-    """Lists the sidecars that are up."""
+    """Lists the running sidecars."""
 
     def __init__(self) -> None:
         super().__init__()
         self.value = manifest.Manifest(services=SERVICES)
-        self.sides: list[Side] = []
-        self.followers: list[Callable[[], None]] = []
+        self.sidecars: list[RestartableSidecar] = []
+        self.subscribers: list[Callable[[], None]] = []
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        self.followers.append(callback)
+        self.subscribers.append(callback)
 
-    def tell(self) -> None:
-        """Lets the entries hear of the change, some time after it."""
+    def notify(self) -> None:
+        """Notifies the entries of a change after a delay."""
         eventlet.sleep(0.05)
-        for follower in self.followers:
-            follower()
+        for subscriber in self.subscribers:
+            subscriber()
 
     def members(self, service: str) -> list[member_messages.Announcement]:
         return [
             side.sidecar.announcement()
-            for side in self.sides
+            for side in self.sidecars
             if side.service == service and side.sidecar is not None
         ]
 
 
-class WitnessEngine(engine.Engine):
-    """Notes each sequence when it is taken.
+class RecordingEngine(engine.Engine):
+    """Records each sequence that it receives.
 
-    What the engine gets is the program's history and one new message, by
-    which the call is known.
+    A prompt is the program's history and one new message, which identifies the
+    call.
 
     Attributes:
-        holds: Whether sequences are taken and never answered.
+        hangs: Whether sequences are recorded but never answered.
     """
 
     def __init__(self, rig: "Rig") -> None:
         self.rig = rig
-        self.holds = False
+        self.hangs = False
         super().__init__(ANY)
 
     def take(self, sequence: Any) -> None:
@@ -97,12 +97,12 @@
         taken = self.rig.record.now()
         run = histories.Run(program, key, turn, 0, taken, taken, 0)
         self.rig.record.runs.append(run)
-        if not self.holds:
+        if not self.hangs:
             super().take(sequence)
 
 
-class WitnessService(service.Service):
-    """Notes each execution; the request's body is the call's key."""
+class RecordingService(service.Service):
+    """Records each execution; the request's body is the call's key."""
 
     def __init__(self, record: histories.Record) -> None:
         self.record = record
@@ -116,8 +116,8 @@
         self.record.runs.append(run)
 
 
-class Side:
-    """A sidecar that can die and come back, beside its upstream."""
+class RestartableSidecar:
+    """A sidecar that can die and restart, with its upstream."""
 
     def __init__(self, rig: "Rig", name: str, service: str) -> None:
         self.rig = rig
@@ -126,10 +126,10 @@
         self.epoch = 0
         self.address = ANY
         if service == "chat":
-            self.upstream = WitnessEngine(rig)
+            self.upstream = RecordingEngine(rig)
             self.adapter = engine_http.HttpEngine(self.upstream.address)
         else:
-            self.upstream = WitnessService(rig.record)
+            self.upstream = RecordingService(rig.record)
             self.adapter = plain_http.HttpService(self.upstream.address)
         self.start()
 
@@ -150,7 +150,7 @@
         self.sidecar.start()
 
     def die(self) -> None:
-        """Loses its connections first, as a killed process does."""
+        """Closes the connections first, as the death of a process does."""
         self.streams.stop()
         if self.sidecar is not None:
             self.sidecar.stop(0.0)
@@ -158,7 +158,7 @@
 
 
 class Rig:
-    """The whole path, with faults on the way to control."""
+    """The whole path, with faults between its parts and control."""
 
     def __init__(self, seed: int) -> None:
         self.faults = program_rig.Faults(seed)
@@ -184,7 +184,9 @@
             ("d1", "desk"),
             ("d2", "desk"),
         ):
-            self.directory.sides.append(Side(self, name, service_name))
+            self.directory.sidecars.append(
+                RestartableSidecar(self, name, service_name)
+            )
         self.entries = [self.new_entry(f"entry-{n}") for n in (1, 2)]
 
     def client(self, hub: streams.TcpStreams) -> control_client.ControlClient:
@@ -204,30 +206,30 @@
             self.client(hub), self.directory, placing, hub, TIMERS, NoMetrics()
         )
 
-    def disturb(self, step: int) -> None:
-        """Moves leadership and lets sidecars die, in turn."""
+    def inject_fault(self, step: int) -> None:
+        """Alternates between a change of leader and deaths of sidecars."""
         if step % 2:
             hub = self.faults.random.choice(self.hubs)
             self.cluster.elect(hub.address)
             return
         count = self.faults.random.randint(1, MAX_DEATHS)
-        for side in self.faults.random.sample(self.directory.sides, count):
+        for side in self.faults.random.sample(self.directory.sidecars, count):
             side.die()
-        self.directory.tell()
-        for side in self.directory.sides:
+        self.directory.notify()
+        for side in self.directory.sidecars:
             if side.sidecar is None:
                 side.start()
-        self.directory.tell()
+        self.directory.notify()
 
     def stop(self) -> None:
-        for side in self.directory.sides:
+        for side in self.directory.sidecars:
             side.die()
             side.upstream.stop()
         for hub in [*self.hubs, *self.hubs_of_entries]:
             hub.stop()
 
     def turn(self, program: str, number: int, text: str) -> Any:
-        """Sends a turn through any entry; returns its refusal, or None."""
+        """Sends a turn through a random entry; returns its error, or None."""
         call = requests.ChatCall(
             request="",
             program=program,
@@ -271,7 +273,7 @@
         return self._recorded((program, key, 0, False, key), run)
 
     def read(self, program: str) -> None:
-        """Reads a program through any entry and records what it shows."""
+        """Reads a program through a random entry and records the view."""
         start = self.record.now()
         through = self.faults.random.choice(self.entries)
         try:
--- a/testing/fakes/platform_engine.py
+++ b/testing/fakes/platform_engine.py
@@ -1,7 +1,7 @@
 """A stand-in for an upstream of the platform, by its published protocol.
 
-It answers with what its script says for a path's last part, and counts what
-it began to run. Faults are scripts of their own.
+A script answers each request; faults are scripts too. The engine records the
+requests that began to run.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,11 @@
 
 
 class ReceivedRequest:
-    """One request that began to run."""
+    """A request that began to run.
+
+    Attributes:
+        dropped: Whether its connection failed while it ran.
+    """
 
     def __init__(self, head: h11.Request, body: bytes) -> None:
         self.method = head.method.decode()
@@ -34,7 +38,7 @@
 
 
 class Connection:
-    """One connection of a caller, for the scripts."""
+    """A caller's connection, with methods for the scripts."""
 
     def __init__(self, engine: "Engine", sock: Any) -> None:
         self.engine = engine
@@ -101,7 +105,12 @@
 
 
 def stream(count: int = 3, pause: float = 0.0) -> Script:
-    """Events from the one after Last-Event-Id on."""
+    """Returns a script that sends the events after Last-Event-Id.
+
+    Args:
+        count: Number of the last event.
+        pause: Seconds after each event.
+    """
 
     def run(connection: Connection, received: ReceivedRequest) -> bool:
         first = int(received.headers.get("last-event-id", "0")) + 1
@@ -119,11 +128,11 @@
     """One upstream.
 
     Attributes:
-        script: What it does with a request; True keeps the connection.
-        seen: Requests that began to run.
-        misdirected: Requests for another upstream at this address.
-        started: When it started, in ms since 1970; 0 for one that does not
-            tell.
+        script: Handles a request; returns whether the connection stays open.
+        received: Requests that began to run.
+        misdirected: Number of requests for another upstream at this address.
+        started: Start time in ms since 1970; 0 if it is not reported.
+        connections: Number of accepted connections.
     """
 
     def __init__(self, name: str, script: Script = whole) -> None:
--- a/testing/fakes/platform_system.py
+++ b/testing/fakes/platform_system.py
@@ -1,4 +1,4 @@
-"""One control and one entry of the platform's kind, in this process."""
+"""One hosted control process and one hosted entry, in this process."""
 
 import json
 import pathlib
@@ -33,7 +33,12 @@
 
 
 class Answer(NamedTuple):
-    """An HTTP answer; `whole` tells whether it ended as it said it would."""
+    """An HTTP response.
+
+    Attributes:
+        status: HTTP status; 0 if the connection closed before the head ended.
+        whole: Whether the body ended as its framing announced.
+    """
 
     status: int
     headers: dict[str, str]
@@ -93,7 +98,7 @@
 
 
 class EventRecorder(events.NullEventReporter):
-    """Keeps the events, for tests of what is told."""
+    """Records the emitted events."""
 
     def __init__(self) -> None:
         self.events: list[Any] = []
@@ -106,7 +111,7 @@
 
 
 class System:
-    """Control, entry and the engines that a test adds."""
+    """A control process, an entry and the engines that a test adds."""
 
     def __init__(self) -> None:
         self.folder = pathlib.Path(tempfile.mkdtemp())
@@ -144,7 +149,7 @@
             ANY,
             ANY,
             ANY,
-            # On a busy machine the operator of a test must not give up.
+            # Operators' requests must not time out on a busy machine.
             ANSWER_SECONDS,
         )
 
@@ -173,10 +178,10 @@
     ) -> platform_engine.Engine:
         engine = platform_engine.Engine(name, script)
         self.engines.append(engine)
-        self.beat(engine, service)
+        self.heartbeat(engine, service)
         return engine
 
-    def beat(
+    def heartbeat(
         self,
         engine: platform_engine.Engine,
         service: str,
@@ -192,7 +197,7 @@
         return self.ask_control("POST", f"/v1/Instances.Leave/{engine.name}")
 
     def settle(self) -> None:
-        """Waits until the entry follows what control has."""
+        """Waits until the entry has applied all changes at control."""
         machine_now = self.control.part.config.machine
         follower = self.entry.follower
         with eventlet.Timeout(ANSWER_SECONDS):
@@ -244,7 +249,7 @@
     headers: dict[str, str],
     body: bytes,
 ) -> Answer:
-    """Sends one request on a connection of its own."""
+    """Sends one request on a new connection and returns the response."""
     sock = connect(address)
     try:
         sock.sendall(request_bytes(method, target, headers, body))
@@ -255,7 +260,7 @@
 
 
 def read_answer(sock: Any) -> Answer:
-    """Reads one answer, with a length or in chunks."""
+    """Reads one response, with a length or in chunks."""
     data = b""
     while b"\r\n\r\n" not in data:
         block = sock.recv(65536)
@@ -300,7 +305,7 @@
 
 
 class HostedTest(testtools.TestCase):
-    """A test with a system of its own."""
+    """Base class of tests; each test has its own system."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -308,7 +313,7 @@
         self.addCleanup(self.system.stop)
 
     def ready(self, *engines: tuple) -> list[platform_engine.Engine]:
-        """Puts the plan and adds engines; (name, service, script)."""
+        """Puts a configuration and adds engines (name, service, script)."""
         self.assertEqual(200, self.system.put(configuration()).status)
         found = [self.system.add(*engine) for engine in engines]
         self.system.settle()
--- a/testing/test_authentication.py
+++ b/testing/test_authentication.py
@@ -1,4 +1,4 @@
-"""Customers and their keys, at the manifest and at the entry."""
+"""Customers and their API keys, in the manifest and at the entry."""
 
 import json
 
@@ -23,17 +23,17 @@
 
 
 class KeyTest(testtools.TestCase):
-    def test_digest_stands_for_a_key_and_opens_nothing(self) -> None:
+    def test_digest_represents_a_key_but_does_not_authenticate(self) -> None:
         held = keys.digest(KEY)
         self.assertEqual(held, keys.as_digest(held))
         self.assertNotEqual(held, keys.digest(held))
 
-    def test_only_one_field_of_sound_length_is_a_key(self) -> None:
+    def test_only_a_single_field_of_valid_length_is_a_key(self) -> None:
         self.assertEqual(keys.digest(KEY), keys.digest_from_fields([KEY]))
         for fields in ([], [""], [KEY, KEY], ["x" * 1_000_000]):
             self.assertEqual("", keys.digest_from_fields(fields))
 
-    def test_bytes_that_are_no_text_are_a_key_like_any(self) -> None:
+    def test_bytes_that_are_not_text_are_accepted_as_a_key(self) -> None:
         self.assertNotEqual("", keys.digest_from_fields(["\udcff\x00"]))
 
 
@@ -42,18 +42,18 @@
         error = self.assertRaises(errors.InvalidManifest, manifest.parse, text)
         return error.detail
 
-    def test_parsed_manifest_holds_digests_alone(self) -> None:
+    def test_parsed_manifest_contains_only_digests(self) -> None:
         parsed = manifest.parse(policies(farmers={"keys": [KEY]}))
         for text in (manifest.compact(parsed), manifest.render(parsed)):
             self.assertNotIn(KEY, text)
         self.assertEqual(parsed, manifest.parse(manifest.render(parsed)))
 
-    def test_diff_shows_no_key(self) -> None:
+    def test_diff_does_not_show_keys(self) -> None:
         before = manifest.parse(policies(farmers={"keys": []}))
         after = manifest.parse(policies(farmers={"keys": [KEY]}))
         self.assertNotIn(KEY, str(manifest.diff(before, after)))
 
-    def test_two_customers_with_one_key_are_told_by_its_digest(self) -> None:
+    def test_error_names_a_shared_key_by_its_digest(self) -> None:
         detail = self.faults(
             policies(farmers={"keys": [KEY]}, studios={"keys": [KEY]})
         )
@@ -61,14 +61,14 @@
         self.assertIn(keys.short_digest(keys.digest(KEY)), detail)
         self.assertNotIn(KEY, detail)
 
-    def test_key_beside_its_own_digest_is_one_key_twice(self) -> None:
+    def test_key_and_its_digest_count_as_duplicate_keys(self) -> None:
         self.faults(policies(farmers={"keys": [KEY, keys.digest(KEY)]}))
 
-    def test_empty_key_is_refused(self) -> None:
+    def test_empty_key_is_rejected(self) -> None:
         self.assertIn("keys[0]", self.faults(policies(farmers={"keys": [""]})))
 
-    def test_faults_never_show_what_may_be_a_key(self) -> None:
-        # An operator's error goes to terminals, tickets and logs.
+    def test_errors_never_show_values_that_may_be_keys(self) -> None:
+        # Operators' errors are copied to terminals, tickets and logs.
         for value in (KEY, [12345678], {"a": KEY}, [[KEY]]):
             detail = self.faults(policies(farmers={"keys": value}))
             self.assertNotIn(KEY, detail)
@@ -82,7 +82,13 @@
 
 
 class FakeConfiguration:
-    """A configuration whose clocks the test sets."""
+    """A configuration whose times the test sets.
+
+    Attributes:
+        keys_left: Seconds for which keys may still be accepted.
+        updates: Pairs of when an update from control arrived, and the time up
+            to which it covers accepted pushes.
+    """
 
     def __init__(
         self, held: manifest.Manifest, clock: waiting_clock.Clock
@@ -90,8 +96,7 @@
         self.held = held
         self.clock = clock
         self.keys_left = 3.0
-        # When word came from control, and up to when it told of pushes.
-        self.words = [(0.0, -0.2)]
+        self.updates = [(0.0, -0.2)]
 
     def manifest(self) -> manifest.Manifest:
         return self.held
@@ -106,15 +111,15 @@
         return 0.7
 
     def known_until(self) -> float:
-        return max(until for at, until in self.words if at <= self.clock.at)
+        return max(until for at, until in self.updates if at <= self.clock.at)
 
 
-def sent(key: str) -> str:
-    """Returns what the entry has of a key."""
+def digest_of(key: str) -> str:
+    """Returns the digest under which the entry gets a key."""
     return keys.digest_from_fields([key] if key else [])
 
 
-class IdentityTest(testtools.TestCase):
+class AuthenticatorTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         held = manifest.parse(policies(farmers={"keys": [KEY], "priority": 2}))
@@ -124,78 +129,88 @@
             self.configuration, self.clock, events.NullEventReporter()
         )
 
-    def test_key_tells_the_customer_and_its_rank(self) -> None:
-        found = self.authenticator.caller(sent(KEY), False)
+    def test_key_identifies_the_customer_and_its_priority(self) -> None:
+        found = self.authenticator.caller(digest_of(KEY), False)
         self.assertEqual(customers.Caller("farmers", 2), found)
 
-    def test_key_added_by_a_new_revision_opens_at_once(self) -> None:
-        self.assertIsNone(self.authenticator.caller(sent("new"), False))
+    def test_key_added_by_a_new_revision_is_accepted_at_once(self) -> None:
+        self.assertIsNone(self.authenticator.caller(digest_of("new"), False))
         self.configuration.held = manifest.parse(
             policies(farmers={"keys": ["new"]})
         )
-        found = self.authenticator.caller(sent("new"), False)
+        found = self.authenticator.caller(digest_of("new"), False)
         self.assertEqual("farmers", found.customer)
-        self.assertIsNone(self.authenticator.caller(sent(KEY), False))
+        self.assertIsNone(self.authenticator.caller(digest_of(KEY), False))
 
-    def test_entry_without_control_for_long_takes_no_key(self) -> None:
+    def test_entry_rejects_keys_after_long_control_outage(self) -> None:
         self.configuration.keys_left = 0.0
         error = self.assertRaises(
-            errors.LeaseExpired, self.authenticator.caller, sent(KEY), False
+            errors.LeaseExpired,
+            self.authenticator.caller,
+            digest_of(KEY),
+            False,
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
-    def test_public_route_needs_no_key_and_no_control(self) -> None:
+    def test_public_route_needs_neither_key_nor_control(self) -> None:
         self.configuration.keys_left = 0.0
         self.assertEqual(
-            customers.UNKNOWN_CALLER, self.authenticator.caller(sent(""), True)
+            customers.UNKNOWN_CALLER,
+            self.authenticator.caller(digest_of(""), True),
         )
 
-    def test_public_route_is_not_served_under_a_key_that_may_be_void(
+    def test_public_route_rejects_a_key_that_may_be_revoked(
         self,
     ) -> None:
         self.configuration.keys_left = 0.0
         self.assertRaises(
-            errors.LeaseExpired, self.authenticator.caller, sent(KEY), True
+            errors.LeaseExpired, self.authenticator.caller, digest_of(KEY), True
         )
 
-    def test_without_customers_everybody_is_served(self) -> None:
+    def test_every_caller_is_served_if_no_customers_are_configured(
+        self,
+    ) -> None:
         self.configuration.held = manifest.Manifest()
         self.configuration.keys_left = 0.0
         self.assertEqual(
             customers.UNKNOWN_CALLER,
-            self.authenticator.caller(sent("any"), False),
+            self.authenticator.caller(digest_of("any"), False),
         )
 
-    def test_unknown_key_is_sure_after_word_from_control(self) -> None:
-        # An entry that had not heard of a new key yet told its customer 401,
-        # and no caller tries again after that.
-        self.configuration.words.append((0.1, 0.05))
-        self.authenticator.await_updates("r1", sent("new"), 0.0)
+    def test_unknown_key_is_confirmed_after_an_update_from_control(
+        self,
+    ) -> None:
+        # Without the wait, an entry that has not received a new key yet answers
+        # 401, and callers don't retry after that.
+        self.configuration.updates.append((0.1, 0.05))
+        self.authenticator.await_updates("r1", digest_of("new"), 0.0)
         self.assertGreaterEqual(self.clock.now(), 0.1)
 
-    def test_unknown_key_at_an_entry_out_of_touch_is_no_401(self) -> None:
+    def test_unknown_key_at_a_partitioned_entry_is_not_a_401(self) -> None:
         error = self.assertRaises(
             errors.ControlUnavailable,
             self.authenticator.await_updates,
             "r1",
-            sent("new"),
+            digest_of("new"),
             self.clock.now() + 1.0,
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
-    def test_strangers_who_try_keys_wait_in_bounded_number(self) -> None:
+    def test_number_of_waiting_requests_with_unknown_keys_is_bounded(
+        self,
+    ) -> None:
         self.authenticator.unconfirmed = authentication.MAX_UNCONFIRMED
         began = self.clock.now()
         self.assertRaises(
             errors.ControlUnavailable,
             self.authenticator.await_updates,
             "r1",
-            sent("new"),
+            digest_of("new"),
             began + 1.0,
         )
         self.assertEqual(began, self.clock.now())
 
-    def test_look_up_costs_the_same_with_many_customers(self) -> None:
+    def test_lookup_uses_one_index_for_many_customers(self) -> None:
         many = {
             f"c{n}": manifest.Customer(keys=[keys.digest(str(n))])
             for n in range(4200)
--- a/testing/test_chat_call.py
+++ b/testing/test_chat_call.py
@@ -1,4 +1,4 @@
-"""What an entry derives from one chat call."""
+"""Placement input and token limits of a chat call."""
 
 import testtools
 from testtools import matchers
@@ -38,10 +38,11 @@
 
 class CallTest(testtools.TestCase):
     def test_later_turn_is_not_placed_as_a_first_call(self) -> None:
-        """A first call waits for room in memory; a later one has its place.
+        """Guards against placing later turns by the queueing time of new calls.
 
-        Every turn was placed by the wait of first calls, so started programs
-        left upstreams that would have taken them at once.
+        Only the first call of a program waits for memory at its upstream. If
+        later turns are placed by that wait too, running programs move away
+        from upstreams that would serve them at once.
         """
         self.assertThat(
             chat_call.place_call(context(), 1).attained,
@@ -50,13 +51,13 @@
         first = chat_call.place_call(context(context_tokens=0), 1)
         self.assertEqual(0, first.attained)
 
-    def test_answer_without_a_limit_gets_what_the_budget_leaves(self) -> None:
+    def test_completion_limit_defaults_to_the_rest_of_the_budget(self) -> None:
         bound = chat_call.prompt_bound(context().call)
         limit = chat_call.completion_limit(context(tokens_left=bound + 7))
         self.assertEqual(7, limit)
         plenty = chat_call.completion_limit(context(tokens_left=10**6))
         self.assertEqual(chat_call.DEFAULT_COMPLETION_TOKENS, plenty)
 
-    def test_prompt_bound_is_no_less_than_its_bytes(self) -> None:
+    def test_prompt_bound_is_at_least_its_size_in_bytes(self) -> None:
         call = context().call._replace(messages=["ä" * 50])
         self.assertThat(chat_call.prompt_bound(call), matchers.GreaterThan(99))
--- a/testing/test_concurrent_path.py
+++ b/testing/test_concurrent_path.py
@@ -1,4 +1,4 @@
-"""Concurrent runs of the whole path under faults, checked as histories."""
+"""Concurrent runs of the whole path with faults; checks their histories."""
 
 from collections.abc import Callable
 import itertools
@@ -31,15 +31,21 @@
             eventlet.sleep(0.05)
 
 
-def insist(rig: path_rig.Rig, send: Callable[[], Any], once: bool) -> bool:
-    """Resends until it ran; now and then through two entries at once."""
+def resend_until_run(
+    rig: path_rig.Rig, send: Callable[[], Any], once: bool
+) -> bool:
+    """Resends until the request ran; sometimes through two entries at once.
+
+    Returns False if it did not run, or may have run while `once` forbids a
+    resend.
+    """
     for _ in range(60):
-        twin = None
+        duplicate = None
         if rig.faults.happens(0.25):
-            twin = eventlet.spawn(send)
+            duplicate = eventlet.spawn(send)
         refusal = send()
-        if twin is not None:
-            twin.wait()
+        if duplicate is not None:
+            duplicate.wait()
         if refusal is None:
             return True
         if once and refusal.outcome == errors.UNKNOWN:
@@ -51,26 +57,26 @@
 def run_program(rig: path_rig.Rig, program: str) -> None:
     for number in range(1, TURNS + 1):
         text = user(f"{program} says {number}")
-        if not insist(
+        if not resend_until_run(
             rig, lambda n=number, t=text: rig.turn(program, n, t), once=False
         ):
             return
         key = f"{program}-act{number}"
-        insist(rig, lambda k=key: rig.act(program, k), once=True)
+        resend_until_run(rig, lambda k=key: rig.act(program, k), once=True)
         rig.read(program)
 
 
-def disturb_forever(rig: path_rig.Rig) -> None:
+def inject_faults(rig: path_rig.Rig) -> None:
     for step in itertools.count(1):
         eventlet.sleep(0.05)
-        rig.disturb(step)
+        rig.inject_fault(step)
 
 
 def check_engines(rig: path_rig.Rig) -> list[str]:
-    """Each prompt that an engine saw is its program's history so far."""
+    """Returns each run whose prompt is not its program's history so far."""
     wrong = []
     seen = 0
-    for side in rig.directory.sides:
+    for side in rig.directory.sidecars:
         if side.service != "chat":
             continue
         for run in side.upstream.runs:
@@ -84,26 +90,26 @@
 
 
 def is_prefix(rig: path_rig.Rig, prompt: list[str]) -> bool:
-    """Returns whether a prompt is its program's past and one new message."""
+    """Returns whether a prompt is its program's history and a new message."""
     program, _, number = rig.sent[prompt[-1]]
     turns = rig.record.finals[program].turns[: number - 1]
     return prompt[:-1] == [text for turn in turns for text in turn.messages]
 
 
-def test_turn_lost_with_all_its_sidecars_is_not_called_not_run() -> None:
+def test_outcome_is_unknown_when_all_sidecars_die_during_a_turn() -> None:
     """Both sidecars of a service die while an engine runs a turn.
 
-    The entry can't seal the attempt, settles it as unknown, and finds no
-    upstream for another. The turn was taken by an engine, so the caller must
-    hear that its outcome is unknown, not that it did not run.
+    The entry can't seal the attempt, settles it as unknown and finds no
+    upstream for another. An engine had the turn, so the caller must get the
+    outcome `unknown`, not `not_run`.
     """
     rig = path_rig.Rig(1)
     rig.faults.active = False
-    chats = [side for side in rig.directory.sides if side.service == "chat"]
+    chats = [side for side in rig.directory.sidecars if side.service == "chat"]
     try:
         create(rig, "p")
         for side in chats:
-            side.upstream.holds = True
+            side.upstream.hangs = True
         sending = eventlet.spawn(rig.turn, "p", 1, user("hello"))
         while not rig.record.runs:
             eventlet.sleep(0.01)
@@ -116,11 +122,11 @@
 
 
 @pytest.mark.parametrize("seed", [11, 12])
-def test_promises_hold_on_the_whole_path(seed: int) -> None:
-    """Control answers late, twice or never, and its leader moves.
+def test_guarantees_hold_on_the_whole_path_under_faults(seed: int) -> None:
+    """Control's answers are delayed, duplicated or lost; its leader changes.
 
-    Sidecars are killed and come back as another incarnation, while callers
-    resend by key, also through two entries at once.
+    Sidecars are killed and restart as a new incarnation, while callers resend
+    by key, sometimes through two entries at once.
     """
     rig = path_rig.Rig(seed)
     try:
@@ -129,10 +135,10 @@
         threads = [
             eventlet.spawn(run_program, rig, program) for program in PROGRAMS
         ]
-        disturber = eventlet.spawn(disturb_forever, rig)
+        injector = eventlet.spawn(inject_faults, rig)
         for thread in threads:
             thread.wait()
-        disturber.kill()
+        injector.kill()
         eventlet.sleep(0.3)
         rig.finish(list(PROGRAMS))
     finally:
--- a/testing/test_hosted.py
+++ b/testing/test_hosted.py
@@ -1,4 +1,4 @@
-"""The platform's protocol over real sockets, against stand-ins."""
+"""The platform's protocol over real sockets, with stand-in upstreams."""
 
 import functools
 
@@ -9,17 +9,18 @@
 from mintcleat.domain import events
 from mintcleat.roles.entry import routed_run
 
-# A caller's leaving is told by an event, not by a period, so it is noticed at
-# once; this bound is for a machine that is busy with other work.
-NOTICED = 5.0
-# The same for an answer that is due at a stated time.
-BUSY = 3.0
-# For tests of what is done after a request's time: longer than any stall.
-VERY_LATE = 20.0
+# Bound on the time until a caller's disconnect is noticed. It is noticed at
+# once, without polling; the bound allows for a busy machine.
+MAX_DISCONNECT_SECONDS = 5.0
+# Bound on the delay of an answer that is due at a stated time.
+MAX_DELAY_SECONDS = 3.0
+# Grace time for tests of responses after the deadline; longer than any stall of
+# the machine.
+LONG_GRACE_SECONDS = 20.0
 
 
 class RequestTest(platform_system.HostedTest):
-    def test_request_reaches_the_upstream_unchanged(self) -> None:
+    def test_request_is_forwarded_unchanged(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
         answer = self.system.call(
             "POST", "/unsafe/a?b=c", b"content", x_other="kept"
@@ -38,9 +39,9 @@
         left = int(received.headers["x-deadline-milliseconds"])
         self.assertTrue(2000 < left <= 3000, left)
 
-    def test_fields_that_are_ours_to_set_are_dropped(self) -> None:
-        # A caller that could name a hold, a pin or another request's memory
-        # would have an upstream act on it as if the system had asked.
+    def test_reserved_fields_from_callers_are_dropped(self) -> None:
+        # Upstreams trust these fields, so a caller could otherwise pin memory
+        # or read the cache of another request.
         (engine,) = self.ready(("e1", "desk"))
         fields = (
             "X-Hold", "X-Pin-Milliseconds", "X-Kv-Backup", "Kv-From",
@@ -49,19 +50,21 @@
         self.system.call("GET", "/safe/a", **dict.fromkeys(fields, "evil"))
         self.assertNotIn("evil", engine.received[0].headers.values())
 
-    def test_without_a_configuration_the_answer_is_come_back(self) -> None:
+    def test_request_without_a_configuration_gets_503_with_retry_after(
+        self,
+    ) -> None:
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(503, answer.status)
         self.assertIn("retry-after", answer.headers)
         self.assertNotIn("x-response-signature", answer.headers)
 
-    def test_unknown_route_is_told_once_the_configuration_is_known(
+    def test_unknown_route_gets_404_once_the_configuration_is_known(
         self,
     ) -> None:
         self.ready(("e1", "desk"))
         self.assertEqual(404, self.system.call("GET", "/other/a").status)
 
-    def test_request_without_an_id_is_refused(self) -> None:
+    def test_request_without_an_id_is_rejected(self) -> None:
         self.ready(("e1", "desk"))
         answer = platform_system.exchange(
             self.system.entry.listener.address,
@@ -72,12 +75,12 @@
         )
         self.assertEqual(400, answer.status)
 
-    def test_body_over_the_limit_is_refused(self) -> None:
+    def test_body_over_the_limit_is_rejected(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
         answer = self.system.call("POST", "/unsafe/a", b"x" * 100_001)
         self.assertEqual((413, []), (answer.status, engine.received))
 
-    def test_chunked_body_arrives_whole(self) -> None:
+    def test_chunked_body_is_forwarded_completely(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
         sock = platform_system.connect(self.system.entry.listener.address)
         self.addCleanup(sock.close)
@@ -89,7 +92,7 @@
         self.assertEqual(200, platform_system.read_answer(sock).status)
         self.assertEqual(b"abcde", engine.received[0].body)
 
-    def test_garbage_is_answered_and_the_listener_lives_on(self) -> None:
+    def test_malformed_request_gets_400_and_the_listener_goes_on(self) -> None:
         self.ready(("e1", "desk"))
         sock = platform_system.connect(self.system.entry.listener.address)
         self.addCleanup(sock.close)
@@ -115,7 +118,7 @@
 
 
 class RepeatTest(platform_system.HostedTest):
-    def test_safe_request_runs_again_after_a_break(self) -> None:
+    def test_safe_request_is_retried_after_a_reset(self) -> None:
         first, second = self.ready(
             ("e1", "desk", _reset), ("e2", "desk", _reset)
         )
@@ -125,9 +128,9 @@
         first.script = second.script = platform_engine.whole
         self.assertEqual(200, self.system.call("GET", "/safe/a").status)
 
-    def test_unsafe_request_that_may_have_run_is_not_sent_again(self) -> None:
-        # Two crews went out: the booking ran, its answer was lost, and the
-        # entry sent it to the next upstream.
+    def test_unsafe_request_that_may_have_run_is_not_retried(self) -> None:
+        # A retry would run the action twice if the first upstream ran it and
+        # only its answer was lost.
         first, second = self.ready(
             ("e1", "desk", _reset), ("e2", "desk", _reset)
         )
@@ -135,19 +138,19 @@
         self.assertIn(answer.status, (502, 504))
         self.assertEqual(1, len(first.received) + len(second.received))
 
-    def test_unsafe_request_that_did_not_run_goes_elsewhere(self) -> None:
+    def test_unsafe_request_that_did_not_run_is_retried_elsewhere(self) -> None:
         self.ready(("e1", "desk", _busy), ("e2", "desk"), ("e3", "desk", _busy))
         answer = self.system.call("POST", "/unsafe/a", b"book")
         self.assertEqual((200, b"e2 /unsafe/a"), (answer.status, answer.body))
 
-    def test_refusal_says_when_to_come_back(self) -> None:
+    def test_refusal_has_a_retry_after_field(self) -> None:
         self.ready(("e1", "desk", _busy))
         answer = self.system.call("POST", "/unsafe/a", b"book")
         self.assertEqual(503, answer.status)
         self.assertTrue(float(answer.headers["retry-after"]) > 0)
         self.assertNotIn("x-response-signature", answer.headers)
 
-    def test_other_upstream_at_the_address_runs_nothing(self) -> None:
+    def test_other_upstream_at_the_same_address_runs_nothing(self) -> None:
         self.ready(("e1", "desk"))
         other = self.system.engines[0]
         other.name = "e9"
@@ -155,7 +158,7 @@
         self.assertEqual((503, []), (answer.status, other.received))
         self.assertEqual(1, other.misdirected)
 
-    def test_answer_to_an_earlier_request_is_passed_over(self) -> None:
+    def test_response_to_an_earlier_request_is_skipped(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
         self.system.call("GET", "/safe/a", request="r1")
 
@@ -173,7 +176,7 @@
         answer = self.system.call("GET", "/safe/b", request="r2")
         self.assertEqual((200, b"e1 /safe/b"), (answer.status, answer.body))
 
-    def test_body_that_a_reset_cut_short_is_no_answer(self) -> None:
+    def test_body_truncated_by_a_reset_is_an_error(self) -> None:
         def cut(
             connection: platform_engine.Connection, received: object
         ) -> bool:
@@ -197,7 +200,7 @@
         answer = self.system.call("POST", "/unsafe/a")
         self.assertEqual((200, b"all of it"), (answer.status, answer.body))
 
-    def test_success_without_a_mark_is_not_passed_on(self) -> None:
+    def test_success_without_a_signature_is_not_relayed(self) -> None:
         def bare(
             connection: platform_engine.Connection, received: object
         ) -> bool:
@@ -208,29 +211,29 @@
         self.assertNotEqual(200, self.system.call("POST", "/unsafe/a").status)
 
 
-class StandingTest(platform_system.HostedTest):
-    """What an entry does about upstreams that fail or keep silent."""
+class UpstreamHealthTest(platform_system.HostedTest):
+    """Reaction of an entry to upstreams that fail or are silent."""
 
     def call(self, number: int) -> int:
-        """Sends a request that can't be repeated; returns the status."""
+        """Sends a request that must not be repeated; returns the status."""
         answer = self.system.call("POST", "/unsafe/a", request=f"r{number}")
         return answer.status
 
-    def test_unsafe_requests_keep_away_from_an_upstream_that_failed(
+    def test_unsafe_requests_avoid_an_upstream_that_failed(
         self,
     ) -> None:
-        # One upstream answers with failures of its own, at once: it always
-        # looks idle. Callers whose requests can't be repeated lose them there.
+        # An upstream that fails at once always looks idle and would attract
+        # the requests that can't be repeated.
         failing, sound = self.ready(("e1", "desk", _fail), ("e2", "desk"))
         answers = [self.call(number) for number in range(20)]
         self.assertEqual(1, answers.count(500))
         self.assertEqual((1, 19), (len(failing.received), len(sound.received)))
 
-    def test_request_that_had_too_little_time_speaks_against_nobody(
+    def test_timeout_of_a_short_deadline_is_not_a_failure_of_the_upstream(
         self,
     ) -> None:
-        # Callers that allow 0.4 s for work of a second come all day. Their
-        # upstreams answer at that time, and are well.
+        # A deadline of 0.4 s for a second of work times out at a healthy
+        # upstream, which answers with 504 at the deadline.
         late = functools.partial(_fail, status=b"504 Late")
         (engine,) = self.ready(("e1", "desk", late))
         self.assertEqual(504, self.call(0))
@@ -240,7 +243,7 @@
         self.assertEqual(500, self.call(1))
         self.assertEqual(["e1"], list(penalties.by_upstream))
 
-    def test_upstreams_word_that_time_is_over_is_passed_on(self) -> None:
+    def test_timeout_reported_by_the_upstream_is_relayed(self) -> None:
         late = functools.partial(_fail, status=b"504 Late")
         engines = self.ready(("e1", "desk", late), ("e2", "desk", late))
         answer = self.system.call("GET", "/safe/a")
@@ -249,10 +252,10 @@
         self.assertEqual(1, sum(len(engine.received) for engine in engines))
 
     def test_silent_upstream_gets_no_more_requests(self) -> None:
-        # One upstream stands still with a request; its connections stay open.
-        # Whatever else is sent there would wait for as long.
+        # An upstream hangs with a request and keeps its connections open.
+        # Further requests sent there would hang too.
         self.patch(routed_run, "SILENCE_FACTOR", 0.4)
-        silent, _ = self.ready(("e1", "desk", _silent), ("e2", "desk"))
+        silent, _ = self.ready(("e1", "desk", _keep_silent), ("e2", "desk"))
         for number in range(50):
             if silent.received:
                 break
@@ -266,20 +269,20 @@
         self.assertEqual(1, len(silent.received))
 
 
-class TimeTest(platform_system.HostedTest):
-    def test_request_that_was_sent_is_answered_at_its_time(self) -> None:
-        (engine,) = self.ready(("e1", "desk", _silent))
+class DeadlineTest(platform_system.HostedTest):
+    def test_sent_request_gets_504_at_its_deadline(self) -> None:
+        (engine,) = self.ready(("e1", "desk", _keep_silent))
         began = self.system.entry_common.timers.now()
         answer = self.system.call(
             "GET", "/safe/a", X_Deadline_Milliseconds="400"
         )
         took = self.system.entry_common.timers.now() - began
         self.assertEqual(504, answer.status)
-        self.assertTrue(0.4 <= took < 0.4 + BUSY, took)
+        self.assertTrue(0.4 <= took < 0.4 + MAX_DELAY_SECONDS, took)
         self.assertEqual(1, len(engine.received))
 
-    def test_answer_that_comes_at_the_last_moment_is_delivered(self) -> None:
-        self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
+    def test_response_within_the_grace_time_is_delivered(self) -> None:
+        self.patch(routed_run, "GRACE_SECONDS", LONG_GRACE_SECONDS)
 
         def late(
             connection: platform_engine.Connection, received: object
@@ -293,28 +296,28 @@
         )
         self.assertEqual(200, answer.status)
 
-    def test_stream_at_its_end_is_not_cut_at_the_deadline(self) -> None:
-        # The caller has 400 ms left; the last piece takes 20 ms longer. Cut
-        # just before its time, a stream that ran to its end was of no use.
-        self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
+    def test_stream_that_ends_within_the_grace_time_is_complete(self) -> None:
+        # The last event comes 20 ms after the deadline of 400 ms. Cut at the
+        # deadline, an almost complete stream would be useless to the caller.
+        self.patch(routed_run, "GRACE_SECONDS", LONG_GRACE_SECONDS)
         self.ready(("e1", "lm", platform_engine.stream(6, 0.07)))
         answer = self.system.call(
             "POST", "/resumable/a", b"x", X_Deadline_Milliseconds="400"
         )
         self.assertTrue(answer.whole)
 
-    def test_routes_time_out_ends_a_longer_deadline(self) -> None:
-        self.ready(("e1", "desk", _silent))
+    def test_route_timeout_caps_a_longer_deadline(self) -> None:
+        self.ready(("e1", "desk", _keep_silent))
         short = platform_system.route("safe", "safe", timeoutMs=300)
         self.system.put(platform_system.configuration(2, short))
         self.system.settle()
         began = self.system.entry_common.timers.now()
         self.assertEqual(504, self.system.call("GET", "/safe/a").status)
         took = self.system.entry_common.timers.now() - began
-        self.assertTrue(0.3 <= took < 0.3 + BUSY, took)
+        self.assertTrue(0.3 <= took < 0.3 + MAX_DELAY_SECONDS, took)
 
-    def test_what_no_upstream_took_is_not_run_also_when_late(self) -> None:
-        self.patch(routed_run, "GRACE_SECONDS", VERY_LATE)
+    def test_refused_request_is_not_run_even_after_its_deadline(self) -> None:
+        self.patch(routed_run, "GRACE_SECONDS", LONG_GRACE_SECONDS)
 
         def slow_busy(
             connection: platform_engine.Connection, received: object
@@ -330,15 +333,15 @@
 
 
 class StreamTest(platform_system.HostedTest):
-    def test_events_are_passed_on_as_they_come(self) -> None:
+    def test_events_are_relayed_unchanged(self) -> None:
         self.ready(("e1", "lm", platform_engine.stream(3)))
         answer = self.system.call("POST", "/resumable/a", b"in")
         expected = b"".join(platform_engine.event(n) for n in (1, 2, 3))
         self.assertEqual((expected, True), (answer.body, answer.whole))
 
-    def test_broken_stream_goes_on_elsewhere_without_a_gap(self) -> None:
-        # The upstream stops within an event. Passed on in pieces, the half
-        # event would come twice; each whole one must come once.
+    def test_broken_stream_resumes_elsewhere_without_a_gap(self) -> None:
+        # The upstream breaks off within an event. If parts of events were
+        # relayed, the caller would get this part twice.
         def breaks(
             connection: platform_engine.Connection, received: object
         ) -> bool:
@@ -366,7 +369,7 @@
             {None, "1"}, {one.headers.get("last-event-id") for one in received}
         )
 
-    def test_stream_that_can_not_go_on_does_not_look_complete(self) -> None:
+    def test_stream_that_can_not_resume_ends_incomplete(self) -> None:
         def breaks(
             connection: platform_engine.Connection, received: object
         ) -> bool:
@@ -385,7 +388,7 @@
         )
         self.assertEqual(1, len(first.received) + len(second.received))
 
-    def test_upstream_hears_at_once_that_the_caller_left(self) -> None:
+    def test_disconnect_of_the_caller_reaches_the_upstream(self) -> None:
         (engine,) = self.ready(("e1", "lm", platform_engine.stream(1000, 0.02)))
         sock = platform_system.connect(self.system.entry.listener.address)
         fields = {"Host": platform_system.HOST, "X-Request-Id": "r1"}
@@ -394,11 +397,13 @@
         )
         eventlet.sleep(0.2)
         sock.close()
-        with eventlet.Timeout(NOTICED):
+        with eventlet.Timeout(MAX_DISCONNECT_SECONDS):
             while not engine.received[0].dropped:
                 eventlet.sleep(0.01)
 
-    def test_caller_that_leaves_before_the_first_byte_is_noticed(self) -> None:
+    def test_disconnect_before_the_first_byte_reaches_the_upstream(
+        self,
+    ) -> None:
         gone = []
 
         def silent(
@@ -415,7 +420,7 @@
         )
         eventlet.sleep(0.1)
         sock.close()
-        with eventlet.Timeout(NOTICED):
+        with eventlet.Timeout(MAX_DISCONNECT_SECONDS):
             while not gone:
                 eventlet.sleep(0.01)
         self.assertEqual([b""], gone)
@@ -433,7 +438,7 @@
             **headers,
         )
 
-    def test_turn_gets_what_went_in_and_came_out_before(self) -> None:
+    def test_turn_gets_input_and_output_of_preceding_turns(self) -> None:
         (engine,) = self.ready(("e1", "lm", platform_engine.stream(2)))
         self.assertTrue(self.turn("t1", b"one;").whole)
         self.turn("t2", b"two;", X_Previous_Turn="t1")
@@ -445,7 +450,7 @@
             [received.body for received in engine.received],
         )  # fmt: skip
 
-    def test_chain_survives_an_entry_that_knows_nothing(self) -> None:
+    def test_chain_is_fetched_from_control_if_not_cached(self) -> None:
         (engine,) = self.ready(("e1", "lm", platform_engine.stream(1)))
         self.turn("t1", b"one;")
         self.system.entry.gateway.turns.chains.turns.clear()
@@ -457,16 +462,16 @@
         answer = self.turn("t2", b"two;", X_Previous_Turn="never")
         self.assertEqual((404, []), (answer.status, engine.received))
 
-    def test_budget_is_held_before_the_turn_runs(self) -> None:
-        # Three tokens an event: a turn of two events takes 6 of the 15, and
-        # may take 9.
+    def test_budget_is_reserved_before_the_turn_runs(self) -> None:
+        # At three tokens per event, a turn of two events uses 6 of the 15
+        # tokens and reserves 9.
         (engine,) = self.ready(("e1", "lm", platform_engine.stream(2)))
         self.assertEqual(200, self.turn("t1", b"a", X_Token_Budget="15").status)
         self.assertEqual(200, self.turn("t2", b"b", X_Token_Budget="15").status)
         self.assertEqual(402, self.turn("t3", b"c", X_Token_Budget="15").status)
         self.assertEqual(2, len(engine.received))
 
-    def test_turn_that_did_not_run_costs_nothing(self) -> None:
+    def test_turn_that_did_not_run_uses_no_budget(self) -> None:
         (engine,) = self.ready(("e1", "lm", _busy))
         for request in ("t1", "t2", "t3"):
             answer = self.turn(request, b"a", X_Token_Budget="9")
@@ -476,8 +481,8 @@
         self.assertEqual(200, self.turn("t4", b"a", X_Token_Budget="9").status)
 
 
-class ToldTest(platform_system.HostedTest):
-    def test_request_is_told_from_its_coming_to_its_end(self) -> None:
+class EventTest(platform_system.HostedTest):
+    def test_events_follow_a_request_from_arrival_to_end(self) -> None:
         self.ready(("e1", "lm", platform_engine.stream(2)))
         self.system.call(
             "POST", "/turns/a", b"x", "t1", X_Program_Id="p",
@@ -497,7 +502,7 @@
         (taken,) = self.system.reporter.of(events.CallTaken)
         self.assertTrue(0 <= taken.lease_left_s <= 1.2, taken)
 
-    def test_refusal_and_failed_attempt_are_told(self) -> None:
+    def test_refusal_and_failed_attempt_emit_events(self) -> None:
         self.ready(("e1", "desk", _reset))
         self.system.call("POST", "/unsafe/a", request="r7")
         (failed,) = self.system.reporter.of(events.AttemptFailed)
@@ -510,7 +515,7 @@
 
 
 class StopTest(platform_system.HostedTest):
-    def test_planned_stop_answers_what_is_under_way(self) -> None:
+    def test_planned_stop_completes_running_requests(self) -> None:
         self.ready(("e1", "lm", platform_engine.stream(20, 0.05)))
         found = []
         eventlet.spawn(
@@ -551,7 +556,9 @@
     return True
 
 
-def _silent(connection: platform_engine.Connection, received: object) -> bool:
+def _keep_silent(
+    connection: platform_engine.Connection, received: object
+) -> bool:
     connection.sock.recv(1)
     return False
 
--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -1,4 +1,4 @@
-"""Customers over real sockets: keys, owners of turns, what leaves the entry."""
+"""Customers over real sockets: keys, owners of turns, secrecy of keys."""
 
 import json
 from typing import Any
@@ -12,7 +12,7 @@
 
 FARMERS = "92cqf75rjvz48wuakn2f"
 STUDIOS = "timaj3nr26tta828m82t"
-LATER = "key-that-comes-later"
+ADDED = "key-that-comes-later"
 
 
 def customer(name: str, *held: str, **fields: Any) -> dict[str, Any]:
@@ -28,13 +28,18 @@
     }
 
 
-BOTH = (customer("farmers", FARMERS, priority=1), customer("studios", STUDIOS))
+CUSTOMERS = (
+    customer("farmers", FARMERS, priority=1),
+    customer("studios", STUDIOS),
+)
 
 
 class CustomersTest(platform_system.HostedTest):
     def setUp(self) -> None:
         super().setUp()
-        self.assertEqual(200, self.system.put(configuration(1, *BOTH)).status)
+        self.assertEqual(
+            200, self.system.put(configuration(1, *CUSTOMERS)).status
+        )
         self.desk = self.system.add("e1", "desk")
         self.lm = self.system.add("e2", "lm", platform_engine.stream())
         self.system.settle()
@@ -57,64 +62,67 @@
             **named,
         )
 
-    def test_upstream_is_told_the_customer_and_never_the_key(self) -> None:
+    def test_upstream_gets_the_customer_but_never_the_key(self) -> None:
         self.assertEqual(200, self.get(api_key=FARMERS).status)
         (received,) = self.desk.received
         self.assertEqual("farmers", received.headers["x-tenant"])
         self.assertNotIn(FARMERS, str(received.headers))
 
-    def test_customers_rank_goes_before_the_routes(self) -> None:
+    def test_priority_of_the_customer_overrides_that_of_the_route(self) -> None:
         self.get(api_key=FARMERS)
         self.get(api_key=STUDIOS)
         first, second = self.desk.received
         self.assertEqual("5", first.headers["x-request-urgency"])
         self.assertEqual("4", second.headers["x-request-urgency"])
 
-    def test_callers_own_word_on_who_it_is_counts_nothing(self) -> None:
-        # It would run under another customer's name.
+    def test_customer_claimed_by_the_caller_is_ignored(self) -> None:
+        # Otherwise a caller could run requests as another customer.
         self.get(api_key=FARMERS, x_tenant="studios")
         self.get("/open/a", x_tenant="studios")
         named, anonymous = self.desk.received
         self.assertEqual("farmers", named.headers["x-tenant"])
         self.assertNotIn("x-tenant", anonymous.headers)
 
-    def test_public_route_tells_who_it_is_where_a_key_does(self) -> None:
+    def test_public_route_forwards_the_customer_of_a_valid_key(self) -> None:
         self.assertEqual(200, self.get("/open/a", api_key=STUDIOS).status)
         self.assertEqual(200, self.get("/open/a", api_key="none").status)
         self.assertEqual("studios", self.desk.received[0].headers["x-tenant"])
         self.assertNotIn("x-tenant", self.desk.received[1].headers)
 
-    def test_unknown_key_and_none_are_401_and_run_nowhere(self) -> None:
+    def test_unknown_or_missing_key_gets_401_and_runs_nowhere(self) -> None:
         self.assertEqual(401, self.get(api_key="no-such-key").status)
         self.assertEqual(401, self.get().status)
         self.assertEqual([], self.desk.received)
 
-    def test_key_that_is_added_and_taken_away(self) -> None:
-        self.assertEqual(401, self.get(api_key=LATER).status)
-        more = customer("farmers", FARMERS, LATER)
-        self.system.put(configuration(2, more, BOTH[1]))
-        # Nothing waits for the entry here: it asks before it refuses.
-        self.assertEqual(200, self.get(api_key=LATER).status)
-        self.system.put(configuration(3, customer("farmers", LATER), BOTH[1]))
+    def test_key_is_accepted_once_added_and_rejected_once_removed(self) -> None:
+        self.assertEqual(401, self.get(api_key=ADDED).status)
+        more = customer("farmers", FARMERS, ADDED)
+        self.system.put(configuration(2, more, CUSTOMERS[1]))
+        # The test doesn't wait for the entry: it must get all updates before
+        # it rejects a key.
+        self.assertEqual(200, self.get(api_key=ADDED).status)
+        self.system.put(
+            configuration(3, customer("farmers", ADDED), CUSTOMERS[1])
+        )
         self.system.settle()
         self.assertEqual(401, self.get(api_key=FARMERS).status)
-        self.assertEqual(200, self.get(api_key=LATER).status)
+        self.assertEqual(200, self.get(api_key=ADDED).status)
 
-    def test_customer_without_any_key_left_is_refused(self) -> None:
+    def test_key_of_a_customer_without_keys_left_gets_401(self) -> None:
         self.system.put(
             configuration(2, customer("farmers"), customer("studios"))
         )
         self.system.settle()
         self.assertEqual(401, self.get(api_key=FARMERS).status)
 
-    def test_two_customers_with_one_key_are_no_configuration(self) -> None:
+    def test_configuration_with_a_shared_key_is_rejected(self) -> None:
         shared = customer("studios", FARMERS)
-        answer = self.system.put(configuration(2, BOTH[0], shared))
+        answer = self.system.put(configuration(2, CUSTOMERS[0], shared))
         self.assertEqual(400, answer.status)
         self.assertNotIn(FARMERS.encode(), answer.body)
 
-    def test_another_customers_turn_is_one_that_never_was(self) -> None:
-        # The stranger was handed the farmers' conversation.
+    def test_turn_of_another_customer_appears_unknown(self) -> None:
+        # Otherwise one customer could read the conversation of another.
         self.assertEqual(200, self.turn("t1", FARMERS).status)
         self.assertEqual(404, self.turn("t2", STUDIOS, "t1").status)
         self.assertEqual(200, self.turn("t3", FARMERS, "t1").status)
@@ -123,40 +131,44 @@
         )
         self.assertEqual(2, len(self.lm.received))
 
-    def test_no_line_that_a_run_with_keys_wrote_shows_one(self) -> None:
+    def test_events_and_audit_trail_never_contain_keys(self) -> None:
         self.turn("t1", FARMERS)
         self.turn("t2", "no-such-key-at-all")
         self.turn("t3", STUDIOS, "t1")
-        self.system.put(configuration(2, BOTH[0], customer("studios", FARMERS)))
-        self.system.put(configuration(2, customer("farmers", LATER)))
+        self.system.put(
+            configuration(2, CUSTOMERS[0], customer("studios", FARMERS))
+        )
+        self.system.put(configuration(2, customer("farmers", ADDED)))
         written = "\n".join(
             json.dumps(event._asdict(), default=str)
             for event in self.system.reporter.events
         )
-        for key in (FARMERS, STUDIOS, LATER, "no-such-key-at-all"):
+        for key in (FARMERS, STUDIOS, ADDED, "no-such-key-at-all"):
             self.assertNotIn(key, written)
         shown = keys.short_digest(keys.digest("no-such-key-at-all"))
         self.assertIn(shown, written)
         trail = self.system.control.part.config.machine.trail.state()
-        self.assertNotIn(LATER, str(trail))
+        self.assertNotIn(ADDED, str(trail))
 
-    def test_disk_of_an_entry_or_a_section_holds_digests_alone(self) -> None:
+    def test_stored_sections_contain_only_digests(self) -> None:
         sections = self.system.control.part.config.machine.document.sections
         self.assertNotIn(FARMERS, str(sections))
         self.assertIn(keys.digest(FARMERS), str(sections))
 
-    def test_odd_keys_cost_a_401_and_nothing_else(self) -> None:
+    def test_malformed_keys_get_401(self) -> None:
         for key in ("x" * 9000, "\xff\xfe", "a b", "'; --"):
             self.assertEqual(401, self.get(api_key=key).status)
         self.assertEqual(200, self.get(api_key=FARMERS).status)
 
-    def test_key_of_a_megabyte_is_over_the_limits(self) -> None:
+    def test_key_of_a_megabyte_exceeds_the_limits(self) -> None:
         answer = self.get(api_key="x" * 1_000_000)
         self.assertIn(answer.status, (0, 431))
         self.assertEqual(200, self.get(api_key=FARMERS).status)
 
-    def test_entry_without_control_serves_for_a_bounded_time(self) -> None:
-        # A key that was taken away meanwhile must not work here for ever.
+    def test_entry_without_control_accepts_keys_for_a_bounded_time(
+        self,
+    ) -> None:
+        # A key that is revoked meanwhile must not work here indefinitely.
         follower = self.system.entry.follower
         follower.times = follower.times._replace(key_grace=0.5)
         self.system.control_common.streams.stop()
@@ -169,11 +181,11 @@
         self.assertIn("retry-after", refused.headers)
         self.assertEqual(200, self.get("/open/a").status)
 
-    def test_entry_that_is_cut_off_is_not_ready_and_refuses_turns_soon(
+    def test_partitioned_entry_is_not_ready_and_refuses_turns_soon(
         self,
     ) -> None:
-        # The balancer went on sending callers to an entry that could record
-        # no turn, and each was held there for two seconds.
+        # A ready entry that can't record turns would still get callers from
+        # the balancer and hold each for two seconds.
         follower = self.system.entry.follower
         self.assertTrue(self.system.entry.gateway.ready())
         self.system.control_common.streams.stop()
@@ -185,24 +197,23 @@
         self.assertEqual(503, self.turn("t1", FARMERS).status)
         (refused,) = self.system.reporter.of(events.CallRefused)
         self.assertLess(refused.after_s, 1.0)
-        # A caller that kept its connection would be refused on it again.
+        # A caller that keeps its connection would be refused on it again.
         answer = self.get(api_key=FARMERS)
         self.assertEqual("close", answer.headers["connection"])
 
-    def test_first_answer_without_a_lease_closes_its_connection(self) -> None:
-        # The entry looked at its lease ten times a second. An answer between
-        # the loss and the next look kept its caller, who was refused again.
+    def test_first_response_without_a_lease_closes_its_connection(self) -> None:
+        # If the entry only polls its lease, a response between the loss and the
+        # next poll keeps the connection, and the caller is refused again.
         follower = self.system.entry.follower
         for held in (True, False) * 20:
             follower.has_lease = lambda held=held: held
             headers = self.get(api_key=FARMERS).headers
             self.assertEqual(held, "connection" not in headers)
 
-    def test_call_at_a_start_is_held_until_the_lease_has_come(self) -> None:
-        # After a loss of all power a leader that was just elected sent the
-        # configuration some hundredths of a second before a lease on it. Calls
-        # that were held for it were refused in between and told to come back
-        # half a second later.
+    def test_call_at_startup_is_held_until_the_lease_arrives(self) -> None:
+        # A newly elected leader sends the configuration some hundredths of a
+        # second before a lease. If held calls are released in between, they
+        # are refused with a retry delay of half a second.
         entry = self.system.entry
         follower, gateway = entry.follower, entry.gateway
         now = follower.timers.now()
@@ -215,7 +226,7 @@
         follower.key_seconds = granted
         self.assertEqual(200, self.get(api_key=FARMERS).status)
 
-    def test_refusal_tells_the_customer_in_its_line(self) -> None:
+    def test_refusal_event_names_the_customer(self) -> None:
         self.turn("t1", FARMERS, "no-such-turn")
         (refused,) = self.system.reporter.of(events.CallRefused)
         self.assertEqual("farmers", refused.customer)
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -1,4 +1,4 @@
-"""Engines that start again under their id, over real sockets."""
+"""Engines that restart under the same id, over real sockets."""
 
 import json
 import time
@@ -8,8 +8,8 @@
 from fakes import platform_system
 from mintcleat.domain import events
 
-FIRST = 1_764_000_000_000
-SECOND = FIRST + 2_500
+FIRST_START = 1_764_000_000_000
+SECOND_START = FIRST_START + 2_500
 
 
 def lose_answer(
@@ -20,7 +20,7 @@
     return False
 
 
-class LivesTest(platform_system.HostedTest):
+class RestartTest(platform_system.HostedTest):
     def setUp(self) -> None:
         super().setUp()
         self.assertEqual(
@@ -33,20 +33,20 @@
         sequence: int,
         script: platform_engine.Script = platform_engine.whole,
     ) -> platform_engine.Engine:
-        """Starts a life of e1 and has it registered everywhere."""
+        """Starts an incarnation of e1 and waits until the entry has it."""
         engine = platform_engine.Engine("e1", script)
         engine.started = started
         self.system.engines.append(engine)
-        self.beat(engine, sequence)
+        self.heartbeat(engine, sequence)
         return engine
 
-    def beat(
+    def heartbeat(
         self,
         engine: platform_engine.Engine,
         sequence: int,
         state: str = "ready",
     ) -> None:
-        answer = self.system.beat(engine, "desk", state, sequence)
+        answer = self.system.heartbeat(engine, "desk", state, sequence)
         self.assertEqual(200, answer.status)
         self.system.settle()
 
@@ -55,41 +55,43 @@
         path = f"/v1/Instances.Heartbeat/{upstream}"
         return self.system.ask_control("POST", path, data).status
 
-    def test_request_after_the_restart_is_served_at_once(self) -> None:
-        """e1 crashes behind 900 heartbeats and starts again under its id.
+    def test_request_after_a_restart_is_served_at_once(self) -> None:
+        """e1 crashes after 900 heartbeats and restarts under the same id.
 
-        Its count begins anew. Where the count alone tells, its callers get
-        503 until it has caught up.
+        Its heartbeat sequence starts at 1 again. If only the sequence decided,
+        its heartbeats would be ignored up to 900 and its callers would get 503.
         """
-        first = self.start(FIRST, 900)
+        first = self.start(FIRST_START, 900)
         self.system.call("GET", "/safe/a", request="r1")
         first.stop()
         began = time.monotonic()
-        second = self.start(SECOND, 1)
+        second = self.start(SECOND_START, 1)
         answer = self.system.call("GET", "/safe/a", request="r2")
         self.assertEqual((200, 1), (answer.status, len(second.received)))
-        # One heartbeat, one commit and one change sent to the entry.
+        # It takes one heartbeat, one commit and one update to the entry.
         self.assertTrue(time.monotonic() - began < 5.0)
 
-    def test_nothing_is_inherited_from_the_life_before(self) -> None:
-        first = self.start(FIRST, 900, lose_answer)
+    def test_new_incarnation_inherits_no_penalties(self) -> None:
+        first = self.start(FIRST_START, 900, lose_answer)
         for number in range(3):
             self.system.call("POST", "/unsafe/a", request=f"r{number}")
         first.stop()
-        self.start(SECOND, 1)
+        self.start(SECOND_START, 1)
         loads = self.system.entry.gateway.loads
         now = self.system.entry_common.timers.now()
-        incarnation = f"e1#{SECOND}"
+        incarnation = f"e1#{SECOND_START}"
         self.assertEqual({incarnation}, set(loads.known))
         self.assertTrue(loads.penalties.allows(incarnation, False, now))
         self.assertEqual({}, loads.penalties.by_upstream)
         self.assertEqual({}, loads.latencies.by_upstream)
 
-    def test_failure_of_the_old_life_is_not_held_against_the_new(self) -> None:
-        """A request is under way when the engine starts again elsewhere.
+    def test_failure_of_the_old_incarnation_does_not_count_for_the_new(
+        self,
+    ) -> None:
+        """The engine restarts elsewhere while it runs a request.
 
-        Its answer never comes. That says nothing of the new process, and the
-        caller is told that it may have run: nobody else may run it.
+        The lost answer must not count against the new process. The request may
+        have run, so nothing else may run it and the caller must get that.
         """
         holding: list[platform_engine.Engine] = []
 
@@ -97,11 +99,11 @@
             connection: platform_engine.Connection,
             received: platform_engine.ReceivedRequest,
         ) -> bool:
-            holding.append(self.start(SECOND, 1))
+            holding.append(self.start(SECOND_START, 1))
             connection.reset()
             return False
 
-        self.start(FIRST, 900, restart)
+        self.start(FIRST_START, 900, restart)
         answer = self.system.call("POST", "/unsafe/a", request="r1")
         self.assertEqual(504, answer.status)
         self.assertEqual([], holding[0].received)
@@ -109,24 +111,24 @@
         self.assertEqual([], avoided)
 
     def test_drain_of_the_old_process_does_not_end_the_new_one(self) -> None:
-        """An old process behind a cut and a new one bear the same id."""
-        old = self.start(FIRST, 900)
-        new = self.start(SECOND, 1)
-        self.beat(old, 901, "draining")
+        """A partitioned old process and a new one have the same id."""
+        old = self.start(FIRST_START, 900)
+        new = self.start(SECOND_START, 1)
+        self.heartbeat(old, 901, "draining")
         self.assertEqual(
             200,
             self.system.ask_control(
                 "POST",
                 "/v1/Instances.Leave/e1",
-                json.dumps({"born": FIRST}).encode(),
+                json.dumps({"born": FIRST_START}).encode(),
             ).status,
         )
         self.system.settle()
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual((200, 1), (answer.status, len(new.received)))
 
-    def test_what_others_write_changes_nothing_and_is_told(self) -> None:
-        engine = self.start(FIRST, 1)
+    def test_invalid_heartbeats_change_nothing_and_emit_events(self) -> None:
+        engine = self.start(FIRST_START, 1)
         whole = engine.heartbeat("desk", 50)
         forged = [
             b"\xff\xfe",
--- a/testing/test_hosted_operators.py
+++ b/testing/test_hosted_operators.py
@@ -1,4 +1,4 @@
-"""Operators' and upstreams' calls in the platform's protocol."""
+"""Operators' and upstreams' requests in the platform's protocol."""
 
 import json
 
@@ -9,13 +9,13 @@
     def get(self) -> platform_system.Answer:
         return self.system.ask_control("GET", "/v1/Configuration.Get")
 
-    def test_highest_version_wins_and_is_read_back_as_sent(self) -> None:
+    def test_highest_version_wins_and_is_returned_as_sent(self) -> None:
         for version in (5, 3, 9, 9, 8):
             configuration = platform_system.configuration(version)
             self.assertEqual(200, self.system.put(configuration).status)
         self.assertEqual(platform_system.configuration(9), self.get().json())
 
-    def test_other_content_under_the_version_held_changes_nothing(
+    def test_other_content_under_the_same_version_changes_nothing(
         self,
     ) -> None:
         self.system.put(platform_system.configuration(4))
@@ -25,7 +25,7 @@
         self.assertEqual(200, self.system.put(other).status)
         self.assertEqual(platform_system.configuration(4), self.get().json())
 
-    def test_invalid_configurations_are_refused(self) -> None:
+    def test_invalid_configurations_are_rejected(self) -> None:
         self.system.put(platform_system.configuration(4))
         whole = json.dumps(platform_system.configuration(5)).encode()
         route = platform_system.route
@@ -51,17 +51,17 @@
             self.assertEqual(400, self.system.put(configuration).status, name)
         self.assertEqual(platform_system.configuration(4), self.get().json())
 
-    def test_unknown_fields_are_let_be(self) -> None:
+    def test_unknown_fields_are_preserved(self) -> None:
         configuration = platform_system.configuration(4)
         configuration["later"] = {"any": 1}
         configuration["routes"][0]["later"] = 1
         self.assertEqual(200, self.system.put(configuration).status)
         self.assertEqual(configuration, self.get().json())
 
-    def test_nothing_to_read_back_is_not_an_empty_configuration(self) -> None:
+    def test_missing_configuration_gets_503(self) -> None:
         self.assertEqual(503, self.get().status)
 
-    def test_changed_route_is_in_force_at_the_entry(self) -> None:
+    def test_changed_route_takes_effect_at_the_entry(self) -> None:
         self.ready(("e1", "desk"), ("e2", "lm"))
         moved = platform_system.route("safe", "safe", service="lm")
         self.system.put(platform_system.configuration(2, moved))
@@ -69,48 +69,50 @@
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(b"e2 /safe/a", answer.body)
 
-    def test_draining_upstream_gets_nothing_once_that_is_acknowledged(
+    def test_draining_upstream_gets_no_requests_once_acknowledged(
         self,
     ) -> None:
         first, second = self.ready(("e1", "desk"), ("e2", "desk"))
-        answer = self.system.beat(first, "desk", "draining")
+        answer = self.system.heartbeat(first, "desk", "draining")
         self.assertEqual(200, answer.status)
         self.system.settle()
         for number in range(10):
             self.system.call("GET", "/safe/a", request=f"r{number}")
         self.assertEqual((0, 10), (len(first.received), len(second.received)))
 
-    def test_late_heartbeat_does_not_revive_an_upstream_that_left(
+    def test_late_heartbeat_does_not_restore_a_deregistered_upstream(
         self,
     ) -> None:
         first, _ = self.ready(("e1", "desk"), ("e2", "desk"))
         self.system.leave(first)
-        self.assertEqual(200, self.system.beat(first, "desk").status)
+        self.assertEqual(200, self.system.heartbeat(first, "desk").status)
         self.system.settle()
         self.assertNotIn("e1", self.system.entry.follower.registered.entries)
 
     def test_late_heartbeat_does_not_end_a_drain(self) -> None:
         first, _ = self.ready(("e1", "desk"), ("e2", "desk"))
-        self.system.beat(first, "desk", "draining", sequence=90)
-        self.system.beat(first, "desk", "ready", sequence=80)
+        self.system.heartbeat(first, "desk", "draining", sequence=90)
+        self.system.heartbeat(first, "desk", "ready", sequence=80)
         self.system.settle()
         entries = self.system.entry.follower.registered.entries
         self.assertEqual("draining", entries["e1"].state)
 
-    def test_new_life_at_an_address_ends_the_one_before(self) -> None:
+    def test_new_upstream_at_an_address_replaces_the_old_one(self) -> None:
         (engine,) = self.ready(("e1", "desk"))
         engine.name = "e9"
-        self.system.beat(engine, "lm")
+        self.system.heartbeat(engine, "lm")
         self.system.settle()
         entries = self.system.entry.follower.registered.entries
         self.assertEqual({"e9"}, set(entries))
 
-    def test_unreadable_heartbeat_is_refused(self) -> None:
+    def test_malformed_heartbeat_is_rejected(self) -> None:
         path = "/v1/Instances.Heartbeat/e1"
         answer = self.system.ask_control("POST", path, b"{")
         self.assertEqual(400, answer.status)
 
-    def test_emptying_tells_unknown_and_too_few(self) -> None:
+    def test_evacuation_reports_unknown_instances_and_too_few_voters(
+        self,
+    ) -> None:
         ask = self.system.ask_control
         body = b'{"durationS": 10}'
         self.assertEqual(404, ask("POST", "/v1/Retire.Start/x", body).status)
