--- a/src/mintcleat/roles/entry/chat.py
+++ b/src/mintcleat/roles/entry/chat.py
@@ -428,12 +428,12 @@
         """Raises the final error when no further attempt is allowed."""
         self.metrics.count("retries_total", cause=cause.kind)
         progress.may_have_run |= cause.outcome != errors.NOT_RUN
-        over = (
+        is_final = (
             isinstance(cause, errors.Quarantined)
             or self.timers.now() >= context.deadline_at
             or not self.placement.may_retry(context.service, progress.attempts)
         )
-        if not over:
+        if not is_final:
             return
         if progress.may_have_run:
             cause = attempts_module.with_unknown_outcome(context.name, cause)
--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -34,7 +34,7 @@
 # 300 bytes; the bound keeps the memory of an entry small.
 _MAX_VIEWS = 20_000
 ANONYMOUS = "anonymous"
-_OUTCOME_TEXTS = {True: "ended", False: "failed or was left"}
+_OUTCOME_TEXTS = {True: "ended", False: "failed or was abandoned"}
 
 
 class Entry:
--- a/src/mintcleat/roles/entry/rate_limiter.py
+++ b/src/mintcleat/roles/entry/rate_limiter.py
@@ -56,8 +56,8 @@
     def limit_of(self, customer: str) -> program_messages.RateLimit | None:
         """Returns a customer's limit in the applied manifest, if any."""
         policies = self.configuration.manifest().policies
-        held = policies.customers.get(customer)
-        return limits.limit_of(held, policies) if held else None
+        configured = policies.customers.get(customer)
+        return limits.limit_of(configured, policies) if configured else None
 
     def shares_group(self, customer: str, program: str) -> bool:
         """Returns whether the program's group also holds the limit."""
--- a/testing/fakes/platform_system.py
+++ b/testing/fakes/platform_system.py
@@ -312,7 +312,7 @@
         self.system = System()
         self.addCleanup(self.system.stop)
 
-    def ready(self, *engines: tuple) -> list[platform_engine.Engine]:
+    def start_engines(self, *engines: tuple) -> list[platform_engine.Engine]:
         """Puts a configuration and adds engines (name, service, script)."""
         self.assertEqual(200, self.system.put(configuration()).status)
         found = [self.system.add(*engine) for engine in engines]
--- a/testing/test_hosted.py
+++ b/testing/test_hosted.py
@@ -21,7 +21,7 @@
 
 class RequestTest(platform_system.HostedTest):
     def test_request_is_forwarded_unchanged(self) -> None:
-        (engine,) = self.ready(("e1", "desk"))
+        (engine,) = self.start_engines(("e1", "desk"))
         answer = self.system.call(
             "POST", "/unsafe/a?b=c", b"content", x_other="kept"
         )
@@ -42,7 +42,7 @@
     def test_reserved_fields_from_callers_are_dropped(self) -> None:
         # Upstreams trust these fields, so a caller could otherwise pin memory
         # or read the cache of another request.
-        (engine,) = self.ready(("e1", "desk"))
+        (engine,) = self.start_engines(("e1", "desk"))
         fields = (
             "X-Hold", "X-Pin-Milliseconds", "X-Kv-Backup", "Kv-From",
             "Kv-Fetch", "X-Request-Urgency",
@@ -61,11 +61,11 @@
     def test_unknown_route_gets_404_once_the_configuration_is_known(
         self,
     ) -> None:
-        self.ready(("e1", "desk"))
+        self.start_engines(("e1", "desk"))
         self.assertEqual(404, self.system.call("GET", "/other/a").status)
 
     def test_request_without_an_id_is_rejected(self) -> None:
-        self.ready(("e1", "desk"))
+        self.start_engines(("e1", "desk"))
         answer = platform_system.exchange(
             self.system.entry.listener.address,
             "GET",
@@ -76,12 +76,12 @@
         self.assertEqual(400, answer.status)
 
     def test_body_over_the_limit_is_rejected(self) -> None:
-        (engine,) = self.ready(("e1", "desk"))
+        (engine,) = self.start_engines(("e1", "desk"))
         answer = self.system.call("POST", "/unsafe/a", b"x" * 100_001)
         self.assertEqual((413, []), (answer.status, engine.received))
 
     def test_chunked_body_is_forwarded_completely(self) -> None:
-        (engine,) = self.ready(("e1", "desk"))
+        (engine,) = self.start_engines(("e1", "desk"))
         sock = platform_system.connect(self.system.entry.listener.address)
         self.addCleanup(sock.close)
         sock.sendall(
@@ -93,7 +93,7 @@
         self.assertEqual(b"abcde", engine.received[0].body)
 
     def test_malformed_request_gets_400_and_the_listener_goes_on(self) -> None:
-        self.ready(("e1", "desk"))
+        self.start_engines(("e1", "desk"))
         sock = platform_system.connect(self.system.entry.listener.address)
         self.addCleanup(sock.close)
         sock.sendall(b"\x00\x01 not http\r\n\r\n")
@@ -101,7 +101,7 @@
         self.assertEqual(200, self.system.call("GET", "/safe/a").status)
 
     def test_connection_serves_many_requests(self) -> None:
-        (engine,) = self.ready(("e1", "desk"))
+        (engine,) = self.start_engines(("e1", "desk"))
         sock = platform_system.connect(self.system.entry.listener.address)
         self.addCleanup(sock.close)
         for number in range(5):
@@ -119,7 +119,7 @@
 
 class RepeatTest(platform_system.HostedTest):
     def test_safe_request_is_retried_after_a_reset(self) -> None:
-        first, second = self.ready(
+        first, second = self.start_engines(
             ("e1", "desk", _reset), ("e2", "desk", _reset)
         )
         answer = self.system.call("GET", "/safe/a")
@@ -131,7 +131,7 @@
     def test_unsafe_request_that_may_have_run_is_not_retried(self) -> None:
         # A retry would run the action twice if the first upstream ran it and
         # only its answer was lost.
-        first, second = self.ready(
+        first, second = self.start_engines(
             ("e1", "desk", _reset), ("e2", "desk", _reset)
         )
         answer = self.system.call("POST", "/unsafe/a", b"book")
@@ -139,19 +139,21 @@
         self.assertEqual(1, len(first.received) + len(second.received))
 
     def test_unsafe_request_that_did_not_run_is_retried_elsewhere(self) -> None:
-        self.ready(("e1", "desk", _busy), ("e2", "desk"), ("e3", "desk", _busy))
+        self.start_engines(
+            ("e1", "desk", _busy), ("e2", "desk"), ("e3", "desk", _busy)
+        )
         answer = self.system.call("POST", "/unsafe/a", b"book")
         self.assertEqual((200, b"e2 /unsafe/a"), (answer.status, answer.body))
 
     def test_refusal_has_a_retry_after_field(self) -> None:
-        self.ready(("e1", "desk", _busy))
+        self.start_engines(("e1", "desk", _busy))
         answer = self.system.call("POST", "/unsafe/a", b"book")
         self.assertEqual(503, answer.status)
         self.assertTrue(float(answer.headers["retry-after"]) > 0)
         self.assertNotIn("x-response-signature", answer.headers)
 
     def test_other_upstream_at_the_same_address_runs_nothing(self) -> None:
-        self.ready(("e1", "desk"))
+        self.start_engines(("e1", "desk"))
         other = self.system.engines[0]
         other.name = "e9"
         answer = self.system.call("POST", "/unsafe/a", b"book")
@@ -159,7 +161,7 @@
         self.assertEqual(1, other.misdirected)
 
     def test_response_to_an_earlier_request_is_skipped(self) -> None:
-        (engine,) = self.ready(("e1", "desk"))
+        (engine,) = self.start_engines(("e1", "desk"))
         self.system.call("GET", "/safe/a", request="r1")
 
         def twice(
@@ -185,7 +187,7 @@
             connection.reset()
             return False
 
-        self.ready(("e1", "desk", cut))
+        self.start_engines(("e1", "desk", cut))
         answer = self.system.call("POST", "/unsafe/a")
         self.assertIn(answer.status, (502, 504))
 
@@ -196,7 +198,7 @@
             connection.send(connection.head(received) + b"all of it")
             return False
 
-        self.ready(("e1", "desk", unframed))
+        self.start_engines(("e1", "desk", unframed))
         answer = self.system.call("POST", "/unsafe/a")
         self.assertEqual((200, b"all of it"), (answer.status, answer.body))
 
@@ -207,7 +209,7 @@
             connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             return True
 
-        self.ready(("e1", "desk", bare))
+        self.start_engines(("e1", "desk", bare))
         self.assertNotEqual(200, self.system.call("POST", "/unsafe/a").status)
 
 
@@ -224,7 +226,9 @@
     ) -> None:
         # An upstream that fails at once always looks idle and would attract
         # the requests that can't be repeated.
-        failing, sound = self.ready(("e1", "desk", _fail), ("e2", "desk"))
+        failing, sound = self.start_engines(
+            ("e1", "desk", _fail), ("e2", "desk")
+        )
         answers = [self.call(number) for number in range(20)]
         self.assertEqual(1, answers.count(500))
         self.assertEqual((1, 19), (len(failing.received), len(sound.received)))
@@ -235,7 +239,7 @@
         # A deadline of 0.4 s for a second of work times out at a healthy
         # upstream, which answers with 504 at the deadline.
         late = functools.partial(_fail, status=b"504 Late")
-        (engine,) = self.ready(("e1", "desk", late))
+        (engine,) = self.start_engines(("e1", "desk", late))
         self.assertEqual(504, self.call(0))
         penalties = self.system.entry.gateway.loads.penalties
         self.assertEqual({}, penalties.by_upstream)
@@ -245,7 +249,7 @@
 
     def test_timeout_reported_by_the_upstream_is_relayed(self) -> None:
         late = functools.partial(_fail, status=b"504 Late")
-        engines = self.ready(("e1", "desk", late), ("e2", "desk", late))
+        engines = self.start_engines(("e1", "desk", late), ("e2", "desk", late))
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(504, answer.status)
         self.assertIn("x-response-signature", answer.headers)
@@ -255,7 +259,9 @@
         # An upstream hangs with a request and keeps its connections open.
         # Further requests sent there would hang too.
         self.patch(routed_run, "SILENCE_FACTOR", 0.4)
-        silent, _ = self.ready(("e1", "desk", _keep_silent), ("e2", "desk"))
+        silent, _ = self.start_engines(
+            ("e1", "desk", _keep_silent), ("e2", "desk")
+        )
         for number in range(50):
             if silent.received:
                 break
@@ -271,7 +277,7 @@
 
 class DeadlineTest(platform_system.HostedTest):
     def test_sent_request_gets_504_at_its_deadline(self) -> None:
-        (engine,) = self.ready(("e1", "desk", _keep_silent))
+        (engine,) = self.start_engines(("e1", "desk", _keep_silent))
         began = self.system.entry_common.timers.now()
         answer = self.system.call(
             "GET", "/safe/a", X_Deadline_Milliseconds="400"
@@ -290,7 +296,7 @@
             eventlet.sleep(0.6)
             return platform_engine.whole(connection, received)
 
-        self.ready(("e1", "desk", late))
+        self.start_engines(("e1", "desk", late))
         answer = self.system.call(
             "GET", "/safe/a", X_Deadline_Milliseconds="400"
         )
@@ -300,14 +306,14 @@
         # The last event comes 20 ms after the deadline of 400 ms. Cut at the
         # deadline, an almost complete stream would be useless to the caller.
         self.patch(routed_run, "GRACE_SECONDS", LONG_GRACE_SECONDS)
-        self.ready(("e1", "lm", platform_engine.stream(6, 0.07)))
+        self.start_engines(("e1", "lm", platform_engine.stream(6, 0.07)))
         answer = self.system.call(
             "POST", "/resumable/a", b"x", X_Deadline_Milliseconds="400"
         )
         self.assertTrue(answer.whole)
 
     def test_route_timeout_caps_a_longer_deadline(self) -> None:
-        self.ready(("e1", "desk", _keep_silent))
+        self.start_engines(("e1", "desk", _keep_silent))
         short = platform_system.route("safe", "safe", timeoutMs=300)
         self.system.put(platform_system.configuration(2, short))
         self.system.settle()
@@ -325,7 +331,7 @@
             eventlet.sleep(0.3)
             return _busy(connection, received)
 
-        self.ready(("e1", "desk", slow_busy), ("e2", "desk", slow_busy))
+        self.start_engines(("e1", "desk", slow_busy), ("e2", "desk", slow_busy))
         answer = self.system.call(
             "POST", "/unsafe/a", X_Deadline_Milliseconds="250"
         )
@@ -334,7 +340,7 @@
 
 class StreamTest(platform_system.HostedTest):
     def test_events_are_relayed_unchanged(self) -> None:
-        self.ready(("e1", "lm", platform_engine.stream(3)))
+        self.start_engines(("e1", "lm", platform_engine.stream(3)))
         answer = self.system.call("POST", "/resumable/a", b"in")
         expected = b"".join(platform_engine.event(n) for n in (1, 2, 3))
         self.assertEqual((expected, True), (answer.body, answer.whole))
@@ -342,7 +348,7 @@
     def test_broken_stream_resumes_elsewhere_without_a_gap(self) -> None:
         # The upstream breaks off within an event. If parts of events were
         # relayed, the caller would get this part twice.
-        def breaks(
+        def break_off(
             connection: platform_engine.Connection, received: object
         ) -> bool:
             connection.begin_stream(received)
@@ -352,15 +358,17 @@
             connection.reset()
             return False
 
-        first, second = self.ready(("e1", "lm", breaks), ("e2", "lm", breaks))
+        first, second = self.start_engines(
+            ("e1", "lm", break_off), ("e2", "lm", break_off)
+        )
 
-        def mend(
+        def break_once(
             connection: platform_engine.Connection, received: object
         ) -> bool:
             first.script = second.script = platform_engine.stream(4)
-            return breaks(connection, received)
+            return break_off(connection, received)
 
-        first.script = second.script = mend
+        first.script = second.script = break_once
         answer = self.system.call("POST", "/resumable/a", b"in")
         expected = b"".join(platform_engine.event(n) for n in (1, 2, 3, 4))
         self.assertEqual((expected, True), (answer.body, answer.whole))
@@ -370,7 +378,7 @@
         )
 
     def test_stream_that_can_not_resume_ends_incomplete(self) -> None:
-        def breaks(
+        def break_off(
             connection: platform_engine.Connection, received: object
         ) -> bool:
             connection.begin_stream(received)
@@ -379,7 +387,9 @@
             connection.reset()
             return False
 
-        first, second = self.ready(("e1", "lm", breaks), ("e2", "lm", breaks))
+        first, second = self.start_engines(
+            ("e1", "lm", break_off), ("e2", "lm", break_off)
+        )
         answer = self.system.call(
             "POST", "/turns/a", b"in", X_Program_Id="p", X_Token_Counts="9,9"
         )
@@ -389,7 +399,9 @@
         self.assertEqual(1, len(first.received) + len(second.received))
 
     def test_disconnect_of_the_caller_reaches_the_upstream(self) -> None:
-        (engine,) = self.ready(("e1", "lm", platform_engine.stream(1000, 0.02)))
+        (engine,) = self.start_engines(
+            ("e1", "lm", platform_engine.stream(1000, 0.02))
+        )
         sock = platform_system.connect(self.system.entry.listener.address)
         fields = {"Host": platform_system.HOST, "X-Request-Id": "r1"}
         sock.sendall(
@@ -412,7 +424,7 @@
             gone.append(connection.sock.recv(1))
             return False
 
-        self.ready(("e1", "desk", silent))
+        self.start_engines(("e1", "desk", silent))
         sock = platform_system.connect(self.system.entry.listener.address)
         fields = {"Host": platform_system.HOST, "X-Request-Id": "r1"}
         sock.sendall(
@@ -439,7 +451,7 @@
         )
 
     def test_turn_gets_input_and_output_of_preceding_turns(self) -> None:
-        (engine,) = self.ready(("e1", "lm", platform_engine.stream(2)))
+        (engine,) = self.start_engines(("e1", "lm", platform_engine.stream(2)))
         self.assertTrue(self.turn("t1", b"one;").whole)
         self.turn("t2", b"two;", X_Previous_Turn="t1")
         self.turn("t3", b"three;", X_Previous_Turn="t2")
@@ -451,28 +463,28 @@
         )  # fmt: skip
 
     def test_chain_is_fetched_from_control_if_not_cached(self) -> None:
-        (engine,) = self.ready(("e1", "lm", platform_engine.stream(1)))
+        (engine,) = self.start_engines(("e1", "lm", platform_engine.stream(1)))
         self.turn("t1", b"one;")
         self.system.entry.gateway.turns.chains.turns.clear()
         self.turn("t2", b"two;", X_Previous_Turn="t1")
         self.assertEqual(b"one;piece-1\ntwo;", engine.received[1].body)
 
     def test_unknown_previous_turn_reaches_no_upstream(self) -> None:
-        (engine,) = self.ready(("e1", "lm", platform_engine.stream(1)))
+        (engine,) = self.start_engines(("e1", "lm", platform_engine.stream(1)))
         answer = self.turn("t2", b"two;", X_Previous_Turn="never")
         self.assertEqual((404, []), (answer.status, engine.received))
 
     def test_budget_is_reserved_before_the_turn_runs(self) -> None:
         # At three tokens per event, a turn of two events uses 6 of the 15
         # tokens and reserves 9.
-        (engine,) = self.ready(("e1", "lm", platform_engine.stream(2)))
+        (engine,) = self.start_engines(("e1", "lm", platform_engine.stream(2)))
         self.assertEqual(200, self.turn("t1", b"a", X_Token_Budget="15").status)
         self.assertEqual(200, self.turn("t2", b"b", X_Token_Budget="15").status)
         self.assertEqual(402, self.turn("t3", b"c", X_Token_Budget="15").status)
         self.assertEqual(2, len(engine.received))
 
     def test_turn_that_did_not_run_uses_no_budget(self) -> None:
-        (engine,) = self.ready(("e1", "lm", _busy))
+        (engine,) = self.start_engines(("e1", "lm", _busy))
         for request in ("t1", "t2", "t3"):
             answer = self.turn(request, b"a", X_Token_Budget="9")
             self.assertEqual(503, answer.status)
@@ -483,7 +495,7 @@
 
 class EventTest(platform_system.HostedTest):
     def test_events_follow_a_request_from_arrival_to_end(self) -> None:
-        self.ready(("e1", "lm", platform_engine.stream(2)))
+        self.start_engines(("e1", "lm", platform_engine.stream(2)))
         self.system.call(
             "POST", "/turns/a", b"x", "t1", X_Program_Id="p",
             X_Token_Counts="10,9",
@@ -503,7 +515,7 @@
         self.assertTrue(0 <= taken.lease_left_s <= 1.2, taken)
 
     def test_refusal_and_failed_attempt_emit_events(self) -> None:
-        self.ready(("e1", "desk", _reset))
+        self.start_engines(("e1", "desk", _reset))
         self.system.call("POST", "/unsafe/a", request="r7")
         (failed,) = self.system.reporter.of(events.AttemptFailed)
         (refused,) = self.system.reporter.of(events.CallRefused)
@@ -516,7 +528,7 @@
 
 class StopTest(platform_system.HostedTest):
     def test_planned_stop_completes_running_requests(self) -> None:
-        self.ready(("e1", "lm", platform_engine.stream(20, 0.05)))
+        self.start_engines(("e1", "lm", platform_engine.stream(20, 0.05)))
         found = []
         eventlet.spawn(
             lambda: found.append(self.system.call("POST", "/resumable/a", b"x"))
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -93,20 +93,20 @@
         The lost answer must not count against the new process. The request may
         have run, so nothing else may run it and the caller must get that.
         """
-        holding: list[platform_engine.Engine] = []
+        restarted: list[platform_engine.Engine] = []
 
         def restart(
             connection: platform_engine.Connection,
             received: platform_engine.ReceivedRequest,
         ) -> bool:
-            holding.append(self.start(SECOND_START, 1))
+            restarted.append(self.start(SECOND_START, 1))
             connection.reset()
             return False
 
         self.start(FIRST_START, 900, restart)
         answer = self.system.call("POST", "/unsafe/a", request="r1")
         self.assertEqual(504, answer.status)
-        self.assertEqual([], holding[0].received)
+        self.assertEqual([], restarted[0].received)
         avoided = self.system.reporter.of(events.UpstreamAvoided)
         self.assertEqual([], avoided)
 
@@ -145,7 +145,7 @@
             self.assertIn(self.send(body), (400, 404), body)
             self.assertIn(self.send(body, "e7"), (400, 404), body)
         self.assertEqual(before, directory.version)
-        told = self.system.reporter.of(events.RegistrationRefused)
-        self.assertEqual(2 * len(forged), len(told))
+        refused = self.system.reporter.of(events.RegistrationRefused)
+        self.assertEqual(2 * len(forged), len(refused))
         answer = self.system.call("GET", "/safe/a")
         self.assertEqual(200, answer.status)
--- a/testing/test_hosted_operators.py
+++ b/testing/test_hosted_operators.py
@@ -62,7 +62,7 @@
         self.assertEqual(503, self.get().status)
 
     def test_changed_route_takes_effect_at_the_entry(self) -> None:
-        self.ready(("e1", "desk"), ("e2", "lm"))
+        self.start_engines(("e1", "desk"), ("e2", "lm"))
         moved = platform_system.route("safe", "safe", service="lm")
         self.system.put(platform_system.configuration(2, moved))
         self.system.settle()
@@ -72,7 +72,7 @@
     def test_draining_upstream_gets_no_requests_once_acknowledged(
         self,
     ) -> None:
-        first, second = self.ready(("e1", "desk"), ("e2", "desk"))
+        first, second = self.start_engines(("e1", "desk"), ("e2", "desk"))
         answer = self.system.heartbeat(first, "desk", "draining")
         self.assertEqual(200, answer.status)
         self.system.settle()
@@ -83,14 +83,14 @@
     def test_late_heartbeat_does_not_restore_a_deregistered_upstream(
         self,
     ) -> None:
-        first, _ = self.ready(("e1", "desk"), ("e2", "desk"))
+        first, _ = self.start_engines(("e1", "desk"), ("e2", "desk"))
         self.system.leave(first)
         self.assertEqual(200, self.system.heartbeat(first, "desk").status)
         self.system.settle()
         self.assertNotIn("e1", self.system.entry.follower.registered.entries)
 
     def test_late_heartbeat_does_not_end_a_drain(self) -> None:
-        first, _ = self.ready(("e1", "desk"), ("e2", "desk"))
+        first, _ = self.start_engines(("e1", "desk"), ("e2", "desk"))
         self.system.heartbeat(first, "desk", "draining", sequence=90)
         self.system.heartbeat(first, "desk", "ready", sequence=80)
         self.system.settle()
@@ -98,7 +98,7 @@
         self.assertEqual("draining", entries["e1"].state)
 
     def test_new_upstream_at_an_address_replaces_the_old_one(self) -> None:
-        (engine,) = self.ready(("e1", "desk"))
+        (engine,) = self.start_engines(("e1", "desk"))
         engine.name = "e9"
         self.system.heartbeat(engine, "lm")
         self.system.settle()
