--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -1,4 +1,4 @@
-"""The entry's way of a routed request: its route, and its refusals."""
+"""Serves routed requests: finds the route, authenticates, runs, refuses."""
 
 from mintcleat.decisions import cold_start
 from mintcleat.decisions import jitter
@@ -11,32 +11,33 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
-from mintcleat.roles.entry import identity
+from mintcleat.roles.entry import authentication
 from mintcleat.roles.entry import routed_run
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import turn_client
 from mintcleat.roles.entry import upstream_loads
 
-# Callers that name no deadline are taken to wait for this long.
-_PATIENT_SECONDS = 30.0
-# How often a call that is held looks whether word has come.
-_LOOK_SECONDS = 0.01
+# Assumed for callers that name no deadline.
+_DEFAULT_DEADLINE_SECONDS = 30.0
+# Interval at which a held call checks for the configuration.
+_POLL_SECONDS = 0.01
 
 
 class Gateway:
     """Serves routed requests.
 
     Attributes:
-        draining: Set when the process takes no new work.
-        started: Clock of this object's making.
-        held: Calls that wait for the first word of control.
-        informed: Whether it has come.
+        table: Route table of `table_manifest`.
+        draining: Whether the process takes no new work.
+        started: Monotonic time of construction, in seconds.
+        held: Calls that wait for the first configuration and lease.
+        configured: Whether a configuration and a lease have arrived.
     """
 
     def __init__(
         self,
         configuration: routed_run.Configuration,
         upstreams: forwarding.UpstreamClient,
-        turns: turn_keeper.TurnKeeper,
+        turns: turn_client.TurnClient,
         timers: timer_ports.Timers,
         events: event_ports.EventReporter,
         entry: str,
@@ -49,36 +50,38 @@
         self.loads = upstream_loads.UpstreamLoads(
             configuration, timers, events, upstreams.forget, entry, policy
         )
-        self.means = routed_run.Means(
+        self.context = routed_run.EntryContext(
             configuration, upstreams, self.loads, turns, timers, events
         )
-        self.identities = identity.Identities(configuration, timers, events)
+        self.authenticator = authentication.Authenticator(
+            configuration, timers, events
+        )
         self.table = routes.Table({})
-        self.table_of: manifest.Manifest | None = None
+        self.table_manifest: manifest.Manifest | None = None
         self.draining = False
         self.started = timers.now()
         self.held = 0
-        self.informed = False
+        self.configured = False
 
     def ready(self) -> bool:
-        """Tells whether requests can be served here."""
-        # Without a lease, turns can't be recorded here while others can; the
-        # balancer uses every entry anyway when too few are ready. It moves no
-        # open connection: a caller that keeps one would be refused on it again.
+        """Returns whether the load balancer should send requests here."""
+        # An entry without a lease can't record turns, and others can. When too
+        # few entries are ready, the balancer uses all of them. It doesn't move
+        # open connections: a caller that kept one would be refused again.
         return not self.draining and self.configuration.has_lease()
 
     def limits(self) -> manifest.Limits:
-        """Returns what callers may send."""
+        """Returns the limits on the size and time of callers' requests."""
         return self.configuration.manifest().limits
 
     def handle(
         self, call: routed_calls.RoutedCall, reply: forwarding.CallerResponse
     ) -> None:
-        """Answers a request.
+        """Serves a request and sends its response.
 
         Raises:
-            errors.MintcleatError: The refusal; nothing was sent to the caller
-                unless it is a StreamClosed.
+            errors.MintcleatError: The request was refused or failed. Only with
+                a StreamClosed may part of a response have been sent.
         """
         began = self.timers.now()
         run: routed_run.RoutedRun | None = None
@@ -90,77 +93,81 @@
                 error.retry_after = jitter.retry_after(
                     call.request, error.retry_after
                 )
-            self._tell_refusal(call, run, error, began)
+            self._emit_refusal(call, run, error, began)
             raise
 
     def _route(
         self, call: routed_calls.RoutedCall, began: float
     ) -> routed_run.RoutedRun:
-        if not self._has_word():
-            self._await_word(call)
+        if not self._has_configuration():
+            self._await_configuration(call)
         match = self._match(call)
-        caller = self.identities.caller(call.key, match.route.public)
+        caller = self.authenticator.caller(call.key, match.route.public)
         if caller is None:
-            self.identities.confirm(call.request, call.key, began)
+            self.authenticator.await_updates(call.request, call.key, began)
             match = self._match(call)
             public = match.route.public
-            caller = self.identities.sure_caller(call.key, public)
+            caller = self.authenticator.confirmed_caller(call.key, public)
         call = call._replace(customer=caller.customer)
         key = call.program.program or call.affinity or call.request
         name = routes.service_of(match.route, key)
         service = self.configuration.manifest().services[name]
         return routed_run.RoutedRun(
-            self.means, call, match, name, service, began, caller.priority
+            self.context, call, match, name, service, began, caller.priority
         )
 
     def _match(self, call: routed_calls.RoutedCall) -> routes.Match:
         """Returns the route of a request.
 
         Raises:
-            errors.UnknownRoute: There surely is none.
-            errors.LeaseExpired: This entry can't tell.
+            errors.UnknownRoute: No route matches.
+            errors.LeaseExpired: No route matches, but the configuration may
+                be out of date.
         """
         configuration = self.configuration
         current = configuration.manifest()
-        if current is not self.table_of:
+        if current is not self.table_manifest:
             self.table = routes.Table(current.routes)
-            self.table_of = current
+            self.table_manifest = current
         match = self.table.find(call.host, call.path)
         if match is None:
             if not configuration.has_lease():
-                # A route that was added since can't be told from none.
+                # The route may have been added since.
                 raise errors.LeaseExpired(
-                    "No route is known, and the configuration may be old.",
+                    f"No route matches {call.host}{call.path}, but the "
+                    "configuration may be out of date.",
                     retry_after=routed_run.RETRY_SECONDS,
                 )
-            raise errors.UnknownRoute(f"No route for {call.host}{call.path}.")
+            raise errors.UnknownRoute(
+                f"No route matches {call.host}{call.path}."
+            )
         return match
 
-    def _has_word(self) -> bool:
-        """Tells whether a configuration and a lease on it have come.
+    def _has_configuration(self) -> bool:
+        """Returns whether a configuration and a lease have ever arrived.
 
-        A leader that was just elected sends the first before it may grant the
-        second. Between them keys can't be told and turns can't be recorded.
+        A newly elected leader sends the configuration before it may grant
+        leases. In between, keys can't be checked and turns can't be recorded.
         """
-        self.informed = self.informed or (
+        self.configured = self.configured or (
             self.configuration.revision() > 0 and self.configuration.has_lease()
         )
-        return self.informed
+        return self.configured
 
-    def _await_word(self, call: routed_calls.RoutedCall) -> None:
-        """Holds a call while this entry has just started.
+    def _await_configuration(self, call: routed_calls.RoutedCall) -> None:
+        """Holds a call that arrives just after the start of this entry.
 
         Raises:
-            errors.ControlUnavailable: There is still no configuration.
+            errors.ControlUnavailable: No configuration has arrived in time.
         """
         uptime = self.timers.now() - self.started
-        deadline = call.deadline or _PATIENT_SECONDS
+        deadline = call.deadline or _DEFAULT_DEADLINE_SECONDS
         seconds = cold_start.hold_seconds(uptime, deadline, self.held)
         until = self.timers.now() + seconds
         self.held += 1
         try:
-            while not self._has_word() and self.timers.now() < until:
-                self.timers.sleep(_LOOK_SECONDS)
+            while not self._has_configuration() and self.timers.now() < until:
+                self.timers.sleep(_POLL_SECONDS)
         finally:
             self.held -= 1
         known = self.configuration.revision() > 0
@@ -177,15 +184,15 @@
             )
         if not known:
             raise errors.ControlUnavailable(
-                "This entry knows no configuration yet.",
+                "This entry has not received a configuration yet.",
                 retry_after=routed_run.RETRY_SECONDS,
             )
 
-    def _known_age(self) -> float:
+    def _configuration_age(self) -> float:
         known = self.configuration.known_until()
         return self.timers.now() - known if known > 0 else 0.0
 
-    def _tell_refusal(
+    def _emit_refusal(
         self,
         call: routed_calls.RoutedCall,
         run: routed_run.RoutedRun | None,
@@ -204,6 +211,6 @@
                 round(self.timers.now() - began, 4),
                 run.call.customer if run else "",
                 self.configuration.revision(),
-                round(max(0.0, self._known_age()), 4),
+                round(max(0.0, self._configuration_age()), 4),
             )
         )
--- /dev/null
+++ b/src/mintcleat/roles/entry/response_relay.py
@@ -0,0 +1,190 @@
+"""Relays an upstream's response to the caller of a routed request."""
+
+from mintcleat.decisions import evidence
+from mintcleat.domain import errors
+from mintcleat.domain import manifest
+from mintcleat.domain import member_messages
+from mintcleat.domain import server_sent_events
+from mintcleat.ports import forwarding
+from mintcleat.ports import timers as timer_ports
+from mintcleat.roles.entry import turn_client
+from mintcleat.roles.entry import upstream_loads
+
+
+class ResponseRelay:
+    """Relays the responses of one request's attempts to its caller.
+
+    Times are monotonic, in seconds.
+
+    Attributes:
+        upstream: Upstream of the current attempt.
+        turn: Turn that the request opened, if any.
+        status: HTTP status of the response.
+        request: Request id.
+        head_sent: Whether the head of a response was sent to the caller.
+        complete: Whether the upstream's response was received completely.
+        committed: Whether the turn is committed with its content.
+        tokens: Tokens sent to the caller.
+        last_event_id: Id of the last event sent to the caller.
+        first_at: Time of the response or its first event; 0 before.
+        max_gap: Longest pause between two events, in seconds.
+        last_event_at: Time of the last event; 0 before the first.
+        output: Data of the events, for the turn's record.
+    """
+
+    def __init__(
+        self,
+        route: manifest.Route,
+        service: manifest.Service,
+        loads: upstream_loads.UpstreamLoads,
+        turns: turn_client.TurnClient,
+        timers: timer_ports.Timers,
+        request: str,
+        last_event_id: str,
+    ) -> None:
+        self.route = route
+        self.service = service
+        self.loads = loads
+        self.turns = turns
+        self.timers = timers
+        self.upstream: member_messages.Registration | None = None
+        self.turn: turn_client.OpenedTurn | None = None
+        self.status = 0
+        self.request = request
+        self.head_sent = False
+        self.complete = False
+        self.committed = False
+        self.tokens = 0
+        self.last_event_id = last_event_id
+        self.first_at = 0.0
+        self.max_gap = 0.0
+        self.last_event_at = 0.0
+        self.output: list[bytes] = []
+
+    @property
+    def upstream_name(self) -> str:
+        """Name of the upstream of the last attempt; empty for none."""
+        return self.upstream.upstream if self.upstream else ""
+
+    @property
+    def incarnation(self) -> str:
+        """Incarnation of the last attempt's upstream; empty for none."""
+        return self.upstream.incarnation if self.upstream else ""
+
+    def relay(
+        self,
+        answer: forwarding.UpstreamResponse,
+        reply: forwarding.CallerResponse,
+        sent_at: float,
+        may_retry: bool,
+    ) -> None:
+        """Relays one attempt's response to its end.
+
+        Args:
+            answer: Response of the upstream, with its head read.
+            reply: Response to the caller.
+            sent_at: Time at which the request was sent.
+            may_retry: Whether another upstream may replace a failed response.
+
+        Raises:
+            errors.MintcleatError: The response can't be relayed completely.
+        """
+        if answer.head.events:
+            self._relay_events(answer, reply)
+        else:
+            self._relay_whole(answer, reply, sent_at, may_retry)
+
+    def _relay_whole(
+        self,
+        answer: forwarding.UpstreamResponse,
+        reply: forwarding.CallerResponse,
+        sent_at: float,
+        may_retry: bool,
+    ) -> None:
+        head = answer.head
+        body = answer.body()
+        self.status = head.status
+        verdict = evidence.of_answer(head.status)
+        if verdict is evidence.Evidence.FAILURE and may_retry:
+            raise errors.UpstreamFailed(
+                f"The upstream answered with status {head.status}."
+            )
+        if self.head_sent:
+            raise errors.UpstreamFailed(
+                "Expected the rest of the event stream from the upstream, "
+                f"received a plain response with status {head.status}."
+            )
+        self.first_at = self.timers.now()
+        self._mark_complete()
+        if verdict is evidence.Evidence.SUCCESS:
+            self.loads.observe(self.incarnation, self.first_at - sent_at)
+        self.head_sent = True
+        reply.send_whole(head, body)
+
+    def _relay_events(
+        self,
+        answer: forwarding.UpstreamResponse,
+        reply: forwarding.CallerResponse,
+    ) -> None:
+        if not self.head_sent:
+            self.status = answer.head.status
+            self.head_sent = True
+            reply.send_head(answer.head)
+        buffer = server_sent_events.EventBuffer()
+        for data in answer.chunks():
+            self.loads.arrived(self.incarnation)
+            for event in buffer.feed(data):
+                self._forward_event(event, reply)
+        if buffer.rest:
+            reply.write(buffer.rest)
+        self._mark_complete()
+        self._commit_turn()
+        reply.end()
+
+    def _mark_complete(self) -> None:
+        """Ends the request's count at the upstream.
+
+        The rest waits for control or for the caller. It must not count as load
+        on the upstream, nor as its silence.
+        """
+        self.complete = True
+        self.loads.ended(self.incarnation, self.request)
+
+    def _forward_event(
+        self, event: server_sent_events.Event, reply: forwarding.CallerResponse
+    ) -> None:
+        now = self.timers.now()
+        if self.last_event_at:
+            pause = now - self.last_event_at
+            self.max_gap = max(self.max_gap, pause)
+            self.loads.observe(self.incarnation, pause)
+        else:
+            self.first_at = now
+        self.last_event_at = now
+        self.tokens += self.service.tokens_per_event
+        self.last_event_id = event.id or self.last_event_id
+        if self.route.retention:
+            self.output.append(event.data)
+        reply.write(event.raw)
+
+    def _commit_turn(self) -> None:
+        """Commits the turn before its response ends.
+
+        The caller may send the next turn as soon as it has the end.
+        """
+        if self.turn is None or not self.route.retention:
+            return
+        output = b"".join(data + b"\n" for data in self.output)
+        try:
+            self.turns.commit(
+                self.turn,
+                self.tokens,
+                self.incarnation,
+                output,
+                self.loads.report(),
+            )
+        except errors.MintcleatError as error:
+            raise errors.TurnUnrecorded(
+                f"The turn could not be recorded: {error.detail}"
+            ) from error
+        self.committed = True
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -1,8 +1,8 @@
-"""One routed request on its way: its turn, its attempts, its end.
+"""Runs one routed request: opens its turn, makes attempts, settles the turn.
 
-What may be sent again follows from the route alone: after an upstream's own
-word that it did not run the request, any request; after anything else, only
-one that may repeat or resume.
+Whether a failed attempt may be retried depends on the route alone. If the
+upstream states that it did not run the request, any request may be retried;
+otherwise only one whose route allows repeating or resuming.
 """
 
 import math
@@ -23,40 +23,43 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import forwarding
 from mintcleat.ports import timers as timer_ports
-from mintcleat.roles.entry import routed_answer
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import response_relay
+from mintcleat.roles.entry import turn_client
 from mintcleat.roles.entry import upstream_loads
 
-# Upstreams that one request is offered to when each says that it does not
-# run it. More would only carry an overload from one to the next.
+# Upstreams to which one request is sent if each refuses to run it. More would
+# only spread an overload from one upstream to the next.
 MAX_OFFERS = 4
-# What was not sent to an upstream by then never will be in time; the caller is
-# told while it still listens.
-REFUSAL_MARGIN = 0.05
-# What an upstream is at is waited for a little beyond its time: the upstream's
-# own answer, or the last pieces of a stream, may be on their way, and the
-# caller knows best when it has waited long enough.
-LATE_SECONDS = 0.15
-# A caller that hears of a lost quorum, or of no upstream, comes back after
-# about the time that a failover or a restart takes.
+# A request that has not been sent this long before its deadline can't be
+# answered in time; it is refused while the caller still waits.
+REFUSAL_MARGIN_SECONDS = 0.05
+# Extra time after the deadline of a request that an upstream is running. Its
+# response or the last events of a stream may be on the way, and the caller
+# decides itself when to stop waiting.
+GRACE_SECONDS = 0.15
+# Retry delay for callers after a lost quorum or without an upstream: about the
+# duration of a failover or a restart.
 RETRY_SECONDS = 0.5
-# A program of a route that keeps no turns keeps its budget for so long.
-BUDGET_SECONDS = 60.0
-# Urgency of the most urgent routes; 5 is what an upstream takes for a request
-# that says nothing.
-FIRST_URGENCY = 4
-LAST_URGENCY = 9
-# Silence of an upstream that is still usual, against the time in which a good
-# answer of the route comes. A loaded engine takes that time twice.
-PATIENCE = 2.0
+# Time for which the budget of a program is kept on a route without retention.
+BUDGET_RETENTION_SECONDS = 60.0
+# Urgency sent to upstreams for priority 0, the most urgent, and its maximum. An
+# upstream assumes 5 for a request without one.
+BASE_URGENCY = 4
+MAX_URGENCY = 9
+# Silence after which an upstream counts as silent, as a multiple of the route's
+# target latency. A loaded engine takes up to twice that latency.
+SILENCE_FACTOR = 2.0
 
 
-class LimitReached(BaseException):
-    """The request's time is over; no handler on the way may go on."""
+class RequestTimeout(BaseException):
+    """The request timed out.
+
+    Derived from BaseException so that no error handler on the way catches it.
+    """
 
 
 class Configuration(directory_port.Directory, Protocol):
-    """The configuration as routed requests read it.
+    """The followed configuration, as routed requests need it.
 
     Attributes:
         registered: Upstreams that registered themselves.
@@ -65,51 +68,57 @@
     registered: directory_module.Directory
 
     def lease_left(self) -> float:
-        """Returns the seconds left of the lease on the configuration."""
+        """Returns the seconds left of the configuration lease."""
 
     def key_seconds(self) -> float:
-        """Returns for how long customers' keys may still be taken."""
+        """Returns the seconds for which keys may still be accepted."""
 
     def known_until(self) -> float:
-        """Returns the clock up to which no accepted push is unknown here."""
+        """Returns the time up to which all accepted pushes are applied."""
 
     def word_seconds(self) -> float:
-        """Returns within which time a node in touch hears of every push."""
+        """Returns the seconds in which a connected node gets every push."""
 
 
-class Means(NamedTuple):
-    """What the requests of one entry share.
+class EntryContext(NamedTuple):
+    """Dependencies that all requests of one entry share.
 
     Attributes:
-        configuration: The configuration that this process follows.
-        upstreams: The way to upstreams.
-        loads: What is known of the upstreams.
-        turns: The way to the leaders that keep turns and budgets.
+        configuration: Configuration that this process follows.
+        upstreams: Client for requests to upstreams.
+        loads: Load and health of the upstreams.
+        turns: Client of the leaders that keep turns and budgets.
     """
 
     configuration: Configuration
     upstreams: forwarding.UpstreamClient
     loads: upstream_loads.UpstreamLoads
-    turns: turn_keeper.TurnKeeper
+    turns: turn_client.TurnClient
     timers: timer_ports.Timers
     events: event_ports.EventReporter
 
 
 class RoutedRun:
-    """One request on its way.
+    """The run of one request.
+
+    Times are monotonic, in seconds.
 
     Attributes:
-        priority: Rank of the request: its customer's, or else its route's.
-        until: Clock at which its caller must have the answer.
-        attempts: Upstreams that may have run it.
-        offers: Upstreams that it was sent to at all.
-        tried: Lives of upstreams that it was sent to.
-        answer: What its caller has been given.
+        began: Time of the request's arrival.
+        priority: Priority of the customer, or else of the route; 0 is the most
+            urgent.
+        deadline_at: Time by which the caller must have the response.
+        timeout: The current timeout, which raises a RequestTimeout.
+        attempts: Number of upstreams that may have run it.
+        offers: Number of upstreams that it was sent to.
+        tried: Incarnations of the upstreams that it was sent to.
+        sent_at: Time at which it was last sent to an upstream.
+        relay: Relay of the responses to the caller.
     """
 
     def __init__(
         self,
-        means: Means,
+        context: EntryContext,
         call: routed_calls.RoutedCall,
         match: routes.Match,
         service_name: str,
@@ -117,7 +126,7 @@
         began: float,
         priority: int | None = None,
     ) -> None:
-        self.means = means
+        self.context = context
         self.call = call
         self.match = match
         self.route = match.route
@@ -128,168 +137,180 @@
         limit = self.route.timeout
         if call.deadline:
             limit = min(limit, call.deadline)
-        self.until = began + limit
+        self.deadline_at = began + limit
         self.timeout: eventlet.Timeout | None = None
         self.attempts = 0
         self.offers = 0
         self.tried: set[str] = set()
         self.sent_at = 0.0
-        self.answer = routed_answer.RoutedAnswer(
+        self.relay = response_relay.ResponseRelay(
             self.route,
             service,
-            means.loads,
-            means.turns,
-            means.timers,
+            context.loads,
+            context.turns,
+            context.timers,
             call.request,
             call.last_event,
         )
 
     @property
     def now(self) -> float:
-        """The clock."""
-        return self.means.timers.now()
+        """The current time."""
+        return self.context.timers.now()
 
     def serve(self, reply: forwarding.CallerResponse) -> None:
-        """Answers the request within its time."""
-        self._tell_taken()
+        """Serves the request within its deadline.
+
+        Raises:
+            errors.MintcleatError: The request was refused or failed.
+        """
+        self._emit_received()
         outcome = "cut"
         try:
-            self._limit(self.until - REFUSAL_MARGIN)
+            self._set_timeout(self.deadline_at - REFUSAL_MARGIN_SECONDS)
             self._open_turn()
-            self._attempt_all(reply)
+            self._run_attempts(reply)
             outcome = "whole"
-        except LimitReached:
-            raise self._late() from None
+        except RequestTimeout:
+            raise self._timeout_error() from None
         except errors.MintcleatError:
             raise
         except BaseException:
-            self._tell_gone()
+            self._emit_caller_gone()
             raise
         finally:
             self.timeout.cancel()
             self._settle()
-            if self.answer.begun:
-                self._tell_ended(outcome)
+            if self.relay.head_sent:
+                self._emit_ended(outcome)
 
-    def _limit(self, until: float) -> None:
-        """Ends the run at a time, in place of an earlier limit."""
+    def _set_timeout(self, until: float) -> None:
+        """Ends the run at a time; replaces an earlier timeout."""
         if self.timeout is not None:
             self.timeout.cancel()
         left = max(0.0, until - self.now)
-        self.timeout = eventlet.Timeout(left, LimitReached)
+        self.timeout = eventlet.Timeout(left, RequestTimeout)
 
-    # --- The turn -------------------------------------------------------------
+    # --- Turn -----------------------------------------------------------------
 
     def _open_turn(self) -> None:
         program = self.call.program
-        keeps = self.route.retention > 0 and self.route.stream
-        if not program.program or not (keeps or program.budget):
+        retains = self.route.retention > 0 and self.route.stream
+        if not program.program or not (retains or program.budget):
             if program.previous:
-                raise errors.UnknownTurn("The route keeps no turns.")
-            self.means.turns.allowances.take(
+                raise errors.UnknownTurn(
+                    f"Route {self.match.name!r} doesn't retain turns, but the "
+                    f"request names the previous turn {program.previous!r}."
+                )
+            self.context.turns.rate_limiter.admit(
                 self.call.customer, program.program, self.call.request
             )
             return
         step = max(1, self.service.tokens_per_event)
         reserve = step * math.ceil(self.call.generation.max_tokens / step)
-        retention = self.route.retention or BUDGET_SECONDS
-        loads = self.means.loads
-        turn = self.means.turns.open(
+        retention = self.route.retention or BUDGET_RETENTION_SECONDS
+        loads = self.context.loads
+        turn = self.context.turns.open(
             self.call, reserve, retention, loads.report()
         )
-        loads.hear(turn.others)
-        self.answer.turn = turn
+        loads.update_others(turn.others)
+        self.relay.turn = turn
 
     def _settle(self) -> None:
-        """Settles what was not kept; a turn that was kept stays so."""
-        answer = self.answer
-        if answer.turn is None or answer.kept:
+        """Settles the turn unless it is committed."""
+        relay = self.relay
+        if relay.turn is None or relay.committed:
             return
-        # The program's cache is where a turn began to run, not where a
-        # request for it went.
-        ran_at = answer.incarnation if answer.begun else ""
+        # The program's prefix cache is at the upstream that began to run the
+        # turn, not at one that the request was only sent to.
+        ran_at = relay.incarnation if relay.head_sent else ""
         ran = bool(self.attempts)
-        self.means.turns.settle(answer.turn, answer.tokens, ran_at, ran)
+        self.context.turns.settle(relay.turn, relay.tokens, ran_at, ran)
 
     # --- Attempts -------------------------------------------------------------
 
-    def _attempt_all(self, reply: forwarding.CallerResponse) -> None:
+    def _run_attempts(self, reply: forwarding.CallerResponse) -> None:
         while True:
             upstream = self._place()
             self.offers += 1
             self.tried.add(upstream.incarnation)
             self.sent_at = self.now
-            patience = PATIENCE * self.route.target_latency
-            loads = self.means.loads
-            loads.began(upstream.incarnation, self.call.request, patience)
+            silence_timeout = SILENCE_FACTOR * self.route.target_latency
+            loads = self.context.loads
+            loads.began(
+                upstream.incarnation, self.call.request, silence_timeout
+            )
             try:
                 self._attempt(upstream, reply)
             except errors.MintcleatError as error:
-                self._failed(upstream, error)
-                self._check_repeat(error)
-                if self.now >= self.until - REFUSAL_MARGIN:
-                    raise self._late() from error
+                self._attempt_failed(upstream, error)
+                self._check_retry(error)
+                if self.now >= self.deadline_at - REFUSAL_MARGIN_SECONDS:
+                    raise self._timeout_error() from error
             except BaseException:
-                # The caller left, or its time is over.
-                silent = self.now - max(self.sent_at, self.answer.piece_at)
-                received = self.answer.received
-                self._note(
+                # The caller disconnected, or the request timed out.
+                silent = self.now - max(self.sent_at, self.relay.last_event_at)
+                complete = self.relay.complete
+                self._record_evidence(
                     upstream,
-                    evidence.of_cancellation(received, silent, patience),
+                    evidence.of_cancellation(complete, silent, silence_timeout),
                 )
                 raise
             else:
-                self._note(upstream, evidence.of_answer(self.answer.status))
+                self._record_evidence(
+                    upstream, evidence.of_answer(self.relay.status)
+                )
                 return
             finally:
                 loads.ended(upstream.incarnation, self.call.request)
 
-    def _note(
+    def _record_evidence(
         self,
         upstream: member_messages.Registration,
-        said: evidence.Evidence,
+        verdict: evidence.Evidence,
     ) -> None:
-        match said:
+        match verdict:
             case evidence.Evidence.FAILURE:
-                self.means.loads.failed(upstream)
+                self.context.loads.failed(upstream)
             case evidence.Evidence.SUCCESS:
-                self.means.loads.answered(upstream.incarnation, self.sent_at)
+                self.context.loads.answered(upstream.incarnation, self.sent_at)
 
     def _place(self) -> member_messages.Registration:
-        turn = self.answer.turn
-        found = self.means.loads.choose(
+        turn = self.relay.turn
+        found = self.context.loads.choose(
             self.service_name,
             self.tried,
-            upstream_loads.Wanted(
+            upstream_loads.PlacementRequest(
                 self.call,
                 turn.hint if turn else "",
                 "" if turn else self.call.affinity,
-                self._may_repeat(),
+                self._may_retry(),
             ),
         )
         if found is None:
             if self.tried:
                 raise errors.Overloaded(
-                    f"No other upstream of {self.service_name} is left.",
+                    f"No upstream of service {self.service_name!r} is left; "
+                    f"{len(self.tried)} failed or refused the request.",
                     retry_after=RETRY_SECONDS,
                 )
             raise errors.NoUpstream(
-                f"No upstream of {self.service_name} takes new work.",
+                f"No upstream of service {self.service_name!r} takes new work.",
                 retry_after=RETRY_SECONDS,
             )
         upstream, choice, candidates = found
-        self.means.events.emit(
+        self.context.events.emit(
             event_types.CallPlaced(
                 self.call.request,
                 upstream.upstream,
                 self.offers + 1,
                 choice.reason,
-                self.means.loads.running(upstream.incarnation),
-                self.means.loads.running_elsewhere(upstream.incarnation),
-                self.means.loads.heard_age(),
+                self.context.loads.running(upstream.incarnation),
+                self.context.loads.running_elsewhere(upstream.incarnation),
+                self.context.loads.others_age(),
                 candidates,
-                round(self.until - self.now, 3),
-                self.means.configuration.registered.version,
+                round(self.deadline_at - self.now, 3),
+                self.context.configuration.registered.version,
             )
         )
         return upstream
@@ -299,43 +320,43 @@
         upstream: member_messages.Registration,
         reply: forwarding.CallerResponse,
     ) -> None:
-        turn = self.answer.turn
+        turn = self.relay.turn
         body = turn.body() if turn else self.call.body
-        self._limit(self.until + LATE_SECONDS)
+        self._set_timeout(self.deadline_at + GRACE_SECONDS)
         self.attempts += 1
-        self.answer.upstream = upstream
-        answer = self.means.upstreams.send(
+        self.relay.upstream = upstream
+        answer = self.context.upstreams.send(
             upstream,
             self.call,
             routed_calls.UpstreamRequest(
                 body,
-                max(0.0, self.until - self.now),
-                self.answer.last_event,
-                min(LAST_URGENCY, FIRST_URGENCY + self.priority),
+                max(0.0, self.deadline_at - self.now),
+                self.relay.last_event_id,
+                min(MAX_URGENCY, BASE_URGENCY + self.priority),
             ),
         )
         try:
-            self.means.loads.arrived(upstream.incarnation)
+            self.context.loads.arrived(upstream.incarnation)
             repeat = self.route.repeat == "any"
             left = self.attempts < self.route.attempts
-            self.answer.deliver(answer, reply, self.sent_at, repeat and left)
+            self.relay.relay(answer, reply, self.sent_at, repeat and left)
         finally:
             answer.close()
 
-    def _may_repeat(self) -> bool:
-        """Tells whether the next attempt may be followed by another one."""
+    def _may_retry(self) -> bool:
+        """Returns whether another attempt may follow the next one."""
         repeatable = self.route.repeat in ("any", "resume")
         return repeatable and self.attempts + 1 < self.route.attempts
 
-    def _failed(
+    def _attempt_failed(
         self,
         upstream: member_messages.Registration,
         error: errors.MintcleatError,
     ) -> None:
         if error.outcome == errors.NOT_RUN:
             self.attempts -= 1
-        self._note(upstream, evidence.of_error(error))
-        self.means.events.emit(
+        self._record_evidence(upstream, evidence.of_error(error))
+        self.context.events.emit(
             event_types.AttemptFailed(
                 self.call.request,
                 upstream.upstream,
@@ -344,47 +365,59 @@
                 error.detail,
                 error.outcome,
                 round(self.now - self.sent_at, 4),
-                self.answer.last_event,
+                self.relay.last_event_id,
             )
         )
 
-    def _check_repeat(self, error: errors.MintcleatError) -> None:
-        """Lets the next attempt begin, or raises what the caller is told."""
+    def _check_retry(self, error: errors.MintcleatError) -> None:
+        """Returns if another attempt may follow; else raises the final error.
+
+        Raises:
+            errors.MintcleatError: The error for the caller.
+        """
         if error.outcome == errors.NOT_RUN:
             if self.offers < MAX_OFFERS:
                 return
             raise errors.Overloaded(
-                f"{self.offers} upstreams of {self.service_name} did not "
-                "take the request.",
+                f"{self.offers} upstreams of service {self.service_name!r} "
+                "refused the request.",
                 retry_after=RETRY_SECONDS,
             ) from error
         repeat = self.route.repeat
         if isinstance(error, errors.TurnUnrecorded):
-            # Another run would only repeat what the caller has been given.
+            # Another run would only repeat what the caller has received.
             raise errors.StreamClosed(error.detail) from error
-        if self.answer.begun and not (repeat == "resume" and self.route.stream):
-            raise errors.StreamClosed("The answer broke off.") from error
+        if self.relay.head_sent and not (
+            repeat == "resume" and self.route.stream
+        ):
+            raise errors.StreamClosed(
+                f"The response broke off after it had begun: {error.detail}"
+            ) from error
         if repeat == "never" or self.attempts >= self.route.attempts:
             raise errors.OutcomeUnknown(
                 f"The request may have run: {error.detail}"
             ) from error
 
-    def _late(self) -> errors.MintcleatError:
-        if self.answer.begun:
-            return errors.StreamClosed("The request's time is over.")
+    def _timeout_error(self) -> errors.MintcleatError:
+        if self.relay.head_sent:
+            return errors.StreamClosed(
+                "The deadline passed before the end of the response."
+            )
         if self.attempts:
-            return errors.OutcomeUnknown("No answer came in time.")
+            return errors.OutcomeUnknown(
+                "No upstream answered before the deadline."
+            )
         return errors.DeadlineUnmet(
-            "The request's time was over before it could be sent.",
+            "The deadline passed before the request could be sent.",
             retry_after=RETRY_SECONDS,
         )
 
-    # --- What is told ---------------------------------------------------------
+    # --- Events ---------------------------------------------------------------
 
-    def _tell_taken(self) -> None:
-        configuration = self.means.configuration
+    def _emit_received(self) -> None:
+        configuration = self.context.configuration
         program = self.call.program
-        self.means.events.emit(
+        self.context.events.emit(
             event_types.CallTaken(
                 self.call.request,
                 self.match.name,
@@ -392,7 +425,7 @@
                 program.program,
                 program.session,
                 program.previous,
-                round(self.until - self.began, 3),
+                round(self.deadline_at - self.began, 3),
                 configuration.revision(),
                 round(configuration.lease_left(), 3),
                 configuration.registered.version,
@@ -400,31 +433,31 @@
             )
         )
 
-    def _tell_gone(self) -> None:
-        self.means.events.emit(
+    def _emit_caller_gone(self) -> None:
+        self.context.events.emit(
             event_types.CallerGone(
                 self.call.request,
                 self.match.name,
                 self.call.program.program,
-                self.answer.upstream_name,
+                self.relay.upstream_name,
                 round(self.now - self.began, 4),
             )
         )
 
-    def _tell_ended(self, outcome: str) -> None:
-        answer = self.answer
-        self.means.events.emit(
+    def _emit_ended(self, outcome: str) -> None:
+        relay = self.relay
+        self.context.events.emit(
             event_types.CallEnded(
                 self.call.request,
                 self.match.name,
                 self.call.program.program,
-                answer.upstream_name,
-                answer.status,
+                relay.upstream_name,
+                relay.status,
                 outcome,
                 self.offers,
-                round(max(0.0, answer.first - self.began), 4),
-                round(answer.gap, 4),
+                round(max(0.0, relay.first_at - self.began), 4),
+                round(relay.max_gap, 4),
                 round(self.now - self.began, 4),
-                answer.tokens,
+                relay.tokens,
             )
         )
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the upstreams that it sends routed requests to."""
+"""Load and health of the upstreams that an entry sends routed requests to."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -18,26 +18,27 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 
-# From this age on, what other entries told is not even worth a figure, in s.
-FORGOTTEN = 60.0
+# Age from which on a load report of other entries counts as missing.
+MAX_REPORT_AGE_SECONDS = 60.0
 
 
 class Configuration(Protocol):
-    """The registered upstreams as this process follows them."""
+    """The part of the followed configuration that holds the upstreams."""
 
     registered: directory.Directory
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Calls back after each change."""
+        """Calls `callback` after each change."""
 
 
-class Wanted(NamedTuple):
-    """A request that is to be placed.
+class PlacementRequest(NamedTuple):
+    """A request that needs an upstream.
 
     Attributes:
-        hint: Life of the upstream where its program ran last; empty for none.
-        affinity: Program or object that requests have in common.
-        repeatable: Whether it may run once more elsewhere.
+        hint: Incarnation of the upstream that ran its program last; empty for
+            none.
+        affinity: Key shared by requests that should go to one upstream.
+        repeatable: Whether another upstream may run it after a failure.
     """
 
     call: routed_calls.RoutedCall
@@ -47,17 +48,18 @@
 
 
 class UpstreamLoads:
-    """Counts running requests; leaves out upstreams that fail or keep silent.
+    """Tracks load and health of upstreams and chooses among them.
 
-    All that is learned is kept by the life of an upstream: what starts again
-    under the same id has no cache and owes nothing for the life before.
+    State is kept per incarnation: an upstream that restarts under the same id
+    has an empty cache and doesn't inherit penalties.
 
     Attributes:
-        entry: Name of this entry among all.
-        others: What other entries have running.
-        known: Registrations in force, by life.
-        by_service: Upstreams that take new work, by service and life.
-        gone: Called with each life that is over.
+        entry: Name of this entry.
+        policy: Decisions that are switched on.
+        others: Running requests of other entries.
+        on_removed: Called with each incarnation that is removed.
+        known: Current registrations by incarnation.
+        by_service: Upstreams that accept new work, by service and incarnation.
     """
 
     def __init__(
@@ -65,7 +67,7 @@
         configuration: Configuration,
         timers: timer_ports.Timers,
         events: event_ports.EventReporter,
-        gone: Callable[[str], None],
+        on_removed: Callable[[str], None],
         entry: str,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
@@ -75,30 +77,34 @@
         self.configuration = configuration
         self.timers = timers
         self.events = events
-        self.gone = gone
+        self.on_removed = on_removed
         self.penalties = upstream_health.FailurePenalties()
         self.silence_detector = upstream_health.SilenceDetector()
         self.latencies = load_balancing.LatencyTracker()
         self.known: dict[str, member_messages.Registration] = {}
         self.by_service: dict[str, dict[str, member_messages.Registration]] = {}
-        configuration.subscribe(self.read)
+        configuration.subscribe(self.refresh)
 
-    def read(self) -> None:
-        """Takes the directory as it is now."""
+    def refresh(self) -> None:
+        """Applies the current directory and reports the changes."""
         registered = self.configuration.registered
         entries = {
             item.incarnation: item for item in registered.entries.values()
         }
         for incarnation in self.known.keys() - entries.keys():
-            held = self.known[incarnation]
-            self._tell(held._replace(state="gone"), registered.version)
+            previous = self.known[incarnation]
+            self._emit_changed(
+                previous._replace(state="gone"), registered.version
+            )
             self.latencies.forget(incarnation)
             self.penalties.forget(incarnation)
-            self.gone(incarnation)
+            self.on_removed(incarnation)
         for incarnation, item in entries.items():
-            held = self.known.get(incarnation)
-            if held is None or not directory.same_except_renewal(held, item):
-                self._tell(item, registered.version)
+            previous = self.known.get(incarnation)
+            if previous is None or not directory.same_except_renewal(
+                previous, item
+            ):
+                self._emit_changed(item, registered.version)
         self.known = entries
         self.by_service = {}
         for incarnation, item in entries.items():
@@ -106,9 +112,19 @@
                 self.by_service.setdefault(item.service, {})[incarnation] = item
 
     def choose(
-        self, service: str, tried: set[str], wanted: Wanted
+        self, service: str, tried: set[str], request: PlacementRequest
     ) -> tuple[member_messages.Registration, load_balancing.Choice, int] | None:
-        """Returns an upstream, why, and among how many; None for none."""
+        """Chooses an upstream for a request.
+
+        Args:
+            service: Service that runs it.
+            tried: Incarnations that are excluded.
+            request: The request.
+
+        Returns:
+            The upstream, the choice and the number of candidates; None when
+            no upstream is left.
+        """
         now = self.timers.now()
         ready = self.by_service.get(service, {})
         policy = self.policy
@@ -116,13 +132,13 @@
             [incarnation for incarnation in ready if incarnation not in tried],
             self.penalties if policy.standing else None,
             self.silence_detector if policy.silence else None,
-            wanted.repeatable,
+            request.repeatable,
             now,
         )
         slow = (
             self.latencies.slowdown_factors(names, now) if policy.speed else {}
         )
-        others = self._elsewhere(now)
+        others = self._others_running(now)
         candidates = [
             load_balancing.Candidate(
                 name,
@@ -132,45 +148,48 @@
             )
             for name in names
         ]
-        hint = wanted.hint if policy.resident else ""
+        hint = request.hint if policy.resident else ""
         choice = load_balancing.choose(
-            candidates, hint, wanted.affinity, wanted.call.request
+            candidates, hint, request.affinity, request.call.request
         )
         if choice is None:
             return None
         return self.known[choice.upstream], choice, len(candidates)
 
-    def began(self, incarnation: str, request: str, patience: float) -> None:
-        """Counts a request that goes there.
+    def began(
+        self, incarnation: str, request: str, silence_timeout: float
+    ) -> None:
+        """Counts a request that is sent to an upstream.
 
         Args:
-            incarnation: Where it goes.
-            request: Its id.
-            patience: Seconds of silence that are still usual for its route.
+            incarnation: Incarnation of the upstream.
+            request: Request id.
+            silence_timeout: Seconds of silence after which the upstream
+                counts as silent.
         """
         self.silence_detector.began(
-            incarnation, request, patience, self.timers.now()
+            incarnation, request, silence_timeout, self.timers.now()
         )
 
     def arrived(self, incarnation: str) -> None:
-        """Notes that something came from it."""
+        """Records that data arrived from an upstream."""
         self.silence_detector.arrived(incarnation, self.timers.now())
 
     def running(self, incarnation: str) -> int:
-        """Returns how many requests of this process run there."""
+        """Returns the number of this entry's requests at an upstream."""
         return self.silence_detector.waiting(incarnation)
 
     def running_elsewhere(self, incarnation: str) -> int:
-        """Returns how many requests other entries have there; 0 if unknown."""
-        return self._elsewhere(self.timers.now()).get(incarnation, 0)
+        """Returns the number of other entries' requests; 0 if unknown."""
+        return self._others_running(self.timers.now()).get(incarnation, 0)
 
-    def heard_age(self) -> float:
-        """Returns how old that knowledge is, in seconds; -1 without any."""
+    def others_age(self) -> float:
+        """Returns the age of the others' report in seconds; -1 for none."""
         age = self.timers.now() - self.others.received_at
-        return round(age, 3) if age < FORGOTTEN else -1.0
+        return round(age, 3) if age < MAX_REPORT_AGE_SECONDS else -1.0
 
     def report(self) -> program_messages.RunningCounts:
-        """Returns what this entry has running."""
+        """Returns this entry's running requests by upstream."""
         waits = self.silence_detector.pending_requests
         counts = {
             incarnation: len(requests)
@@ -178,42 +197,44 @@
         }
         return program_messages.RunningCounts(self.entry, counts)
 
-    def hear(self, others: Mapping[str, int]) -> None:
-        """Takes what other entries have running."""
+    def update_others(self, others: Mapping[str, int]) -> None:
+        """Replaces the running requests of other entries."""
         self.others.update(others, self.timers.now())
 
     def ended(self, incarnation: str, request: str) -> None:
-        """Takes the request back out of the count; safe to repeat."""
+        """Removes a request from the count; idempotent."""
         self.silence_detector.ended(incarnation, request)
 
     def observe(self, incarnation: str, seconds: float) -> None:
-        """Takes the pause before a piece, or the time of a whole answer."""
+        """Records the gap before an event or the time of a whole response."""
         if incarnation in self.known:
             self.latencies.observe(incarnation, seconds, self.timers.now())
 
     def answered(self, incarnation: str, began: float) -> None:
-        """Notes a good answer to a request that was sent at `began`."""
+        """Records a good response to a request that was sent at `began`."""
         self.penalties.answered(incarnation, began, self.timers.now())
 
     def failed(self, upstream: member_messages.Registration) -> None:
-        """Notes that it failed a request, broke off or was not reached."""
+        """Records a failed request, a broken response or a failed connect."""
         if upstream.incarnation not in self.known:
             return
         now = self.timers.now()
-        held = self.penalties.failed(upstream.incarnation, now)
+        previous = self.penalties.failed(upstream.incarnation, now)
         self.events.emit(
             event_types.UpstreamAvoided(
                 upstream.upstream,
                 upstream.service,
-                round(held.failures, 2),
-                round(held.until - now, 3),
+                round(previous.failures, 2),
+                round(previous.until - now, 3),
             )
         )
 
-    def _elsewhere(self, now: float) -> Mapping[str, int]:
+    def _others_running(self, now: float) -> Mapping[str, int]:
         return self.others.current(now) if self.policy.shared_load else {}
 
-    def _tell(self, item: member_messages.Registration, version: int) -> None:
+    def _emit_changed(
+        self, item: member_messages.Registration, version: int
+    ) -> None:
         self.events.emit(
             event_types.UpstreamChanged(
                 item.upstream, item.service, item.address, item.state, version
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -17,9 +17,9 @@
 from mintcleat.domain import member_messages
 from mintcleat.domain import routed_calls
 from mintcleat.ports import events
-from mintcleat.roles.entry import allowances
 from mintcleat.roles.entry import gateway
-from mintcleat.roles.entry import turn_keeper
+from mintcleat.roles.entry import rate_limiter
+from mintcleat.roles.entry import turn_client
 
 
 class HoldTest(testtools.TestCase):
@@ -183,13 +183,13 @@
             timers.EventletTimers(),
             events.NullEventReporter(),
         )
-        allowed = allowances.Allowances(
+        limiter = rate_limiter.RateLimiter(
             None, clock, event_reporter, self.configuration
         )
         self.gateway = gateway.Gateway(
             self.configuration,
             self.upstreams,
-            turn_keeper.TurnKeeper(None, allowed, clock, event_reporter),
+            turn_client.TurnClient(None, limiter, clock, event_reporter),
             clock,
             event_reporter,
             "e1",
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -15,7 +15,7 @@
 from mintcleat.ports import events
 from mintcleat.programs import branches
 from mintcleat.programs import limits
-from mintcleat.roles.entry import allowances
+from mintcleat.roles.entry import rate_limiter
 
 WINDOW = 5.0
 SMALL = program_messages.RateLimit(10.0, 10.0, WINDOW)
@@ -432,7 +432,7 @@
         return self.left
 
 
-class AllowancesTest(testtools.TestCase):
+class RateLimiterTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.clock = waiting_clock.Clock()
@@ -441,7 +441,7 @@
         self.configuration = FakeConfiguration(
             manifest.Policies(customers=held)
         )
-        self.allowances = allowances.Allowances(
+        self.rate_limiter = rate_limiter.RateLimiter(
             self.control,
             self.clock,
             events.NullEventReporter(),
@@ -449,44 +449,48 @@
         )
 
     def test_customer_without_a_limit_sends_nothing_to_control(self) -> None:
-        self.allowances.take("studios", "p", "r")
-        self.allowances.take("", "p", "r")
+        self.rate_limiter.admit("studios", "p", "r")
+        self.rate_limiter.admit("", "p", "r")
         self.assertEqual([], self.control.asked)
 
     def test_request_counted_ahead_needs_no_control_until_it_expires(
         self,
     ) -> None:
         for _ in range(3):
-            self.allowances.take("farmers", "p", "r")
+            self.rate_limiter.admit("farmers", "p", "r")
         self.assertEqual(1, len(self.control.asked))
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.clock.sleep(limits.AHEAD_SECONDS + 0.1)
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.assertEqual(3, len(self.control.asked))
 
     def test_active_program_waits_out_a_short_retry_after(self) -> None:
         self.control.refusals = [errors.LimitReached("", retry_after=0.2)]
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.assertEqual(0.2, self.clock.now())
 
     def test_long_retry_after_is_refused_immediately(self) -> None:
         self.control.refusals = [errors.LimitReached("", retry_after=2.0)]
         self.assertRaises(
-            errors.LimitReached, self.allowances.take, "farmers", "p", "r"
+            errors.LimitReached, self.rate_limiter.admit, "farmers", "p", "r"
         )
         self.assertEqual(0.0, self.clock.now())
 
     def test_new_program_is_refused_immediately(self) -> None:
         self.control.refusals = [errors.LimitNear("", retry_after=0.2)]
         self.assertRaises(
-            errors.LimitNear, self.allowances.take, "farmers", "p", "r"
+            errors.LimitNear, self.rate_limiter.admit, "farmers", "p", "r"
         )
         self.assertEqual(0.0, self.clock.now())
 
     def test_count_of_unknown_outcome_is_reported_as_not_run(self) -> None:
         self.control.refusals = [errors.OutcomeUnknown("lost")]
         error = self.assertRaises(
-            errors.ControlUnavailable, self.allowances.take, "farmers", "p", "r"
+            errors.ControlUnavailable,
+            self.rate_limiter.admit,
+            "farmers",
+            "p",
+            "r",
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
@@ -494,13 +498,13 @@
         # Guards against an entry that has lost control and makes callers wait
         # for as long as an election takes, though another entry could serve
         # them immediately.
-        self.allowances.take("farmers", "p", "r")
+        self.rate_limiter.admit("farmers", "p", "r")
         self.configuration.left = 0.0
         self.clock.sleep(2.0)
         self.control.refusals = [errors.ControlUnavailable("none answered")]
         error = self.assertRaises(
             errors.ControlUnavailable,
-            self.allowances.take,
+            self.rate_limiter.admit,
             "farmers",
             "p",
             "r",
