--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -160,13 +160,13 @@
 class Upstream(Protocol):
     """What an order does at the upstream."""
 
-    def hold_work(self, held: bool) -> None:
+    def pause_admission(self, held: bool) -> None:
         """Refuses new work while an order is carried out, or takes it."""
 
     def is_busy(self) -> bool:
         """Tells whether calls are under way."""
 
-    def carry_out(self, number: int, action: str, model: str) -> None:
+    def execute_order(self, number: int, action: str, model: str) -> None:
         """Hands the order to the upstream and waits for its end."""
 
 
@@ -214,17 +214,17 @@
         # one may have come, or a copy of this one may have been carried out.
         if not self.gate.admit(order.fencing_token):
             return
-        self.upstream.hold_work(True)
+        self.upstream.pause_admission(True)
         try:
             self._wait_idle()
             if not self.gate.is_current(order.fencing_token):
                 raise errors.FencedOff("A newer order came.")
-            self.upstream.carry_out(
+            self.upstream.execute_order(
                 order.fencing_token, order.action, order.model
             )
             self.gate.finish(order.fencing_token)
         finally:
-            self.upstream.hold_work(False)
+            self.upstream.pause_admission(False)
 
     def _wait_idle(self) -> None:
         """Waits for the calls under way; an order cuts no request."""
--- a/src/mintcleat/roles/sidecar/orders.py
+++ b/src/mintcleat/roles/sidecar/orders.py
@@ -35,7 +35,7 @@
         self.presence = presence
         self.under_way = under_way
 
-    def hold_work(self, held: bool) -> None:
+    def pause_admission(self, held: bool) -> None:
         """Refuses new work while an order is carried out, or takes it."""
         if held:
             self.presence.order_begins()
@@ -46,7 +46,7 @@
         """Tells whether calls are under way."""
         return bool(self.under_way())
 
-    def carry_out(self, number: int, action: str, model: str) -> None:
+    def execute_order(self, number: int, action: str, model: str) -> None:
         """Hands the order to the engine and waits for its end."""
         self.engine.order(number, action, model)
 
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -151,7 +151,7 @@
 
     def until(self, probe: Callable[[], Any], limit: float = 5.0) -> Any:
         """Waits until the probe returns something true, and returns it."""
-        return until(probe, limit)
+        return wait_until(probe, limit)
 
     def open(self, message: Any) -> Any:
         return self.client.open(self.server.address, message)
@@ -161,7 +161,7 @@
         return drain(self.open(message), timeout)
 
 
-def until(probe: Callable[[], Any], limit: float = 5.0) -> Any:
+def wait_until(probe: Callable[[], Any], limit: float = 5.0) -> Any:
     """Waits until the probe returns something true, and returns it."""
     for _ in range(int(limit / 0.01)):
         found = probe()
--- a/testing/fakes/service_system.py
+++ b/testing/fakes/service_system.py
@@ -168,7 +168,7 @@
         for number, process in enumerate(self.entries):
             if process is None:
                 self._start_entry(number)
-        service_rig.until(self._is_ready, 15.0)
+        service_rig.wait_until(self._is_ready, 15.0)
 
     def _is_ready(self) -> bool:
         return all(
@@ -228,7 +228,7 @@
                 return False
             return True
 
-        service_rig.until(pushed, 10.0)
+        service_rig.wait_until(pushed, 10.0)
 
     def _add(self, name: str, upstream: Any) -> None:
         upstream.name = name
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -24,7 +24,7 @@
         self.calls = 0
         self.during: Callable[[], None] = lambda: None
 
-    def hold_work(self, held: bool) -> None:
+    def pause_admission(self, held: bool) -> None:
         """Records whether new work is held."""
         self.held.append(held)
 
@@ -33,7 +33,7 @@
         self.calls -= 1
         return self.calls >= 0
 
-    def carry_out(self, number: int, action: str, model: str) -> None:
+    def execute_order(self, number: int, action: str, model: str) -> None:
         """Loads the model."""
         self.taken.append(number)
         self.model = model
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -194,13 +194,13 @@
         The copy comes while the first is being carried out. Both leaders
         are told that it is done, and the engine saw one order.
         """
-        carry_out = self.rig.sidecar.orders.upstream.carry_out
+        execute_order = self.rig.sidecar.orders.upstream.execute_order
 
         def slowly(number: int, action: str, model: str) -> None:
             eventlet.sleep(0.05)
-            carry_out(number, action, model)
+            execute_order(number, action, model)
 
-        self.rig.sidecar.orders.upstream.carry_out = slowly
+        self.rig.sidecar.orders.upstream.execute_order = slowly
         threads = [eventlet.spawn(self.order, 3) for _ in range(2)]
         for thread in threads:
             self.assertIsInstance(thread.wait(), identities.Done)
