--- a/src/mintcleat/roles/control_client.py
+++ b/src/mintcleat/roles/control_client.py
@@ -18,14 +18,14 @@
 
 # A leader behind a silent partition never answers; after this long the next
 # control instance is asked. Above the service's own wait for a commit.
-TRY_SECONDS = 2.0
+TRY_TIMEOUT = 2.0
 # Pauses between rounds in which no instance knew a leader: an election takes
 # some hundred milliseconds, and asking faster only delays it.
-FIRST_PAUSE = 0.02
-LAST_PAUSE = 0.1
+MIN_BACKOFF = 0.02
+MAX_BACKOFF = 0.1
 # For so long an instance that did not answer is asked last. About the time
 # of a failover; after it, the instance may be back.
-SILENT_SECONDS = 2.0
+UNRESPONSIVE_SECONDS = 2.0
 # One message holds the loop of both sides while it is coded; these keep that
 # below a few milliseconds.
 MAX_BATCH_ITEMS = 256
@@ -35,14 +35,14 @@
 MAX_IN_FLIGHT = 2
 
 
-class Pending(NamedTuple):
+class PendingRequest(NamedTuple):
     """A request that waits for its reply; equal only to itself."""
 
     item: bytes
     reply: event.Event
 
 
-class Line:
+class BatchChannel:
     """Requests to one leader and group, coalesced into batches.
 
     A request on a free line goes at once; those that come while batches are
@@ -54,13 +54,13 @@
         stream_service: streams.Streams,
         timer_service: timers.Timers,
         address: str,
-        try_seconds: float = TRY_SECONDS,
+        try_timeout: float = TRY_TIMEOUT,
     ) -> None:
-        self.try_seconds = try_seconds
+        self.try_timeout = try_timeout
         self.streams = stream_service
         self.timers = timer_service
         self.address = address
-        self.waiting: list[Pending] = []
+        self.waiting: list[PendingRequest] = []
         self.in_flight = 0
 
     def ask(self, message: Any, timeout: float) -> Any:
@@ -71,7 +71,7 @@
                 was never sent.
             errors.StreamTimeout: No reply in time; `not_run` likewise.
         """
-        pending = Pending(codec.encode(message), event.Event())
+        pending = PendingRequest(codec.encode(message), event.Event())
         self.waiting.append(pending)
         self._start()
         reply = pending.reply.wait(timeout)
@@ -85,29 +85,29 @@
             outcome=errors.NOT_RUN if is_unsent else errors.UNKNOWN,
         )
 
-    def ask_alone(self, message: Any) -> Any:
+    def ask_unbatched(self, message: Any) -> Any:
         """Returns the reply to a request that shares no batch.
 
         Made for histories: hundreds of them in one reply would be over the
         size of a message, and all their callers would be refused.
         """
-        pending = Pending(codec.encode(message), event.Event())
+        pending = PendingRequest(codec.encode(message), event.Event())
         self._send([pending])
         return pending.reply.wait()
 
     def _start(self) -> None:
         if self.in_flight < MAX_IN_FLIGHT:
             self.in_flight += 1
-            self.timers.spawn(self._drain)
+            self.timers.spawn(self._send_batches)
 
-    def _drain(self) -> None:
+    def _send_batches(self) -> None:
         try:
             while self.waiting:
-                self._send(self._take())
+                self._send(self._take_batch())
         finally:
             self.in_flight -= 1
 
-    def _take(self) -> list[Pending]:
+    def _take_batch(self) -> list[PendingRequest]:
         size = 0
         count = 0
         for pending in self.waiting[:MAX_BATCH_ITEMS]:
@@ -119,10 +119,10 @@
         del self.waiting[:count]
         return taken
 
-    def _send(self, batch: list[Pending]) -> None:
+    def _send(self, batch: list[PendingRequest]) -> None:
         request = identities.Batch([pending.item for pending in batch])
         try:
-            reply = self.streams.ask(self.address, request, self.try_seconds)
+            reply = self.streams.ask(self.address, request, self.try_timeout)
             replies = [codec.decode(item) for item in reply.items]
             if len(replies) != len(batch):
                 raise errors.StreamClosed(
@@ -131,15 +131,13 @@
                 )
         except errors.MintcleatError as error:
             for pending in batch:
-                pending.reply.send_exception(self._line_failure(error))
+                pending.reply.send_exception(self._retryable(error))
             self._fail_waiting()
             return
         for pending, item in zip(batch, replies, strict=True):
             pending.reply.send(item)
 
-    def _line_failure(
-        self, error: errors.MintcleatError
-    ) -> errors.MintcleatError:
+    def _retryable(self, error: errors.MintcleatError) -> errors.MintcleatError:
         """Returns the failure of a whole batch as one to retry elsewhere.
 
         An instance that is starting or stopping has no handler yet, or no
@@ -173,7 +171,7 @@
         addresses: Stream addresses of the control instances.
         groups: How many program groups there are.
         leaders: The last known leader's address by group.
-        silent: Instances that did not answer, and when that was noted.
+        unresponsive: Instances that did not answer, and when that was noted.
     """
 
     def __init__(
@@ -182,16 +180,16 @@
         timer_service: timers.Timers,
         control_addresses: list[str],
         groups: int,
-        try_seconds: float = TRY_SECONDS,
+        try_timeout: float = TRY_TIMEOUT,
     ) -> None:
-        self.try_seconds = try_seconds
+        self.try_timeout = try_timeout
         self.streams = stream_service
         self.timers = timer_service
         self.addresses = control_addresses
         self.groups = groups
         self.leaders: dict[str, str] = {}
-        self.lines: dict[tuple[str, str], Line] = {}
-        self.silent: dict[str, float] = {}
+        self.channels: dict[tuple[str, str], BatchChannel] = {}
+        self.unresponsive: dict[str, float] = {}
 
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
         """Returns the group's reply to a request.
@@ -252,14 +250,14 @@
         """Tries instance after instance until one answers or time is up."""
         deadline = self.timers.now() + timeout
         may_be_proposed = False
-        pause = FIRST_PAUSE
+        backoff = MIN_BACKOFF
         tried: list[str] = []
         while self.timers.now() < deadline:
             address = self._pick(group, tried)
             if not address:
                 tried.clear()
-                self.timers.sleep(pause)
-                pause = min(pause * 2, LAST_PAUSE)
+                self.timers.sleep(backoff)
+                backoff = min(backoff * 2, MAX_BACKOFF)
                 continue
             tried.append(address)
             try:
@@ -269,7 +267,7 @@
                 self._redirect(group, address, error.leader)
             except (errors.StreamClosed, errors.StreamTimeout) as error:
                 self._redirect(group, address, "")
-                self._note_silent(address)
+                self._mark_unresponsive(address)
                 may_be_proposed |= error.outcome != errors.NOT_RUN
             except (errors.ProposalLost, errors.StorageFailed):
                 self._redirect(group, address, "")
@@ -284,14 +282,16 @@
         )
 
     def _try(self, group: str, address: str, message: Any, left: float) -> Any:
-        line = self.lines.get((group, address))
-        if line is None:
-            line = Line(self.streams, self.timers, address, self.try_seconds)
-            self.lines[group, address] = line
+        channel = self.channels.get((group, address))
+        if channel is None:
+            channel = BatchChannel(
+                self.streams, self.timers, address, self.try_timeout
+            )
+            self.channels[group, address] = channel
         if isinstance(message, program_messages.FetchHistory):
-            reply = line.ask_alone(message)
+            reply = channel.ask_unbatched(message)
         else:
-            reply = line.ask(message, min(left, self.try_seconds))
+            reply = channel.ask(message, min(left, self.try_timeout))
         if isinstance(reply, errors.Failure):
             raise errors.from_failure(reply)
         self.leaders[group] = address
@@ -302,7 +302,7 @@
 
         Instances that did not answer lately come last, and those that have
         just kept a caller waiting not at all: each try of one that is cut off
-        costs another `try_seconds`.
+        costs another `try_timeout`.
 
         Returns:
             An address; empty when this round is over.
@@ -310,38 +310,49 @@
         leader = self.leaders.get(group)
         if leader:
             return leader
-        asked = [one for one in self.addresses if not self._is_doubted(one)]
+        asked = [
+            one for one in self.addresses if not self._timed_out_just_now(one)
+        ]
         asked = asked or self.addresses
         left = [one for one in asked if one not in tried]
         if not left:
             return ""
-        return min(left, key=lambda one: self._is_silent(one, SILENT_SECONDS))
+        return min(
+            left,
+            key=lambda one: self._is_unresponsive(one, UNRESPONSIVE_SECONDS),
+        )
 
-    def _is_doubted(self, address: str) -> bool:
+    def _timed_out_just_now(self, address: str) -> bool:
         """Tells whether an instance did not answer just now.
 
         The others take a leader that stands still for the leader until the
         next one is elected. Sent back to it by their word, a caller waits
         once more, and past the election.
         """
-        return self._is_silent(address, self.try_seconds)
+        return self._is_unresponsive(address, self.try_timeout)
 
-    def _is_silent(self, address: str, seconds: float) -> bool:
-        noted = self.silent.get(address, -math.inf)
+    def _is_unresponsive(self, address: str, seconds: float) -> bool:
+        noted = self.unresponsive.get(address, -math.inf)
         return self.timers.now() < noted + seconds
 
-    def _note_silent(self, address: str) -> None:
+    def _mark_unresponsive(self, address: str) -> None:
         now = self.timers.now()
-        self.silent[address] = now
-        oldest = now - max(SILENT_SECONDS, self.try_seconds)
-        for known in [one for one, at in self.silent.items() if at < oldest]:
-            del self.silent[known]
+        self.unresponsive[address] = now
+        oldest = now - max(UNRESPONSIVE_SECONDS, self.try_timeout)
+        for known in [
+            one for one, at in self.unresponsive.items() if at < oldest
+        ]:
+            del self.unresponsive[known]
 
     def _redirect(self, group: str, address: str, leader: str) -> None:
         """Learns from a failed try; a newer entry of the cache stays."""
         if self.leaders.get(group, address) != address:
             return
-        if leader and leader != address and not self._is_doubted(leader):
+        if (
+            leader
+            and leader != address
+            and not self._timed_out_just_now(leader)
+        ):
             self.leaders[group] = leader
         else:
             self.leaders.pop(group, None)
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -23,14 +23,14 @@
 
 # A node on another control instance than its preferred one goes back after
 # this time, so that load evens out when a control instance returns.
-REBALANCE = 60.0
+REBALANCE_SECONDS = 60.0
 # After a failover, a control instance may not have heard of every upstream
 # yet. Upstreams missing from its first list are kept for this time; one that
 # really left refuses by itself.
-MISSING_GRACE = lease.MEMBER_LEASE
+MISSING_GRACE_SECONDS = lease.MEMBER_LEASE
 # Rounds of renewals after which a node in touch has heard of a push, for one
 # that is late.
-_WORD_ROUNDS = 1.5
+_LATE_PUSH_ROUNDS = 1.5
 
 Announcer = Callable[[], member_messages.Announcement | None]
 
@@ -75,7 +75,7 @@
         self.current_revision = 0
         self.by_instance: dict[str, member_messages.Announcement] = {}
         self.by_service: dict[str, list[member_messages.Announcement]] = {}
-        self.kept_until: dict[str, float] = {}
+        self.missing_until: dict[str, float] = {}
         self.restrictions = config_messages.Restrictions(0, [], [], [])
         self.registered = directory.Directory()
         self.drains: frozenset[str] = frozenset()
@@ -93,7 +93,7 @@
         """Starts following; returns at once."""
         self.stream.start()
         self.subscriptions = [
-            self.timers.every(REBALANCE, self._rebalance),
+            self.timers.every(REBALANCE_SECONDS, self._rebalance),
             self.timers.every(self.times.renew, self._drop_missing),
         ]
 
@@ -137,7 +137,7 @@
 
     def word_seconds(self) -> float:
         """Returns within which time a node in touch hears of every push."""
-        return _WORD_ROUNDS * (self.times.renew + self.times.relay_renew)
+        return _LATE_PUSH_ROUNDS * (self.times.renew + self.times.relay_renew)
 
     def may_serve_stale(self) -> bool:
         """Tells whether idempotent plain calls go on without a lease."""
@@ -240,11 +240,11 @@
         """Handles a message of the control instance."""
         match message:
             case config_messages.ConfigUpdate():
-                self._take_config(message)
+                self._apply_config(message)
             case member_messages.MembersUpdate():
-                self._take_members(message)
+                self._apply_members(message)
             case config_messages.Restrictions():
-                self._take_restrictions(message)
+                self._apply_restrictions(message)
             case member_messages.DirectoryUpdate():
                 if self.registered.apply_update(message):
                     self._notify()
@@ -255,7 +255,7 @@
 
     # --- Updates --------------------------------------------------------------
 
-    def _take_config(self, update: config_messages.ConfigUpdate) -> None:
+    def _apply_config(self, update: config_messages.ConfigUpdate) -> None:
         if update.revision < self.current_revision:
             # A control instance that lags must not take the node back.
             return
@@ -263,7 +263,7 @@
             # What these changes rest on could not be read here.
             return
         if update.revision > self.current_revision:
-            if not self._apply(update):
+            if not self._apply_sections(update):
                 return
             self.lease.renew(update.echo, update.lease)
             self.stream.report()
@@ -271,7 +271,7 @@
             return
         self.lease.renew(update.echo, update.lease)
 
-    def _apply(self, update: config_messages.ConfigUpdate) -> bool:
+    def _apply_sections(self, update: config_messages.ConfigUpdate) -> bool:
         """Applies an update whole or not at all."""
         assembly = sections.Assembly() if update.whole else self.assembly
         try:
@@ -290,17 +290,19 @@
         self.current_revision = update.revision
         return True
 
-    def _take_members(self, update: member_messages.MembersUpdate) -> None:
+    def _apply_members(self, update: member_messages.MembersUpdate) -> None:
         now = self.timers.now()
         if update.whole:
             listed = {item.sidecar.instance for item in update.members}
             for instance in self.by_instance:
                 if instance not in listed:
-                    self.kept_until.setdefault(instance, now + MISSING_GRACE)
+                    self.missing_until.setdefault(
+                        instance, now + MISSING_GRACE_SECONDS
+                    )
         for announcement in update.members:
             instance = announcement.sidecar.instance
             self.by_instance[instance] = announcement
-            self.kept_until.pop(instance, None)
+            self.missing_until.pop(instance, None)
         for sidecar in update.gone:
             held = self.by_instance.get(sidecar.instance)
             if held is not None and held.sidecar == sidecar:
@@ -309,7 +311,7 @@
 
     def _drop_missing(self) -> None:
         now = self.timers.now()
-        late = [name for name, at in self.kept_until.items() if at <= now]
+        late = [name for name, at in self.missing_until.items() if at <= now]
         for instance in late:
             self._remove(instance)
         if late:
@@ -317,7 +319,7 @@
 
     def _remove(self, instance: str) -> None:
         self.by_instance.pop(instance, None)
-        self.kept_until.pop(instance, None)
+        self.missing_until.pop(instance, None)
 
     def _index(self) -> None:
         """Sorts the members by service and marks the drained ones."""
@@ -330,7 +332,7 @@
         self.by_service = index
         self._notify()
 
-    def _take_restrictions(self, update: config_messages.Restrictions) -> None:
+    def _apply_restrictions(self, update: config_messages.Restrictions) -> None:
         if update.version < self.restrictions.version:
             return
         self.restrictions = update
--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -20,13 +20,13 @@
 from mintcleat.ports import timers as timer_ports
 
 # Loading a model from the weight store takes minutes.
-ORDER_SECONDS = 600.0
+ORDER_TIMEOUT = 600.0
 # An order without outcome for so long counts as failed: an engine that hangs
 # would hold its rollout up for good.
-ORDER_LIMIT = 1_200.0
+ORDER_FAILURE_SECONDS = 1_200.0
 # Calls under way get this time to end before an order changes the model.
-IDLE_SECONDS = 300.0
-IDLE_STEP = 0.1
+IDLE_TIMEOUT = 300.0
+IDLE_POLL_SECONDS = 0.1
 
 
 class Leader(Protocol):
@@ -81,9 +81,9 @@
         policies: manifest.Policies,
     ) -> None:
         try:
-            if self._permitted(order, policies):
+            if self._take_permit(order, policies):
                 outcome = self._deliver(announced, order)
-                late = self.leader.date() - order.at > ORDER_LIMIT
+                late = self.leader.date() - order.at > ORDER_FAILURE_SECONDS
                 if not outcome and late:
                     outcome = rollouts.FAILED
                 if outcome:
@@ -93,7 +93,7 @@
         finally:
             self.sending.discard(order.fencing_token)
 
-    def _permitted(
+    def _take_permit(
         self, order: rollouts.Order, policies: manifest.Policies
     ) -> bool:
         if order.action != "load":
@@ -122,7 +122,7 @@
             announced.sidecar, order.fencing_token, order.action, order.model
         )
         try:
-            self.leader.streams.ask(announced.address, message, ORDER_SECONDS)
+            self.leader.streams.ask(announced.address, message, ORDER_TIMEOUT)
         except (errors.StreamClosed, errors.StreamTimeout):
             return ""
         except (errors.FencedOff, errors.Draining):
@@ -228,8 +228,8 @@
 
     def _wait_idle(self) -> None:
         """Waits for the calls under way; an order cuts no request."""
-        until = self.timers.now() + IDLE_SECONDS
+        until = self.timers.now() + IDLE_TIMEOUT
         while self.upstream.is_busy():
             if self.timers.now() >= until:
                 raise errors.Draining("Calls under way did not end in time.")
-            self.timers.sleep(IDLE_STEP)
+            self.timers.sleep(IDLE_POLL_SECONDS)
--- a/src/mintcleat/roles/sidecar/gate.py
+++ b/src/mintcleat/roles/sidecar/admission.py
@@ -12,14 +12,14 @@
 from mintcleat.roles.sidecar import attempts as sidecar_attempts
 
 _CHARACTERS_PER_TOKEN = 4
-_USUAL_TOKENS = 128
+_DEFAULT_ANSWER_TOKENS = 128
 
 
 class Admission:
     """Who runs at the upstream now, who waits, who is refused.
 
     Attributes:
-        attempts: Attempts that the gate holds, by request id.
+        waiting: Attempts that the gate holds, by request id.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self.directory = directory
         self.memory = 0
         self.gate = queue.Gate(queue.Options(), capacity)
-        self.attempts: dict[str, sidecar_attempts.Attempt] = {}
+        self.waiting: dict[str, sidecar_attempts.Attempt] = {}
         self.configure()
 
     def configure(self) -> None:
@@ -49,27 +49,27 @@
 
     def first_token(self, attempt: sidecar_attempts.Attempt) -> None:
         """Notes that the engine has computed an attempt's prompt."""
-        self.gate.first_token(attempt.request)
-        self.pump()
+        self.gate.first_token(attempt.request_id)
+        self.admit_waiting()
 
     def protect(self, tokens: int) -> None:
         """Takes the size of the caches that are expected back soon."""
         self.gate.protect(tokens)
-        self.pump()
+        self.admit_waiting()
 
-    def left(self, programs: list[str]) -> None:
+    def remove_programs(self, programs: list[str]) -> None:
         """Notes that programs hold nothing at the engine any more."""
         for program in programs:
             self.gate.program_left(program)
-        self.pump()
+        self.admit_waiting()
 
     def learn(self, agent: str, tokens: int, turns: int) -> None:
         """Learns from a program that is gone."""
         self.gate.estimator.finished(agent, tokens, turns)
 
-    def usual_answer(self, agent: str) -> int:
+    def typical_answer_tokens(self, agent: str) -> int:
         """Returns the tokens that a call of this agent usually generates."""
-        return self.gate.estimator.answer_tokens(agent, _USUAL_TOKENS)
+        return self.gate.estimator.answer_tokens(agent, _DEFAULT_ANSWER_TOKENS)
 
     def enter(
         self, attempt: sidecar_attempts.Attempt, call: calls.Call
@@ -89,9 +89,9 @@
                     retry_after=retry_after,
                 )
             case queue.Queued():
-                self.attempts[attempt.request] = attempt
+                self.waiting[attempt.request_id] = attempt
                 # Those before it may be held back by more than the slots.
-                self.pump()
+                self.admit_waiting()
                 self._wait(attempt)
         attempt.admitted = True
 
@@ -102,23 +102,23 @@
     ) -> None:
         """Frees the place of an admitted attempt; learns from an outcome."""
         if outcome is None:
-            self.gate.cancel(attempt.request)
+            self.gate.cancel(attempt.request_id)
         else:
             now = self.timers.now()
-            self.gate.finished(attempt.request, now, outcome)
-        self.pump()
+            self.gate.finished(attempt.request_id, now, outcome)
+        self.admit_waiting()
 
     def cancel(self, attempt: sidecar_attempts.Attempt) -> None:
         """Takes a cancelled attempt out of the queue."""
         if not attempt.admitted:
-            self.gate.cancel(attempt.request)
+            self.gate.cancel(attempt.request_id)
             attempt.notify()
-            self.pump()
+            self.admit_waiting()
 
-    def pump(self) -> None:
+    def admit_waiting(self) -> None:
         """Lets everything go that may go now."""
         while (call := self.gate.next(self.timers.now())) is not None:
-            attempt = self.attempts.get(call.call_id)
+            attempt = self.waiting.get(call.call_id)
             if attempt is None:
                 self.gate.cancel(call.call_id)
                 continue
@@ -128,7 +128,7 @@
     def expire(self) -> None:
         """Refuses what can't meet its deadline any more."""
         for call in self.gate.expire(self.timers.now()):
-            attempt = self.attempts.get(call.call_id)
+            attempt = self.waiting.get(call.call_id)
             if attempt is not None and attempt.cancelled is None:
                 attempt.cancelled = errors.DeadlineUnmet(
                     "The deadline would end before the answer."
@@ -142,11 +142,11 @@
                     raise attempt.cancelled
                 attempt.changed.wait()
         finally:
-            self.attempts.pop(attempt.request, None)
+            self.waiting.pop(attempt.request_id, None)
         if attempt.cancelled is not None:
             # Cancelled between its admission and this line.
-            self.gate.cancel(attempt.request)
-            self.pump()
+            self.gate.cancel(attempt.request_id)
+            self.admit_waiting()
             raise attempt.cancelled
 
 
@@ -168,7 +168,7 @@
 def turn_call(
     attempt: sidecar_attempts.Attempt,
     resident: int,
-    usual: int,
+    typical: int,
     suspect: bool,
 ) -> calls.Call:
     """Returns a chat turn as the decisions see it.
@@ -176,38 +176,38 @@
     Args:
         attempt: The attempt.
         resident: Tokens of the program that the engine holds.
-        usual: Tokens of this agent's usual answer.
+        typical: Tokens of this agent's typical answer.
         suspect: Whether an upstream crashed while it ran this request.
     """
-    asked = attempt.message
+    request = attempt.message
     tokens = sum(map(len, attempt.prompt)) // _CHARACTERS_PER_TOKEN
     return calls.Call(
-        call_id=attempt.request,
-        program=asked.program,
-        root=asked.root,
-        customer=asked.customer,
-        agent=asked.agent,
-        klass=asked.klass,
-        deadline_at=attempt.until,
-        attained=asked.attained,
+        call_id=attempt.request_id,
+        program=request.program,
+        root=request.root,
+        customer=request.customer,
+        agent=request.agent,
+        klass=request.klass,
+        deadline_at=attempt.deadline_at,
+        attained=request.attained,
         prompt_tokens=tokens,
         new_tokens=max(0, tokens - resident),
-        expected_tokens=min(usual, max_tokens(asked.parameters) or usual),
+        expected_tokens=min(typical, max_tokens(request.parameters) or typical),
         suspect=suspect,
     )
 
 
 def tool_call(attempt: sidecar_attempts.Attempt, suspect: bool) -> calls.Call:
     """Returns a request to a plain service as the decisions see it."""
-    asked = attempt.message
+    request = attempt.message
     return calls.Call(
-        call_id=attempt.request,
-        program=asked.program,
-        root=asked.program.partition(".")[0],
-        customer=asked.customer,
+        call_id=attempt.request_id,
+        program=request.program,
+        root=request.program.partition(".")[0],
+        customer=request.customer,
         agent="",
-        klass=asked.klass,
-        deadline_at=attempt.until,
+        klass=request.klass,
+        deadline_at=attempt.deadline_at,
         suspect=suspect,
     )
 
--- a/src/mintcleat/roles/sidecar/watch.py
+++ b/src/mintcleat/roles/sidecar/answers.py
@@ -14,7 +14,7 @@
 ]
 
 
-class Watch:
+class Watcher:
     """One caller that follows an attempt.
 
     Attributes:
@@ -24,11 +24,11 @@
 
     def __init__(self, attempt: sidecar_attempts.Attempt) -> None:
         self.attempt = attempt
-        self.gone = False
+        self.closed = False
         self.done = False
 
 
-class Follower:
+class AnswerSender:
     """Sends answers to callers.
 
     The pieces lie in the attempt once, whatever the number of callers, and
@@ -46,27 +46,29 @@
         attempt: sidecar_attempts.Attempt,
     ) -> None:
         """Sends the answer from its start until the outcome."""
-        watch = Watch(attempt)
+        watcher = Watcher(attempt)
         attempt.watchers += 1
-        self.timers.spawn(self._listen, exchange, watch)
+        self.timers.spawn(self._listen, exchange, watcher)
         try:
-            self._send_all(exchange, watch)
+            self._send_all(exchange, watcher)
         finally:
-            watch.done = True
+            watcher.done = True
             attempt.watchers -= 1
             if not attempt.watchers and not attempt.number:
                 # Nobody can attach to an attempt without a number.
                 self.cancel(attempt, caller_gone())
 
-    def _send_all(self, exchange: streams_port.Exchange, watch: Watch) -> None:
-        attempt = watch.attempt
+    def _send_all(
+        self, exchange: streams_port.Exchange, watcher: Watcher
+    ) -> None:
+        attempt = watcher.attempt
         place = 0
         offset = 0
-        while not watch.gone:
+        while not watcher.closed:
             changed = attempt.changed
-            if place < len(attempt.pieces):
-                text = "".join(attempt.pieces[place:])
-                place = len(attempt.pieces)
+            if place < len(attempt.chunks):
+                text = "".join(attempt.chunks[place:])
+                place = len(attempt.chunks)
                 exchange.send(call_messages.Chunk(attempt.number, offset, text))
                 offset += len(text)
             elif attempt.outcome is not None:
@@ -75,17 +77,19 @@
             else:
                 changed.wait()
 
-    def _listen(self, exchange: streams_port.Exchange, watch: Watch) -> None:
+    def _listen(
+        self, exchange: streams_port.Exchange, watcher: Watcher
+    ) -> None:
         """Notices that the caller closed, even while nothing is sent."""
         try:
             while True:
                 message = exchange.receive()
                 if isinstance(message, call_messages.CancelAttempt):
-                    self.cancel(watch.attempt, caller_gone())
+                    self.cancel(watcher.attempt, caller_gone())
         except errors.MintcleatError:
-            if not watch.done:
-                watch.gone = True
-                watch.attempt.notify()
+            if not watcher.done:
+                watcher.closed = True
+                watcher.attempt.notify()
 
 
 def caller_gone() -> errors.MintcleatError:
--- a/src/mintcleat/roles/sidecar/attempts.py
+++ b/src/mintcleat/roles/sidecar/attempts.py
@@ -58,30 +58,32 @@
         usage: Tokens as the engine told them at the end.
     """
 
-    def __init__(self, message: Any, request: str, until: float) -> None:
+    def __init__(
+        self, message: Any, request_id: str, deadline_at: float
+    ) -> None:
         self.message = message
-        self.request = request
-        self.until = until
+        self.request_id = request_id
+        self.deadline_at = deadline_at
         self.number: int = message.attempt
         self.program: str = message.program
         self.scope = scope_of(message.program, message.customer, message.key)
         self.state = QUEUED
         self.prompt: list[str] = []
-        self.pieces: list[str] = []
+        self.chunks: list[str] = []
         self.total = 0
         self.outcome: Outcome | None = None
         self.watchers = 0
         self.admitted = False
         self.cancelled: errors.MintcleatError | None = None
-        self.started = 0.0
-        self.left = False
-        self.first = 0.0
+        self.started_at = 0.0
+        self.slot_released = False
+        self.first_text_at = 0.0
         self.usage = identities.Usage()
         self.changed = event.Event()
 
     def add(self, text: str) -> None:
         """Appends generated text."""
-        self.pieces.append(text)
+        self.chunks.append(text)
         self.total += len(text)
         self.notify()
 
@@ -97,7 +99,7 @@
         changed.send()
 
 
-class _Record(NamedTuple):
+class _Expiry(NamedTuple):
     ended: float
     scope: str
     number: int
@@ -121,17 +123,17 @@
         timers: timers_port.Timers,
         groups: int,
         retention: float,
-        keep_answer: float,
+        answer_retention: float,
     ) -> None:
         self.timers = timers
         self.groups = groups
         self.retention = retention
-        self.keep_answer = keep_answer
+        self.answer_retention = answer_retention
         self.attempts: dict[str, dict[int, Attempt]] = {}
         self.states: dict[str, dict[int, str]] = {}
-        self.forgotten: dict[str, int] = {}
-        self.answered: collections.deque[_Record] = collections.deque()
-        self.closed: collections.deque[_Record] = collections.deque()
+        self.highest_forgotten: dict[str, int] = {}
+        self.kept_answers: collections.deque[_Expiry] = collections.deque()
+        self.kept_states: collections.deque[_Expiry] = collections.deque()
 
     def find(self, scope: str, number: int) -> Attempt | None:
         """Returns the attempt while its answer is kept."""
@@ -145,7 +147,7 @@
         if self.find(scope, number) is not None:
             return RUNNING
         group = placement.group_of(scope, self.groups)
-        return UNKNOWN if number <= self.forgotten.get(group, 0) else ""
+        return UNKNOWN if number <= self.highest_forgotten.get(group, 0) else ""
 
     def add(self, attempt: Attempt) -> None:
         """Registers an attempt that may run."""
@@ -164,9 +166,9 @@
         if number in known:
             return
         known[number] = state
-        record = _Record(self.timers.now(), scope, number)
-        self.answered.append(record)
-        self.closed.append(record)
+        expiry = _Expiry(self.timers.now(), scope, number)
+        self.kept_answers.append(expiry)
+        self.kept_states.append(expiry)
 
     def under_way(self) -> list[Attempt]:
         """Returns the attempts without an outcome."""
@@ -180,20 +182,26 @@
     def forget_old(self) -> None:
         """Drops answers and states that are past their time."""
         now = self.timers.now()
-        while self.answered and self.answered[0].ended < now - self.keep_answer:
-            _remove(self.attempts, self.answered.popleft())
-        while self.closed and self.closed[0].ended < now - self.retention:
-            record = self.closed.popleft()
-            _remove(self.states, record)
-            group = placement.group_of(record.scope, self.groups)
-            highest = self.forgotten.get(group, 0)
-            self.forgotten[group] = max(highest, record.number)
-
-
-def _remove(table: dict[str, dict[int, Any]], record: _Record) -> None:
-    group = table.get(record.scope)
+        while (
+            self.kept_answers
+            and self.kept_answers[0].ended < now - self.answer_retention
+        ):
+            _remove(self.attempts, self.kept_answers.popleft())
+        while (
+            self.kept_states
+            and self.kept_states[0].ended < now - self.retention
+        ):
+            expiry = self.kept_states.popleft()
+            _remove(self.states, expiry)
+            group = placement.group_of(expiry.scope, self.groups)
+            highest = self.highest_forgotten.get(group, 0)
+            self.highest_forgotten[group] = max(highest, expiry.number)
+
+
+def _remove(table: dict[str, dict[int, Any]], expiry: _Expiry) -> None:
+    group = table.get(expiry.scope)
     if group is None:
         return
-    group.pop(record.number, None)
+    group.pop(expiry.number, None)
     if not group:
-        del table[record.scope]
+        del table[expiry.scope]
--- a/src/mintcleat/roles/sidecar/commit.py
+++ b/src/mintcleat/roles/sidecar/commit.py
@@ -11,9 +11,9 @@
 from mintcleat.ports import timers as timers_port
 from mintcleat.roles.sidecar import attempts as sidecar_attempts
 
-_ASK_SECONDS = 5.0
-_FIRST_PAUSE = 0.05
-_LONGEST_PAUSE = 1.0
+_ASK_TIMEOUT = 5.0
+_MIN_BACKOFF = 0.05
+_MAX_BACKOFF = 1.0
 _TRANSIENT = (
     errors.ControlUnavailable,
     errors.LeaseExpired,
@@ -28,7 +28,7 @@
 )
 
 
-class Reporter:
+class OutcomeReporter:
     """Sends FinishCall and SettleCall and repeats them.
 
     The upstream has run by then, so giving up would lose an answer that
@@ -57,12 +57,12 @@
         Raises:
             errors.MintcleatError: The group refuses it for good.
         """
-        asked = attempt.message
+        request = attempt.message
         finish = program_messages.FinishCall(
-            asked.program,
-            asked.customer,
-            asked.key,
-            asked.attempt,
+            request.program,
+            request.customer,
+            request.key,
+            request.attempt,
             self.node,
             answer,
             usage,
@@ -82,28 +82,28 @@
         failure: errors.Failure,
     ) -> None:
         """Records an end without an answer; returns once it is committed."""
-        asked = attempt.message
+        request = attempt.message
         self._commit(
             attempt.scope,
             program_messages.SettleCall(
-                asked.program,
-                asked.customer,
-                asked.key,
-                asked.attempt,
+                request.program,
+                request.customer,
+                request.key,
+                request.attempt,
                 outcome,
                 failure,
             ),
         )
 
     def _commit(self, scope: str, message: Any) -> None:
-        pause = _FIRST_PAUSE
+        backoff = _MIN_BACKOFF
         while True:
             try:
-                self.control.ask(scope, message, _ASK_SECONDS)
+                self.control.ask(scope, message, _ASK_TIMEOUT)
                 return
             except _TRANSIENT as error:
                 if self.stopped:
                     raise
                 logger.info("{} is not committed yet: {}", scope, error.detail)
-            self.timers.sleep(pause)
-            pause = min(_LONGEST_PAUSE, pause * 2)
+            self.timers.sleep(backoff)
+            backoff = min(_MAX_BACKOFF, backoff * 2)
--- a/src/mintcleat/roles/sidecar/crashes.py
+++ b/src/mintcleat/roles/sidecar/crashes.py
@@ -12,13 +12,13 @@
 from mintcleat.ports import membership as membership_port
 from mintcleat.ports import timers as timers_port
 
-_REPORT_SECONDS = 2.0
-_RETRY_SECONDS = 1.0
+_REPORT_TIMEOUT = 2.0
+_RETRY_DELAY = 1.0
 # Time in which the restrictions of a taken report reach every sidecar.
-_HAND_OVER_SECONDS = 5.0
+_PROPAGATION_SECONDS = 5.0
 
 
-class Presence(Protocol):
+class Monitor(Protocol):
     """What is known of the upstream.
 
     Attributes:
@@ -27,7 +27,7 @@
 
     life: int
 
-    def look(self) -> int:
+    def read_life(self) -> int:
         """Looks at the upstream; returns its life, or 0 when it is gone."""
 
 
@@ -38,7 +38,7 @@
     life: int
 
 
-class Crashes:
+class CrashReporter:
     """Digests in flight, and the report of each crash.
 
     A caller is told of a broken call only once the crash is reported: its
@@ -46,10 +46,10 @@
     among others, and nothing would be learned from that crash.
 
     Attributes:
-        presence: Knows the upstream's life.
+        monitor: Knows the upstream's life.
         in_flight: Digest and life of the upstream, by request id.
-        local: Suspects of this upstream's own crashes, for the time in which
-            no control instance can be told.
+        local_suspects: Suspects of this upstream's own crashes, while
+            control cannot be told or has not yet distributed them.
     """
 
     def __init__(
@@ -57,81 +57,85 @@
         node: identities.Incarnation,
         directory: membership_port.Membership,
         timers: timers_port.Timers,
-        presence: Presence,
+        monitor: Monitor,
     ) -> None:
         self.node = node
         self.directory = directory
         self.timers = timers
-        self.presence = presence
+        self.monitor = monitor
         self.in_flight: dict[str, InFlight] = {}
-        self.local: set[bytes] = set()
-        self.count = 0
-        self.reported: event.Event | None = None
+        self.local_suspects: set[bytes] = set()
+        self.report_count = 0
+        self.report_done: event.Event | None = None
 
-    def begin(self, request: str, digest: bytes) -> None:
+    def begin(self, request_id: str, digest: bytes) -> None:
         """Notes that a request goes to the upstream."""
-        self.in_flight[request] = InFlight(digest, self.presence.life)
+        self.in_flight[request_id] = InFlight(digest, self.monitor.life)
 
-    def end(self, request: str) -> None:
+    def end(self, request_id: str) -> None:
         """Notes that the upstream has answered."""
-        self.in_flight.pop(request, None)
+        self.in_flight.pop(request_id, None)
 
     def is_suspect(self, digest: bytes) -> bool:
         """Tells whether a request may run beside no other suspect only."""
-        return digest in self.local or self.directory.is_suspect(digest)
+        return digest in self.local_suspects or self.directory.is_suspect(
+            digest
+        )
 
-    def broken(self, request: str) -> None:
+    def connection_lost(self, request_id: str) -> None:
         """Handles a lost stream; returns once a crash is reported."""
-        digests = self._take_crashed(request)
+        digests = self._take_crashed(request_id)
         if digests:
             self._report(digests)
-        elif self.reported is not None:
+        elif self.report_done is not None:
             # A call that was lost beside this one reports the crash.
-            self.reported.wait()
+            self.report_done.wait()
 
-    def _take_crashed(self, request: str) -> list[bytes]:
+    def _take_crashed(self, request_id: str) -> list[bytes]:
         """Takes out what was in flight at a crash; empty if there is none."""
-        broken = self.in_flight.get(request)
-        if broken is None:
+        lost = self.in_flight.get(request_id)
+        if lost is None:
             return []
-        if self.presence.look() == broken.life:
-            self.end(request)
+        if self.monitor.read_life() == lost.life:
+            self.end(request_id)
             return []
-        if request not in self.in_flight:
+        if request_id not in self.in_flight:
             return []
-        beside = {
+        concurrent = {
             name: item.digest
             for name, item in self.in_flight.items()
-            if item.life == broken.life
+            if item.life == lost.life
         }
-        for name in beside:
+        for name in concurrent:
             del self.in_flight[name]
-        return sorted(set(beside.values()))
+        return sorted(set(concurrent.values()))
 
     def _report(self, digests: list[bytes]) -> None:
-        self.local.update(digests)
-        self.count += 1
-        report = member_messages.ReportCrash(self.node, self.count, digests)
-        self.reported = event.Event()
+        self.local_suspects.update(digests)
+        self.report_count += 1
+        report = member_messages.ReportCrash(
+            self.node, self.report_count, digests
+        )
+        self.report_done = event.Event()
         try:
             if not self._send(report):
                 self.timers.spawn(self._send_until_taken, report)
         finally:
-            self.reported.send()
+            self.report_done.send()
 
     def _send(self, report: member_messages.ReportCrash) -> bool:
         try:
-            self.directory.ask(report, _REPORT_SECONDS)
+            self.directory.ask(report, _REPORT_TIMEOUT)
         except errors.MintcleatError as error:
             logger.warning("A crash is not reported yet: {}", error.detail)
             return False
         # From now on control says who is a suspect, and for how long.
         self.timers.after(
-            _HAND_OVER_SECONDS,
-            lambda: self.local.difference_update(report.digests),
+            _PROPAGATION_SECONDS,
+            lambda: self.local_suspects.difference_update(report.digests),
         )
         return True
 
     def _send_until_taken(self, report: member_messages.ReportCrash) -> None:
         while not self._send(report):
-            self.timers.sleep(_RETRY_SECONDS)
+            self.timers.sleep(_RETRY_DELAY)
--- a/src/mintcleat/roles/sidecar/execution.py
+++ b/src/mintcleat/roles/sidecar/execution.py
@@ -10,16 +10,16 @@
 from mintcleat.domain import call_messages
 from mintcleat.domain import errors
 from mintcleat.ports import timers as timers_port
+from mintcleat.roles.sidecar import admission as sidecar_admission
 from mintcleat.roles.sidecar import attempts as sidecar_attempts
 from mintcleat.roles.sidecar import commit as sidecar_commit
 from mintcleat.roles.sidecar import crashes as sidecar_crashes
-from mintcleat.roles.sidecar import gate as sidecar_gate
 
 
 class Runner(Protocol):
     """Runs admitted attempts at one kind of upstream."""
 
-    def call(
+    def describe(
         self, attempt: sidecar_attempts.Attempt, suspect: bool
     ) -> calls.Call:
         """Returns the attempt as the queue's decisions see it."""
@@ -27,17 +27,17 @@
     def run(
         self,
         attempt: sidecar_attempts.Attempt,
-        answered: Callable[[], None],
+        on_answered: Callable[[], None],
     ) -> None:
         """Runs the attempt and commits its answer; sets its outcome.
 
-        Calls `answered` once the upstream is done with it.
+        Calls `on_answered` once the upstream is done with it.
         """
 
     def refused(self, attempt: sidecar_attempts.Attempt) -> None:
         """Notes that the attempt is not run here."""
 
-    def tells(self, attempt: sidecar_attempts.Attempt) -> bool:
+    def has_pace(self, attempt: sidecar_attempts.Attempt) -> bool:
         """Tells whether the time of an answer says something of the pace."""
 
     def cancel(self, attempt: sidecar_attempts.Attempt) -> bool:
@@ -48,7 +48,7 @@
     """Runs attempts; whatever happens, each one gets an outcome.
 
     Attributes:
-        loose: Attempts without a number, which nobody can ask about.
+        unnumbered: Attempts without a number, which nobody can ask about.
         deadlines: Deadline, request id and attempt of all that run. A timer
             for each would stay until its deadline, long after most answers.
     """
@@ -57,9 +57,9 @@
         self,
         runner: Runner,
         table: sidecar_attempts.AttemptTable,
-        admission: sidecar_gate.Admission,
-        crashes: sidecar_crashes.Crashes,
-        reporter: sidecar_commit.Reporter,
+        admission: sidecar_admission.Admission,
+        crashes: sidecar_crashes.CrashReporter,
+        reporter: sidecar_commit.OutcomeReporter,
         timers: timers_port.Timers,
         load: Callable[[], call_messages.LoadReport],
         count: Callable[[str, str], None],
@@ -72,7 +72,7 @@
         self.timers = timers
         self.load = load
         self.count = count
-        self.loose: set[sidecar_attempts.Attempt] = set()
+        self.unnumbered: set[sidecar_attempts.Attempt] = set()
         self.deadlines: sortedcontainers.SortedList = (
             sortedcontainers.SortedList()
         )
@@ -82,12 +82,12 @@
         if attempt.number:
             self.table.add(attempt)
         else:
-            self.loose.add(attempt)
+            self.unnumbered.add(attempt)
         self.timers.spawn(self._execute, attempt)
 
     def under_way(self) -> list[sidecar_attempts.Attempt]:
         """Returns the attempts without an outcome."""
-        return [*self.table.under_way(), *self.loose]
+        return [*self.table.under_way(), *self.unnumbered]
 
     def cancel(
         self,
@@ -113,12 +113,14 @@
         for until, _, attempt in list(self.deadlines):
             if until > now:
                 return
-            self.cancel(attempt, _deadline_over())
+            self.cancel(attempt, _deadline_exceeded())
 
     def _execute(self, attempt: sidecar_attempts.Attempt) -> None:
         digest = attempt.message.digest
         try:
-            call = self.runner.call(attempt, self.crashes.is_suspect(digest))
+            call = self.runner.describe(
+                attempt, self.crashes.is_suspect(digest)
+            )
             self.admission.enter(attempt, call)
         except errors.MintcleatError as error:
             self._end_refused(attempt, error)
@@ -131,47 +133,47 @@
         # No green thread runs between the gate's word and this line, so a
         # seal comes either before (and the gate raises) or after.
         attempt.state = sidecar_attempts.RUNNING
-        attempt.started = self.timers.now()
-        deadline = (attempt.until, attempt.request, attempt)
+        attempt.started_at = self.timers.now()
+        deadline = (attempt.deadline_at, attempt.request_id, attempt)
         self.deadlines.add(deadline)
-        self.crashes.begin(attempt.request, digest)
+        self.crashes.begin(attempt.request_id, digest)
         try:
             self.runner.run(attempt, lambda: self._answered(attempt))
             self._conclude(attempt, sidecar_attempts.RAN)
             self.count("answered", "")
         except errors.NoUpstream as error:
-            if attempt.left:
+            if attempt.slot_released:
                 # Not the upstream's word, which has answered.
-                self._end_broken(attempt, error)
+                self._end_failed(attempt, error)
             else:
                 self._end_refused(attempt, error)
         except errors.MintcleatError as error:
             if error.outcome == errors.UNKNOWN:
-                self._look_for_crash(attempt)
-            self._end_broken(attempt, error)
+                self._report_crash(attempt)
+            self._end_failed(attempt, error)
         except Exception:
             logger.exception("An attempt failed.")
-            self._end_broken(
+            self._end_failed(
                 attempt, errors.OutcomeUnknown("The sidecar failed.")
             )
         finally:
             self.deadlines.remove(deadline)
-            self._leave(attempt, None)
+            self._release_slot(attempt, None)
 
-    def _look_for_crash(self, attempt: sidecar_attempts.Attempt) -> None:
+    def _report_crash(self, attempt: sidecar_attempts.Attempt) -> None:
         """Reports a crash, if that is what broke the attempt."""
-        if attempt.cancelled is None and not attempt.left:
-            self.crashes.broken(attempt.request)
-            self._leave(attempt, self._measure(attempt, ok=False))
+        if attempt.cancelled is None and not attempt.slot_released:
+            self.crashes.connection_lost(attempt.request_id)
+            self._release_slot(attempt, self._measure(attempt, ok=False))
 
     def _answered(self, attempt: sidecar_attempts.Attempt) -> None:
         """Notes that the upstream is done with the attempt."""
         outcome = None
-        if attempt.cancelled is None and self.runner.tells(attempt):
+        if attempt.cancelled is None and self.runner.has_pace(attempt):
             outcome = self._measure(attempt, ok=True)
-        self._leave(attempt, outcome)
+        self._release_slot(attempt, outcome)
 
-    def _leave(
+    def _release_slot(
         self,
         attempt: sidecar_attempts.Attempt,
         outcome: calls.Outcome | None,
@@ -183,10 +185,10 @@
         Without an outcome nothing is learned: a cancelled call or one that
         never arrived says nothing of the upstream's pace.
         """
-        if attempt.left:
+        if attempt.slot_released:
             return
-        attempt.left = True
-        self.crashes.end(attempt.request)
+        attempt.slot_released = True
+        self.crashes.end(attempt.request_id)
         self.admission.leave(attempt, outcome)
 
     def _measure(
@@ -194,8 +196,8 @@
     ) -> calls.Outcome:
         usage = attempt.usage
         return calls.Outcome(
-            seconds=self.timers.now() - attempt.started,
-            first_token=max(0.0, attempt.first - attempt.started),
+            seconds=self.timers.now() - attempt.started_at,
+            first_token=max(0.0, attempt.first_text_at - attempt.started_at),
             computed=usage.prompt_tokens - usage.cached_tokens,
             generated=usage.completion_tokens,
             ok=ok,
@@ -215,7 +217,7 @@
             call_messages.AttemptRefused(attempt.number, failure, self.load())
         )
 
-    def _end_broken(
+    def _end_failed(
         self,
         attempt: sidecar_attempts.Attempt,
         error: errors.MintcleatError,
@@ -250,12 +252,12 @@
 
     def _conclude(self, attempt: sidecar_attempts.Attempt, state: str) -> None:
         attempt.state = sidecar_attempts.ENDED
-        self.loose.discard(attempt)
+        self.unnumbered.discard(attempt)
         if attempt.number:
             self.table.conclude(attempt.scope, attempt.number, state)
 
 
-def _deadline_over() -> errors.MintcleatError:
+def _deadline_exceeded() -> errors.MintcleatError:
     return errors.DeadlineUnmet(
         "The deadline ended while the call ran.",
         outcome=errors.UNKNOWN,
--- a/src/mintcleat/roles/sidecar/history.py
+++ b/src/mintcleat/roles/sidecar/history.py
@@ -23,7 +23,7 @@
         self.sizes: dict[str, int] = {}
         self.size = 0
 
-    def have(self, program: str, turn: int, digest: bytes) -> int:
+    def count_kept(self, program: str, turn: int, digest: bytes) -> int:
         """Returns how many turns of this very history are kept here.
 
         A history of another digest is dropped: it may hold a turn that was
--- a/src/mintcleat/roles/sidecar/ledger.py
+++ b/src/mintcleat/roles/sidecar/ledger.py
@@ -23,7 +23,7 @@
         self.seq = 0
         self.unsure = True
 
-    def ran(self, program: str, tokens: int) -> None:
+    def record_turn(self, program: str, tokens: int) -> None:
         """Notes an own call, ahead of the engine's event."""
         if program:
             self.tokens[program] = max(tokens, self.tokens.get(program, 0))
@@ -61,7 +61,7 @@
         for program in programs:
             self.tokens.pop(program, None)
 
-    def shortened(self, program: str, keep: int) -> None:
+    def truncated(self, program: str, keep: int) -> None:
         """Notes that the engine has dropped the end of a cache."""
         if program in self.tokens:
             self.tokens[program] = min(keep, self.tokens[program])
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -13,12 +13,12 @@
 from mintcleat.ports import control as control_port
 from mintcleat.ports import timers as timers_port
 from mintcleat.ports import upstream as upstream_port
-from mintcleat.roles.sidecar import gate as sidecar_gate
+from mintcleat.roles.sidecar import admission as sidecar_admission
 from mintcleat.roles.sidecar import ledger as sidecar_ledger
 
 # Programs asked about in one message to a program group.
 _RENEW_BATCH = 512
-_ASK_SECONDS = 5.0
+_ASK_TIMEOUT = 5.0
 # One program's id in a renewal, as entries make ids.
 _RENEWAL_BYTES = 36
 _EVENT_WAIT = 1.0
@@ -29,8 +29,8 @@
 _RETRY_SECONDS = 0.5
 # Caches are put out from this part of the engine's memory on, down to the
 # other, so that the engine need not evict what is about to be used.
-_PRESSURE_HIGH = 0.9
-_PRESSURE_LOW = 0.8
+_EVICTION_START = 0.9
+_EVICTION_TARGET = 0.8
 
 
 class Exports:
@@ -59,11 +59,11 @@
         return blob
 
 
-# Programs whose life is remembered, at about 200 bytes each.
-_LIVES_KEPT = 20_000
+# Programs whose usage is remembered, at about 200 bytes each.
+_MAX_USAGES = 20_000
 
 
-class Life(NamedTuple):
+class ProgramUsage(NamedTuple):
     """What a program had when its last turn here ended.
 
     Attributes:
@@ -75,11 +75,11 @@
     turns: int
 
 
-class Memory:
+class CacheManager:
     """The ledger of one engine, its renewal and the retain decisions.
 
     Attributes:
-        on_gone: Called with each program that its group gave up.
+        on_program_ended: Called with each program that its group gave up.
     """
 
     def __init__(
@@ -89,30 +89,30 @@
         control: control_port.Control,
         timers: timers_port.Timers,
         *,
-        admission: sidecar_gate.Admission,
+        admission: sidecar_admission.Admission,
         export_bytes: int,
-        on_gone: Callable[[str], None],
+        on_program_ended: Callable[[str], None],
     ) -> None:
         self.node = node
         self.engine = engine
         self.control = control
         self.timers = timers
         self.admission = admission
-        self.on_gone = on_gone
+        self.on_program_ended = on_program_ended
         self.ledger = sidecar_ledger.Ledger()
         self.paused_caches = cache_retention.PausedCaches(
             cache_retention.Options(memory=0)
         )
         self.exports = Exports(export_bytes)
-        self.lives: collections.OrderedDict[str, Life] = (
+        self.usages: collections.OrderedDict[str, ProgramUsage] = (
             collections.OrderedDict()
         )
         self.stopped = False
 
-    def start(self, renew_seconds: float) -> None:
+    def start(self, renew_interval: float) -> None:
         """Begins to follow the engine and to renew residency."""
-        self.timers.spawn(self._follow_forever)
-        self.timers.spawn(self._renew_forever, renew_seconds)
+        self.timers.spawn(self._follow_events_forever)
+        self.timers.spawn(self._renew_forever, renew_interval)
 
     def resize(self, info: upstream_port.EngineInfo) -> None:
         """Takes the size that the engine announces."""
@@ -125,20 +125,20 @@
             memory=info.memory, export_rate=rate
         )
 
-    def held(self, program: str) -> int:
+    def resident_tokens(self, program: str) -> int:
         """Returns the tokens that the engine holds for a program."""
         return self.ledger.tokens.get(program, 0)
 
     def called(self, program: str) -> int:
         """Notes that a program's next turn waits; returns what is cached."""
         self.paused_caches.called(program, self.timers.now())
-        return self.held(program)
+        return self.resident_tokens(program)
 
     def refused(self, program: str) -> None:
         """Notes that the turn is not run here."""
         self.paused_caches.refused(program, self.timers.now())
 
-    def resume(self, program: str) -> None:
+    def prepare(self, program: str) -> None:
         """Prepares the engine for a program's turn that starts now."""
         self.paused_caches.started(program)
         blob = self.exports.pop(program)
@@ -154,35 +154,35 @@
         """Decides what becomes of a cache while the program's tool runs."""
         if not program:
             return
-        self.ledger.ran(program, tokens)
+        self.ledger.record_turn(program, tokens)
         now = self.timers.now()
-        self._act(self.paused_caches.paused(program, agent, tokens, now))
+        self._execute(self.paused_caches.paused(program, agent, tokens, now))
         memory = self.paused_caches.options.memory
         used = self.ledger.total()
-        if memory and used > _PRESSURE_HIGH * memory:
-            needed = int(used - _PRESSURE_LOW * memory)
+        if memory and used > _EVICTION_START * memory:
+            needed = int(used - _EVICTION_TARGET * memory)
             for action in self.paused_caches.victims(needed, now):
-                self._act(action)
+                self._execute(action)
         self.admission.protect(self.paused_caches.expected_soon(now))
 
-    def note(self, program: str, life: Life) -> None:
+    def record_usage(self, program: str, usage: ProgramUsage) -> None:
         """Keeps what a program had, for the learner once it is gone."""
-        self.lives[program] = life
-        self.lives.move_to_end(program)
-        if len(self.lives) > _LIVES_KEPT:
-            self.lives.popitem(last=False)
+        self.usages[program] = usage
+        self.usages.move_to_end(program)
+        if len(self.usages) > _MAX_USAGES:
+            self.usages.popitem(last=False)
 
     def _learn(self, program: str) -> None:
-        life = self.lives.pop(program, None)
-        if life is not None and life.agent:
-            self.admission.learn(life.agent, life.tokens, life.turns)
+        usage = self.usages.pop(program, None)
+        if usage is not None and usage.agent:
+            self.admission.learn(usage.agent, usage.tokens, usage.turns)
 
     def sweep(self) -> None:
         """Puts out what has been paused for too long."""
         now = self.timers.now()
         for action in self.paused_caches.sweep(now):
-            self._act(action)
-            self.admission.left([action.program])
+            self._execute(action)
+            self.admission.remove_programs([action.program])
         self.admission.protect(self.paused_caches.expected_soon(now))
 
     def renew(self) -> None:
@@ -190,16 +190,16 @@
         programs = list(self.ledger.tokens)
         for start in range(0, len(programs), _RENEW_BATCH):
             batch = programs[start : start + _RENEW_BATCH]
-            gone = self.control.ended_programs(self.node, batch, _ASK_SECONDS)
+            gone = self.control.ended_programs(self.node, batch, _ASK_TIMEOUT)
             for program in gone:
                 self.paused_caches.gone(program)
                 self.exports.pop(program)
-                self.on_gone(program)
+                self.on_program_ended(program)
                 self._learn(program)
             # Only a program that is gone leaves the working set. One whose
             # cache was evicted under pressure comes back; counted as gone it
             # made room for newcomers, and the engine took in too many.
-            self.admission.left(gone)
+            self.admission.remove_programs(gone)
             # A turn that ends after this fills the cache again; the ledger
             # hears of it, and the next renewal releases it.
             self.release(gone)
@@ -211,7 +211,9 @@
         try:
             self.engine.release(programs)
         except errors.MintcleatError as error:
-            logger.warning("Memory is not released: {}", error.detail)
+            logger.warning(
+                "Could not evict programs from the cache: {}", error.detail
+            )
             return
         self.ledger.released(programs)
 
@@ -224,7 +226,7 @@
             logger.info("No listing at the stop: {}", error.detail)
         self.release(list(self.ledger.tokens))
 
-    def _act(self, action: cache_retention.Action) -> None:
+    def _execute(self, action: cache_retention.Action) -> None:
         match action:
             case cache_retention.Export(program):
                 self._export(program)
@@ -232,17 +234,17 @@
             case cache_retention.Drop(program, 0):
                 self.release([program])
             case cache_retention.Drop(program, keep):
-                self._shorten(program, keep)
+                self._truncate(program, keep)
             case cache_retention.Hold():
                 return
 
-    def _shorten(self, program: str, keep: int) -> None:
+    def _truncate(self, program: str, keep: int) -> None:
         try:
             self.engine.truncate(program, keep)
         except errors.MintcleatError as error:
             logger.info("{} is not shortened: {}", program, error.detail)
             return
-        self.ledger.shortened(program, keep)
+        self.ledger.truncated(program, keep)
 
     def _export(self, program: str) -> None:
         try:
@@ -250,16 +252,16 @@
         except errors.MintcleatError as error:
             logger.info("No export of {}: {}", program, error.detail)
 
-    def _follow_forever(self) -> None:
+    def _follow_events_forever(self) -> None:
         """Takes in events as they come, and listings where they are lacking."""
         while not self.stopped:
             try:
-                self._follow()
+                self._follow_events()
             except errors.MintcleatError:
                 self.ledger.unsure = True
                 self.timers.sleep(_RETRY_SECONDS)
 
-    def _follow(self) -> None:
+    def _follow_events(self) -> None:
         if self.ledger.unsure:
             self.ledger.mend(self.engine.cache_listing())
         events = self.engine.events(self.ledger.seq, _EVENT_WAIT)
--- a/src/mintcleat/roles/sidecar/presence.py
+++ b/src/mintcleat/roles/sidecar/monitor.py
@@ -13,7 +13,7 @@
 from mintcleat.ports import membership as membership_port
 from mintcleat.ports import timers as timers_port
 from mintcleat.ports import upstream as upstream_port
-from mintcleat.roles.sidecar import gate as sidecar_gate
+from mintcleat.roles.sidecar import admission as sidecar_admission
 from mintcleat.roles.sidecar import memory as sidecar_memory
 
 LOADING = "loading"
@@ -42,11 +42,11 @@
         history_bytes: Program history kept here.
         export_bytes: Exported caches kept here.
         retention: Time for which the state of an ended attempt is kept.
-        keep_answer: Time for which an ended answer can be attached to.
-        attach_patience: Time that Attach waits for a run on its way.
-        load_seconds: Time between two load reports on a watch.
-        probe_seconds: Time between two looks at the upstream.
-        renew_seconds: Time between two renewals of residency.
+        answer_retention: Time for which an ended answer can be attached to.
+        attach_timeout: Time that Attach waits for a run on its way.
+        load_interval: Time between two load reports on a watch.
+        probe_interval: Time between two looks at the upstream.
+        renew_interval: Time between two renewals of residency.
         release_on_stop: Whether a planned stop frees the engine's memory.
     """
 
@@ -58,19 +58,19 @@
     history_bytes: int = 64 * 1024 * 1024
     export_bytes: int = 64 * 1024 * 1024
     retention: float = 120.0
-    keep_answer: float = 30.0
-    attach_patience: float = 1.0
-    load_seconds: float = 0.5
-    probe_seconds: float = 1.0
-    renew_seconds: float = 5.0
+    answer_retention: float = 30.0
+    attach_timeout: float = 1.0
+    load_interval: float = 0.5
+    probe_interval: float = 1.0
+    renew_interval: float = 5.0
     release_on_stop: bool = True
 
 
-class Presence:
+class UpstreamMonitor:
     """Looks at the upstream, and describes it to entries and control.
 
     Attributes:
-        seen: The upstream's state as last seen.
+        upstream_state: The upstream's state as last seen.
         life: The upstream's life as last seen; 0 for none.
         ordering: Whether an order is being carried out.
         draining: Whether this sidecar itself refuses new work.
@@ -86,8 +86,8 @@
         upstream: upstream_port.ModelEngine | upstream_port.PlainService,
         directory: membership_port.Membership,
         timers: timers_port.Timers,
-        admission: sidecar_gate.Admission,
-        memory: sidecar_memory.Memory,
+        admission: sidecar_admission.Admission,
+        cache_manager: sidecar_memory.CacheManager,
     ) -> None:
         self.node = node
         self.options = options
@@ -96,9 +96,9 @@
         self.directory = directory
         self.timers = timers
         self.admission = admission
-        self.memory = memory
+        self.cache_manager = cache_manager
         self.is_model = options.kind == "model"
-        self.seen = LOADING
+        self.upstream_state = LOADING
         self.life = 0
         self.ordering = False
         self.draining = False
@@ -110,16 +110,16 @@
     def probe(self) -> None:
         """Looks at the upstream and tells control when it changed."""
         before = self.state()
-        self.life = self.look()
+        self.life = self.read_life()
         if not self.life:
-            self.seen = DOWN
+            self.upstream_state = DOWN
         else:
-            self.seen = self.info.state if self.is_model else READY
+            self.upstream_state = self.info.state if self.is_model else READY
         if self.state() != before:
             logger.info("The upstream is {} now", self.state())
             self.directory.announce()
 
-    def look(self) -> int:
+    def read_life(self) -> int:
         """Returns the upstream's life, or 0 when it is gone."""
         if not self.is_model:
             return int(self.upstream.alive())
@@ -131,7 +131,7 @@
             return self.life
         except errors.MintcleatError:
             return 0
-        self.memory.resize(self.info)
+        self.cache_manager.resize(self.info)
         capacity = self.options.capacity or self.info.capacity
         self.admission.resize(capacity, self.info.memory)
         return self.info.life
@@ -140,7 +140,7 @@
         """Returns the state that others hear of."""
         if self.is_draining():
             return DRAINING
-        return LOADING if self.ordering else self.seen
+        return LOADING if self.ordering else self.upstream_state
 
     def is_draining(self) -> bool:
         """Tells whether new work is refused here."""
@@ -148,13 +148,13 @@
             self.node.instance, self.options.failure_domain
         )
 
-    def refusal(self, asked: Any) -> errors.MintcleatError | None:
+    def refusal(self, request: Any) -> errors.MintcleatError | None:
         """Returns why new work is refused now, or None.
 
         Args:
-            asked: A RunTurn or RunTool.
+            request: A RunTurn or RunTool.
         """
-        if asked.service != self.options.service:
+        if request.service != self.options.service:
             return errors.UnknownService(
                 f"This sidecar serves {self.options.service}."
             )
@@ -165,22 +165,22 @@
         state = self.state()
         if state != "ready":
             return errors.NoUpstream(f"The upstream here is {state}.")
-        if self.directory.is_quarantined(asked.digest):
+        if self.directory.is_quarantined(request.digest):
             return errors.Quarantined("Upstreams crashed on this request.")
-        if not self.directory.has_lease() and not self._serves_stale(asked):
+        if not self.directory.has_lease() and not self._serves_stale(request):
             return errors.LeaseExpired("The configuration here is too old.")
         return None
 
-    def _serves_stale(self, asked: Any) -> bool:
-        plain = not self.is_model and asked.idempotent
+    def _serves_stale(self, request: Any) -> bool:
+        plain = not self.is_model and request.idempotent
         return plain and self.directory.may_serve_stale()
 
-    def order_begins(self) -> None:
+    def begin_order(self) -> None:
         """Keeps new work off while an order is carried out."""
         self.ordering = True
         self.directory.announce()
 
-    def order_ends(self) -> None:
+    def end_order(self) -> None:
         """Looks at what the order has made of the upstream."""
         self.ordering = False
         self.probe()
--- a/src/mintcleat/roles/sidecar/orders.py
+++ b/src/mintcleat/roles/sidecar/orders.py
@@ -13,12 +13,12 @@
 from mintcleat.ports import timers as timers_port
 from mintcleat.ports import upstream as upstream_port
 from mintcleat.roles import orders
-from mintcleat.roles.sidecar import presence as sidecar_presence
+from mintcleat.roles.sidecar import monitor as sidecar_monitor
 
-_READ_SECONDS = 5.0
+_READ_TIMEOUT = 5.0
 
 
-class Target:
+class OrderTarget:
     """See `orders.Upstream`.
 
     Attributes:
@@ -28,19 +28,19 @@
     def __init__(
         self,
         engine: upstream_port.ModelEngine,
-        presence: sidecar_presence.Presence,
+        monitor: sidecar_monitor.UpstreamMonitor,
         under_way: Callable[[], list[Any]],
     ) -> None:
         self.engine = engine
-        self.presence = presence
+        self.monitor = monitor
         self.under_way = under_way
 
     def pause_admission(self, held: bool) -> None:
         """Refuses new work while an order is carried out, or takes it."""
         if held:
-            self.presence.order_begins()
+            self.monitor.begin_order()
         else:
-            self.presence.order_ends()
+            self.monitor.end_order()
 
     def is_busy(self) -> bool:
         """Tells whether calls are under way."""
@@ -51,9 +51,9 @@
         self.engine.order(number, action, model)
 
 
-def receiver(
+def new_receiver(
     node: identities.Incarnation,
-    target: Target,
+    target: OrderTarget,
     timers: timers_port.Timers,
     directory: membership_port.Membership,
 ) -> orders.OrderReceiver:
@@ -67,6 +67,6 @@
 
     def read_fencing_token() -> int:
         read = config_messages.ReadFencingToken(node.instance)
-        return directory.ask(read, _READ_SECONDS).fencing_token
+        return directory.ask(read, _READ_TIMEOUT).fencing_token
 
     return orders.OrderReceiver(node, target, timers, read_fencing_token)
--- a/src/mintcleat/roles/sidecar/run.py
+++ b/src/mintcleat/roles/sidecar/runners.py
@@ -13,20 +13,20 @@
 from mintcleat.domain import identities
 from mintcleat.ports import timers as timers_port
 from mintcleat.ports import upstream as upstream_port
+from mintcleat.roles.sidecar import admission as sidecar_admission
 from mintcleat.roles.sidecar import attempts as sidecar_attempts
 from mintcleat.roles.sidecar import commit as sidecar_commit
-from mintcleat.roles.sidecar import gate as sidecar_gate
 from mintcleat.roles.sidecar import history as sidecar_history
 from mintcleat.roles.sidecar import memory as sidecar_memory
 
-_RESUME_TRIES = 5
-_RESUME_PAUSE = 0.1
+_MAX_RESUMES = 5
+_RESUME_DELAY = 0.1
 _CANCELLED = "cancelled"
 _BATCH_PRIORITY = 1
-_LOST = (errors.StreamClosed, errors.StreamTimeout)
+_CONNECTION_LOST = (errors.StreamClosed, errors.StreamTimeout)
 
 LoadSource = Callable[[], call_messages.LoadReport]
-Answered = Callable[[], None]
+OnAnswered = Callable[[], None]
 
 
 class TurnRunner:
@@ -36,63 +36,63 @@
         self,
         engine: upstream_port.ModelEngine,
         histories: sidecar_history.Histories,
-        memory: sidecar_memory.Memory,
-        reporter: sidecar_commit.Reporter,
+        cache_manager: sidecar_memory.CacheManager,
+        reporter: sidecar_commit.OutcomeReporter,
         timers: timers_port.Timers,
         load: LoadSource,
-        admission: sidecar_gate.Admission,
+        admission: sidecar_admission.Admission,
     ) -> None:
         self.engine = engine
         self.histories = histories
-        self.memory = memory
+        self.cache_manager = cache_manager
         self.reporter = reporter
         self.timers = timers
         self.load = load
         self.admission = admission
 
-    def call(
+    def describe(
         self, attempt: sidecar_attempts.Attempt, suspect: bool
     ) -> calls.Call:
         """Returns the attempt as the queue's decisions see it."""
-        held = self.memory.called(attempt.program)
-        usual = self.admission.usual_answer(attempt.message.agent)
-        return sidecar_gate.turn_call(attempt, held, usual, suspect)
+        held = self.cache_manager.called(attempt.program)
+        usual = self.admission.typical_answer_tokens(attempt.message.agent)
+        return sidecar_admission.turn_call(attempt, held, usual, suspect)
 
     def run(
-        self, attempt: sidecar_attempts.Attempt, answered: Answered
+        self, attempt: sidecar_attempts.Attempt, on_answered: OnAnswered
     ) -> None:
         """Runs the attempt to its end and commits the answer.
 
         Args:
             attempt: The attempt.
-            answered: Called once the engine has ended the call.
+            on_answered: Called once the engine has ended the call.
 
         Raises:
             errors.NoUpstream: Nothing was delivered to the engine.
             errors.MintcleatError: The engine took it and it failed.
         """
-        asked = attempt.message
-        self.memory.resume(asked.program)
+        request = attempt.message
+        self.cache_manager.prepare(request.program)
         call = upstream_port.EngineCall(
-            attempt.request,
-            asked.program,
+            attempt.request_id,
+            request.program,
             attempt.prompt,
-            asked.parameters,
-            _BATCH_PRIORITY if asked.klass == calls.BATCH else 0,
+            request.parameters,
+            _BATCH_PRIORITY if request.klass == calls.BATCH else 0,
         )
-        end = self._stream(attempt, call)
+        end = self._read_answer(attempt, call)
         attempt.usage = end.usage
-        answered()
+        on_answered()
         if end.reason == _CANCELLED:
             raise attempt.cancelled or errors.OutcomeUnknown(
                 "The engine cancelled the call."
             )
-        answer = assistant_message("".join(attempt.pieces))
-        if asked.attempt:
+        answer = assistant_message("".join(attempt.chunks))
+        if request.attempt:
             self._commit(attempt, answer, end.usage)
         attempt.end(
             call_messages.AttemptFinished(
-                asked.attempt,
+                request.attempt,
                 attempt.total,
                 answer,
                 end.reason,
@@ -103,9 +103,9 @@
 
     def refused(self, attempt: sidecar_attempts.Attempt) -> None:
         """Notes that the attempt is not run here."""
-        self.memory.refused(attempt.program)
+        self.cache_manager.refused(attempt.program)
 
-    def tells(self, attempt: sidecar_attempts.Attempt) -> bool:
+    def has_pace(self, attempt: sidecar_attempts.Attempt) -> bool:
         """Tells whether the answer has gaps between tokens to learn from.
 
         The pace is the time after the first token. An answer of one token
@@ -117,7 +117,7 @@
     def cancel(self, attempt: sidecar_attempts.Attempt) -> bool:
         """Stops the call at the engine, whose stream then ends."""
         try:
-            self.engine.cancel(attempt.request)
+            self.engine.cancel(attempt.request_id)
         except errors.MintcleatError as error:
             logger.warning("A cancel did not reach: {}", error.detail)
             return False
@@ -129,21 +129,23 @@
         answer: str,
         usage: identities.Usage,
     ) -> None:
-        asked = attempt.message
+        request = attempt.message
         self.reporter.finish(attempt, answer.encode(), usage)
-        if not asked.program:
+        if not request.program:
             return
-        added = [*asked.messages, answer]
+        added = [*request.messages, answer]
         self.histories.finish(
-            asked.program, asked.base_turn, asked.base_digest, added
+            request.program, request.base_turn, request.base_digest, added
         )
         tokens = usage.prompt_tokens + usage.completion_tokens
-        served = asked.attained + usage.completion_tokens
-        life = sidecar_memory.Life(asked.agent, served, asked.base_turn + 1)
-        self.memory.note(asked.program, life)
-        self.memory.pause(asked.program, asked.agent, tokens)
+        served = request.attained + usage.completion_tokens
+        program_usage = sidecar_memory.ProgramUsage(
+            request.agent, served, request.base_turn + 1
+        )
+        self.cache_manager.record_usage(request.program, program_usage)
+        self.cache_manager.pause(request.program, request.agent, tokens)
 
-    def _stream(
+    def _read_answer(
         self,
         attempt: sidecar_attempts.Attempt,
         call: upstream_port.EngineCall,
@@ -154,17 +156,17 @@
         has the call, whatever a later error says.
         """
         try:
-            return self._take_all(attempt, self.engine.run(call))
-        except _LOST as error:
+            return self._read_stream(attempt, self.engine.run(call))
+        except _CONNECTION_LOST as error:
             cause = error
         tries = 0
-        while tries < _RESUME_TRIES and attempt.cancelled is None:
+        while tries < _MAX_RESUMES and attempt.cancelled is None:
             before = attempt.total
-            self.timers.sleep(_RESUME_PAUSE)
+            self.timers.sleep(_RESUME_DELAY)
             try:
-                stream = self.engine.resume(attempt.request, attempt.total)
-                return self._take_all(attempt, stream)
-            except _LOST as error:
+                stream = self.engine.resume(attempt.request_id, attempt.total)
+                return self._read_stream(attempt, stream)
+            except _CONNECTION_LOST as error:
                 cause = error
             except (errors.NoUpstream, errors.UpstreamFailed) as error:
                 # The engine is gone, and with it its streams, or it has
@@ -176,7 +178,7 @@
             f"The engine's stream broke and did not resume: {cause.detail}"
         ) from cause
 
-    def _take_all(
+    def _read_stream(
         self,
         attempt: sidecar_attempts.Attempt,
         stream: Iterator[upstream_port.TextChunk | upstream_port.End],
@@ -189,8 +191,8 @@
         for item in stream:
             match item:
                 case upstream_port.TextChunk(text):
-                    if not attempt.first:
-                        attempt.first = self.timers.now()
+                    if not attempt.first_text_at:
+                        attempt.first_text_at = self.timers.now()
                         self.admission.first_token(attempt)
                     attempt.add(text)
                 case upstream_port.End():
@@ -210,7 +212,7 @@
     def __init__(
         self,
         service: upstream_port.PlainService,
-        reporter: sidecar_commit.Reporter,
+        reporter: sidecar_commit.OutcomeReporter,
         timers: timers_port.Timers,
         load: LoadSource,
     ) -> None:
@@ -219,16 +221,16 @@
         self.timers = timers
         self.load = load
 
-    def call(
+    def describe(
         self, attempt: sidecar_attempts.Attempt, suspect: bool
     ) -> calls.Call:
         """Returns the attempt as the queue's decisions see it."""
-        return sidecar_gate.tool_call(attempt, suspect)
+        return sidecar_admission.tool_call(attempt, suspect)
 
     def refused(self, attempt: sidecar_attempts.Attempt) -> None:
         """Notes nothing: a service holds nothing for a program."""
 
-    def tells(self, attempt: sidecar_attempts.Attempt) -> bool:
+    def has_pace(self, attempt: sidecar_attempts.Attempt) -> bool:
         """Tells that every answer of a service counts."""
         return True
 
@@ -237,36 +239,36 @@
         return False
 
     def run(
-        self, attempt: sidecar_attempts.Attempt, answered: Answered
+        self, attempt: sidecar_attempts.Attempt, on_answered: OnAnswered
     ) -> None:
         """Forwards the request once and commits the answer.
 
         Args:
             attempt: The attempt.
-            answered: Called once the service has answered.
+            on_answered: Called once the service has answered.
 
         Raises:
             errors.NoUpstream: Nothing was delivered to the service.
             errors.OutcomeUnknown: It was delivered and no answer came.
         """
-        asked = attempt.message
+        request = attempt.message
         try:
             reply = self.service.send(
-                asked.method,
-                asked.path,
-                asked.headers,
-                asked.body,
-                max(0.001, attempt.until - self.timers.now()),
+                request.method,
+                request.path,
+                request.headers,
+                request.body,
+                max(0.001, attempt.deadline_at - self.timers.now()),
             )
         except (errors.StreamClosed, errors.StreamTimeout) as error:
             raise errors.OutcomeUnknown(error.detail) from error
-        answered()
-        if asked.attempt:
+        on_answered()
+        if request.attempt:
             answer = msgpack.packb(list(reply), use_bin_type=True)
             self.reporter.finish(attempt, answer, identities.Usage())
         attempt.end(
             call_messages.ToolAnswer(
-                asked.attempt,
+                request.attempt,
                 reply.status,
                 reply.headers,
                 reply.body,
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -20,41 +20,41 @@
 from mintcleat.ports import streams as streams_port
 from mintcleat.ports import timers as timers_port
 from mintcleat.ports import upstream as upstream_port
+from mintcleat.roles.sidecar import admission as sidecar_admission
+from mintcleat.roles.sidecar import answers as sidecar_answers
 from mintcleat.roles.sidecar import attempts as sidecar_attempts
 from mintcleat.roles.sidecar import commit as sidecar_commit
 from mintcleat.roles.sidecar import crashes as sidecar_crashes
 from mintcleat.roles.sidecar import execution as sidecar_execution
-from mintcleat.roles.sidecar import gate as sidecar_gate
 from mintcleat.roles.sidecar import history as sidecar_history
 from mintcleat.roles.sidecar import memory as sidecar_memory
+from mintcleat.roles.sidecar import monitor as sidecar_monitor
 from mintcleat.roles.sidecar import orders as sidecar_orders
-from mintcleat.roles.sidecar import presence as sidecar_presence
-from mintcleat.roles.sidecar import run as sidecar_run
-from mintcleat.roles.sidecar import watch as sidecar_watch
+from mintcleat.roles.sidecar import runners as sidecar_runners
 
 # One load report on the wire, its frame included (docs/capacity.json).
-_REPORT_BYTES = 100
-_STOP_STEP = 0.02
-_ATTACH_STEP = 0.02
-_EXPIRE_SECONDS = 0.1
-_FORGET_SECONDS = 1.0
-_USUAL_CAPACITY = 16
+_LOAD_REPORT_BYTES = 100
+_STOP_POLL_SECONDS = 0.02
+_ATTACH_POLL_SECONDS = 0.02
+_EXPIRE_INTERVAL = 0.1
+_FORGET_INTERVAL = 1.0
+_DEFAULT_CAPACITY = 16
 
-SidecarOptions = sidecar_presence.SidecarOptions
+SidecarOptions = sidecar_monitor.SidecarOptions
 
 
 class Sidecar:
     """One sidecar beside one upstream.
 
     Attributes:
-        presence: What the upstream and this sidecar tell of themselves.
+        monitor: What the upstream and this sidecar tell of themselves.
         attempts: Every attempt seen here.
     """
 
     def __init__(
         self,
         node: identities.Incarnation,
-        options: sidecar_presence.SidecarOptions,
+        options: sidecar_monitor.SidecarOptions,
         *,
         streams: streams_port.Streams,
         timers: timers_port.Timers,
@@ -74,23 +74,23 @@
         self.metrics = metrics
         self.is_model = options.kind == "model"
         self.attempts = sidecar_attempts.AttemptTable(
-            timers, control.groups, options.retention, options.keep_answer
+            timers, control.groups, options.retention, options.answer_retention
         )
         self.histories = sidecar_history.Histories(options.history_bytes)
-        self.reporter = sidecar_commit.Reporter(node, control, timers)
-        self.admission = sidecar_gate.Admission(
-            timers, directory, options.capacity or _USUAL_CAPACITY
+        self.reporter = sidecar_commit.OutcomeReporter(node, control, timers)
+        self.admission = sidecar_admission.Admission(
+            timers, directory, options.capacity or _DEFAULT_CAPACITY
         )
-        self.memory = sidecar_memory.Memory(
+        self.cache_manager = sidecar_memory.CacheManager(
             node,
             upstream,
             control,
             timers,
             admission=self.admission,
             export_bytes=options.export_bytes,
-            on_gone=self._give_up,
+            on_program_ended=self._on_program_ended,
         )
-        self.presence = sidecar_presence.Presence(
+        self.monitor = sidecar_monitor.UpstreamMonitor(
             node,
             options,
             address or getattr(streams, "address", ""),
@@ -98,10 +98,10 @@
             directory=directory,
             timers=timers,
             admission=self.admission,
-            memory=self.memory,
+            cache_manager=self.cache_manager,
         )
-        self.crashes = sidecar_crashes.Crashes(
-            node, directory, timers, self.presence
+        self.crashes = sidecar_crashes.CrashReporter(
+            node, directory, timers, self.monitor
         )
         self.executor = sidecar_execution.Executor(
             self._new_runner(upstream),
@@ -113,11 +113,17 @@
             self.load,
             self._count,
         )
-        target = sidecar_orders.Target(upstream, self.presence, self.under_way)
-        self.orders = sidecar_orders.receiver(node, target, timers, directory)
-        self.follower = sidecar_watch.Follower(timers, self.executor.cancel)
-        self.numbers = itertools.count(1)
-        self.watchers = 0
+        target = sidecar_orders.OrderTarget(
+            upstream, self.monitor, self.under_way
+        )
+        self.orders = sidecar_orders.new_receiver(
+            node, target, timers, directory
+        )
+        self.answer_sender = sidecar_answers.AnswerSender(
+            timers, self.executor.cancel
+        )
+        self.request_numbers = itertools.count(1)
+        self.load_watchers = 0
         self.subscriptions: list[timers_port.Subscription] = []
 
     def start(self) -> None:
@@ -134,159 +140,163 @@
         }
         for kind, handler in handlers.items():
             self.streams.handle(kind, handler)
-        self.presence.probe()
+        self.monitor.probe()
         self.subscriptions = [
-            self.timers.every(self.options.probe_seconds, self.presence.probe),
-            self.timers.every(_FORGET_SECONDS, self.attempts.forget_old),
-            self.timers.every(_EXPIRE_SECONDS, self.executor.expire),
+            self.timers.every(self.options.probe_interval, self.monitor.probe),
+            self.timers.every(_FORGET_INTERVAL, self.attempts.forget_old),
+            self.timers.every(_EXPIRE_INTERVAL, self.executor.expire),
         ]
-        self.directory.subscribe(self._take_configuration)
+        self.directory.subscribe(self._on_configuration)
         if self.is_model:
-            self.memory.start(self.options.renew_seconds)
+            self.cache_manager.start(self.options.renew_interval)
 
     def announcement(self) -> member_messages.Announcement:
         """Describes the upstream; the counter grows with each change."""
-        return self.presence.announcement()
+        return self.monitor.announcement()
 
     def load(self) -> call_messages.LoadReport:
         """Returns a fresh load report."""
-        return self.presence.load()
+        return self.monitor.load()
 
     # --- Handlers -------------------------------------------------------------
 
     def run_turn(
-        self, exchange: streams_port.Exchange, asked: call_messages.RunTurn
+        self, exchange: streams_port.Exchange, request: call_messages.RunTurn
     ) -> None:
         """Serves RunTurn; see `domain.messages`."""
-        if self._answer_known(exchange, asked):
+        if self._answer_without_running(exchange, request):
             return
-        base = (asked.program, asked.base_turn, asked.base_digest)
-        have = self.histories.have(*base)
-        if have < asked.base_turn and asked.history:
+        base = (request.program, request.base_turn, request.base_digest)
+        kept = self.histories.count_kept(*base)
+        if kept < request.base_turn and request.history:
             try:
-                self.histories.extend(asked.program, asked.history)
+                self.histories.extend(request.program, request.history)
             except errors.BadRequest as error:
-                self._refuse(exchange, asked, error)
+                self._refuse(exchange, request, error)
                 return
-            have = self.histories.have(*base)
-        if have < asked.base_turn:
-            exchange.send(call_messages.NeedHistory(have))
+            kept = self.histories.count_kept(*base)
+        if kept < request.base_turn:
+            exchange.send(call_messages.NeedHistory(kept))
             return
-        before = self.histories.prompt(asked.program, asked.base_turn)
-        self._start(exchange, asked, [*before, *asked.messages])
+        before = self.histories.prompt(request.program, request.base_turn)
+        self._start(exchange, request, [*before, *request.messages])
 
     def run_tool(
-        self, exchange: streams_port.Exchange, asked: call_messages.RunTool
+        self, exchange: streams_port.Exchange, request: call_messages.RunTool
     ) -> None:
         """Serves RunTool; see `domain.messages`."""
-        if not self._answer_known(exchange, asked):
-            self._start(exchange, asked, [])
+        if not self._answer_without_running(exchange, request):
+            self._start(exchange, request, [])
 
     def attach(
         self,
         exchange: streams_port.Exchange,
-        asked: call_messages.AttachAttempt,
+        request: call_messages.AttachAttempt,
     ) -> None:
         """Lets a caller follow an attempt from the start of its answer."""
-        if asked.sidecar != self.node:
-            exchange.send(_other_incarnation(asked.attempt))
+        if request.sidecar != self.node:
+            exchange.send(_other_incarnation(request.attempt))
             return
-        scope = _scope(asked)
-        patience = self.timers.now() + self.options.attach_patience
-        while not self.attempts.state(scope, asked.attempt):
-            if self.timers.now() >= patience:
+        scope = _scope(request)
+        give_up_at = self.timers.now() + self.options.attach_timeout
+        while not self.attempts.state(scope, request.attempt):
+            if self.timers.now() >= give_up_at:
                 # The run never came. Sealing makes "not run" true for a copy
                 # that is still on its way, so that the caller need not wait.
-                self.attempts.seal(scope, asked.attempt)
+                self.attempts.seal(scope, request.attempt)
                 break
-            self.timers.sleep(_ATTACH_STEP)
-        attempt = self.attempts.find(scope, asked.attempt)
+            self.timers.sleep(_ATTACH_POLL_SECONDS)
+        attempt = self.attempts.find(scope, request.attempt)
         if attempt is not None:
-            self.follower.follow(exchange, attempt)
+            self.answer_sender.follow(exchange, attempt)
             return
-        exchange.send(self._ended(scope, asked.attempt))
+        exchange.send(self._outcome_without_answer(scope, request.attempt))
 
     def seal(
-        self, exchange: streams_port.Exchange, asked: call_messages.SealAttempt
+        self,
+        exchange: streams_port.Exchange,
+        request: call_messages.SealAttempt,
     ) -> None:
         """Makes sure that an attempt never runs here, unless it has begun."""
         state = sidecar_attempts.UNKNOWN
-        if asked.sidecar == self.node:
-            scope = _scope(asked)
-            attempt = self.attempts.find(scope, asked.attempt)
+        if request.sidecar == self.node:
+            scope = _scope(request)
+            attempt = self.attempts.find(scope, request.attempt)
             if attempt and attempt.state == sidecar_attempts.QUEUED:
                 sealed = errors.Draining("The attempt was sealed.")
                 self.executor.cancel(attempt, sealed)
-            state = self.attempts.seal(scope, asked.attempt)
-        exchange.send(call_messages.AttemptState(asked.attempt, state))
+            state = self.attempts.seal(scope, request.attempt)
+        exchange.send(call_messages.AttemptState(request.attempt, state))
 
     def cancel(
         self,
         exchange: streams_port.Exchange,
-        asked: call_messages.CancelAttempt,
+        request: call_messages.CancelAttempt,
     ) -> None:
         """Stops an attempt whose caller has gone."""
-        attempt = self.attempts.find(asked.program, asked.attempt)
+        attempt = self.attempts.find(request.program, request.attempt)
         if attempt is not None:
-            self.executor.cancel(attempt, sidecar_watch.caller_gone())
+            self.executor.cancel(attempt, sidecar_answers.caller_gone())
         exchange.send(identities.Done())
 
     def watch_load(
-        self, exchange: streams_port.Exchange, asked: call_messages.WatchLoad
+        self, exchange: streams_port.Exchange, request: call_messages.WatchLoad
     ) -> None:
         """Pushes load reports until the watcher goes.
 
         Every answer carries a report too, so a watcher that sends work here
         stays informed when many watchers make the interval long.
         """
-        self.watchers += 1
+        self.load_watchers += 1
         try:
             while True:
                 exchange.send(self.load())
-                size = self.watchers * _REPORT_BYTES
+                size = self.load_watchers * _LOAD_REPORT_BYTES
                 seconds = send_interval.for_budget(
-                    self.options.load_seconds, size, send_interval.REPORT_BUDGET
+                    self.options.load_interval,
+                    size,
+                    send_interval.REPORT_BUDGET,
                 )
                 self.timers.sleep(seconds)
         finally:
-            self.watchers -= 1
+            self.load_watchers -= 1
 
     def order(
-        self, exchange: streams_port.Exchange, asked: config_messages.Order
+        self, exchange: streams_port.Exchange, request: config_messages.Order
     ) -> None:
         """Carries out an order to the upstream."""
         if not self.is_model:
             raise errors.BadRequest("A plain service takes no orders.")
-        self.orders.handle(exchange, asked)
+        self.orders.handle(exchange, request)
 
     def drain_upstream(
         self,
         exchange: streams_port.Exchange,
-        asked: operator_messages.DrainUpstream,
+        request: operator_messages.DrainUpstream,
     ) -> None:
         """Takes no new work, or takes it again."""
-        if asked.sidecar != self.node:
+        if request.sidecar != self.node:
             raise errors.FencedOff("The order is for another incarnation.")
-        if asked.drain:
+        if request.drain:
             self.drain()
         else:
-            self.presence.draining = False
+            self.monitor.draining = False
         self.directory.announce()
-        exchange.send(identities.Done(self.presence.state()))
+        exchange.send(identities.Done(self.monitor.state()))
 
     # --- Stopping -------------------------------------------------------------
 
     def drain(self) -> None:
         """Refuses new work and hands back what waits."""
-        self.presence.draining = True
-        self._hand_back()
+        self.monitor.draining = True
+        self._refuse_queued()
 
     def stop(self, limit: float) -> int:
         """Drains, waits for what runs, and returns how many were cut."""
         self.drain()
         until = self.timers.now() + limit
         while self.under_way() and self.timers.now() < until:
-            self.timers.sleep(_STOP_STEP)
+            self.timers.sleep(_STOP_POLL_SECONDS)
         cut = self.under_way()
         self.reporter.stopped = True
         for attempt in cut:
@@ -296,9 +306,9 @@
             )
         for subscription in self.subscriptions:
             subscription.cancel()
-        self.memory.stopped = True
+        self.cache_manager.stopped = True
         if self.is_model and self.options.release_on_stop:
-            self.memory.release_all()
+            self.cache_manager.release_all()
         return len(cut)
 
     def under_way(self) -> list[sidecar_attempts.Attempt]:
@@ -309,48 +319,50 @@
 
     def _new_runner(self, upstream: Any) -> sidecar_execution.Runner:
         if self.is_model:
-            return sidecar_run.TurnRunner(
+            return sidecar_runners.TurnRunner(
                 upstream,
                 self.histories,
-                self.memory,
+                self.cache_manager,
                 self.reporter,
                 self.timers,
                 self.load,
                 self.admission,
             )
-        return sidecar_run.ToolRunner(
+        return sidecar_runners.ToolRunner(
             upstream,
             self.reporter,
             self.timers,
             self.load,
         )
 
-    def _answer_known(
-        self, exchange: streams_port.Exchange, asked: Any
+    def _answer_without_running(
+        self, exchange: streams_port.Exchange, request: Any
     ) -> bool:
         """Answers a copy of a known attempt, or a refusal; True if it did."""
-        if asked.attempt:
-            if asked.sidecar != self.node:
-                exchange.send(_other_incarnation(asked.attempt))
+        if request.attempt:
+            if request.sidecar != self.node:
+                exchange.send(_other_incarnation(request.attempt))
                 return True
-            scope = _scope(asked)
-            attempt = self.attempts.find(scope, asked.attempt)
+            scope = _scope(request)
+            attempt = self.attempts.find(scope, request.attempt)
             if attempt is not None:
-                self.follower.follow(exchange, attempt)
+                self.answer_sender.follow(exchange, attempt)
                 return True
-            if self.attempts.state(scope, asked.attempt):
-                exchange.send(self._ended(scope, asked.attempt))
+            if self.attempts.state(scope, request.attempt):
+                exchange.send(
+                    self._outcome_without_answer(scope, request.attempt)
+                )
                 return True
-        refusal = self.presence.refusal(asked)
+        refusal = self.monitor.refusal(request)
         if refusal is None:
             return False
-        self._refuse(exchange, asked, refusal)
+        self._refuse(exchange, request, refusal)
         return True
 
     def _refuse(
         self,
         exchange: streams_port.Exchange,
-        asked: Any,
+        request: Any,
         error: errors.MintcleatError,
     ) -> None:
         """Refuses an attempt before it was registered.
@@ -359,11 +371,11 @@
         run after its caller was told that it did not.
         """
         self._count("refused", error.kind)
-        if asked.attempt:
-            self.attempts.seal(_scope(asked), asked.attempt)
+        if request.attempt:
+            self.attempts.seal(_scope(request), request.attempt)
         exchange.send(
             call_messages.AttemptRefused(
-                asked.attempt, error.failure(), self.load()
+                request.attempt, error.failure(), self.load()
             )
         )
 
@@ -373,19 +385,23 @@
             self.metrics.count("attempts_total", ended=ended, kind=kind)
 
     def _start(
-        self, exchange: streams_port.Exchange, asked: Any, prompt: list[str]
+        self, exchange: streams_port.Exchange, request: Any, prompt: list[str]
     ) -> None:
-        seconds = asked.deadline or self.directory.manifest().policies.deadline
+        seconds = (
+            request.deadline or self.directory.manifest().policies.deadline
+        )
         attempt = sidecar_attempts.Attempt(
-            asked,
-            f"{self.node.epoch:x}-{next(self.numbers)}",
+            request,
+            f"{self.node.epoch:x}-{next(self.request_numbers)}",
             self.timers.now() + seconds,
         )
         attempt.prompt = prompt
         self.executor.start(attempt)
-        self.follower.follow(exchange, attempt)
+        self.answer_sender.follow(exchange, attempt)
 
-    def _ended(self, scope: str, number: int) -> sidecar_attempts.Outcome:
+    def _outcome_without_answer(
+        self, scope: str, number: int
+    ) -> sidecar_attempts.Outcome:
         """Returns the outcome of an attempt whose answer is not kept."""
         match self.attempts.state(scope, number):
             case sidecar_attempts.NEVER:
@@ -403,19 +419,19 @@
                 failure = errors.OutcomeUnknown("The call may have run.")
         return call_messages.AttemptFailed(number, failure.failure())
 
-    def _take_configuration(self) -> None:
+    def _on_configuration(self) -> None:
         self.admission.configure()
-        if self.presence.is_draining():
-            self._hand_back()
+        if self.monitor.is_draining():
+            self._refuse_queued()
 
-    def _hand_back(self) -> None:
+    def _refuse_queued(self) -> None:
         """Refuses what waits, so that the entries place it elsewhere."""
         for attempt in self.under_way():
             if attempt.state == sidecar_attempts.QUEUED:
                 leaving = errors.Draining("This sidecar takes no new work.")
                 self.executor.cancel(attempt, leaving)
 
-    def _give_up(self, program: str) -> None:
+    def _on_program_ended(self, program: str) -> None:
         """Drops a program that its group has closed or moved."""
         self.histories.drop(program)
         for attempt in self.under_way():
@@ -426,8 +442,10 @@
                 self.executor.cancel(attempt, gone)
 
 
-def _scope(asked: Any) -> str:
-    return sidecar_attempts.scope_of(asked.program, asked.customer, asked.key)
+def _scope(request: Any) -> str:
+    return sidecar_attempts.scope_of(
+        request.program, request.customer, request.key
+    )
 
 
 def _other_incarnation(number: int) -> call_messages.AttemptFailed:
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -27,20 +27,20 @@
     """A program group that commits at once and remembers what it heard.
 
     Attributes:
-        open: Programs that the group knows as open; None for all.
-        fail: Raised instead of an answer, while it is set.
+        open_programs: Programs that the group knows as open; None for all.
+        failure: Raised instead of an answer, while it is set.
     """
 
     def __init__(self) -> None:
-        self.heard: list[Any] = []
+        self.requests: list[Any] = []
         self.groups = 1
-        self.open: set[str] | None = None
-        self.fail: Exception | None = None
+        self.open_programs: set[str] | None = None
+        self.failure: Exception | None = None
 
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
-        if self.fail is not None:
-            raise self.fail
-        self.heard.append(message)
+        if self.failure is not None:
+            raise self.failure
+        self.requests.append(message)
         return identities.Done()
 
     def ended_programs(
@@ -49,12 +49,12 @@
         programs: list[str],
         timeout: float,
     ) -> list[str]:
-        if self.open is None:
+        if self.open_programs is None:
             return []
-        return [name for name in programs if name not in self.open]
+        return [name for name in programs if name not in self.open_programs]
 
-    def of(self, kind: type) -> list[Any]:
-        return [item for item in self.heard if isinstance(item, kind)]
+    def requests_of(self, kind: type) -> list[Any]:
+        return [item for item in self.requests if isinstance(item, kind)]
 
 
 class FakeDirectory:
@@ -126,7 +126,7 @@
         self.server = streams.TcpStreams("127.0.0.1:0")
         self.client = streams.TcpStreams("127.0.0.1:0")
         kind = "plain" if plain else "model"
-        defaults = sidecar.SidecarOptions("svc", kind, renew_seconds=0.05)
+        defaults = sidecar.SidecarOptions("svc", kind, renew_interval=0.05)
         adapter = plain_http.HttpService if plain else engine_http.HttpEngine
         self.sidecar = sidecar.Sidecar(
             node,
@@ -149,7 +149,7 @@
         """Lets what was sent arrive."""
         eventlet.sleep(0.03)
 
-    def until(self, probe: Callable[[], Any], limit: float = 5.0) -> Any:
+    def wait_until(self, probe: Callable[[], Any], limit: float = 5.0) -> Any:
         """Waits until the probe returns something true, and returns it."""
         return wait_until(probe, limit)
 
@@ -158,7 +158,7 @@
 
     def call(self, message: Any, timeout: float = 5.0) -> tuple[str, Any]:
         """Returns the text of an answer and its last message."""
-        return drain(self.open(message), timeout)
+        return read_answer(self.open(message), timeout)
 
 
 def wait_until(probe: Callable[[], Any], limit: float = 5.0) -> Any:
@@ -171,7 +171,7 @@
     raise AssertionError("It did not happen in time.")
 
 
-def drain_rest(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
+def read_rest(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
     """Reads the rest of an exchange that was read before."""
     text = ""
     while True:
@@ -181,7 +181,7 @@
         text += message.text
 
 
-def drain(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
+def read_answer(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
     """Reads an exchange to its end; chunks must lie end to end."""
     text = ""
     while True:
--- a/testing/fakes/service_system.py
+++ b/testing/fakes/service_system.py
@@ -247,10 +247,10 @@
         process = assembly.Process(settings_module.parse(value))
         side = process.parts[0].sidecar
         side.options = side.options._replace(
-            renew_seconds=0.05,
-            probe_seconds=0.05,
-            load_seconds=0.05,
-            attach_patience=0.03,
+            renew_interval=0.05,
+            probe_interval=0.05,
+            load_interval=0.05,
+            attach_timeout=0.03,
         )
         process.start()
         self.sidecars[name] = process
@@ -324,7 +324,7 @@
         side = part.sidecar
         side.upstream.base = f"http://{DEAD}"
         side.reporter.stopped = True
-        side.memory.stopped = True
+        side.cache_manager.stopped = True
         for subscription in side.subscriptions:
             subscription.cancel()
     if hasattr(part, "log"):
@@ -342,7 +342,7 @@
     begin = attempts_module.Attempts.begin
     start = sidecar_execution.Executor.start
     add = sidecar_attempts.Attempt.add
-    finish = sidecar_commit.Reporter.finish
+    finish = sidecar_commit.OutcomeReporter.finish
     execute = service_faults.FaultyService.execute
 
     def begin_hooked(self: Any, name: Any, asked: Any) -> Any:
@@ -359,7 +359,7 @@
     def add_hooked(self: Any, text: str) -> None:
         add(self, text)
         at = self.message.sidecar.instance
-        if len(self.pieces) == 2:
+        if len(self.chunks) == 2:
             system.reach("mid_stream", "sidecar", at)
 
     def execute_hooked(self: Any, key: str, path: str) -> None:
@@ -375,5 +375,5 @@
     patch(attempts_module.Attempts, "begin", begin_hooked)
     patch(sidecar_execution.Executor, "start", start_hooked)
     patch(sidecar_attempts.Attempt, "add", add_hooked)
-    patch(sidecar_commit.Reporter, "finish", finish_hooked)
+    patch(sidecar_commit.OutcomeReporter, "finish", finish_hooked)
     patch(service_faults.FaultyService, "execute", execute_hooked)
--- a/testing/test_control_client.py
+++ b/testing/test_control_client.py
@@ -104,7 +104,7 @@
             return [errors.NotLeader(leader).failure() for _ in requests]
 
         client = self.client(script)
-        client.try_seconds = 0.2
+        client.try_timeout = 0.2
         client.leaders[placement.group_of("p", 4)] = "a"
         reply = client.ask("p", program_messages.CloseProgram("p"), 5.0)
         self.assertEqual(identities.Done(), reply)
@@ -127,7 +127,7 @@
             return [identities.Done() for _ in requests]
 
         client = self.client(script)
-        client.try_seconds = 0.1
+        client.try_timeout = 0.1
         reply = client.ask("p", program_messages.CloseProgram("p"), 5.0)
         self.assertEqual(identities.Done(), reply)
         self.assertEqual(2, len(asked))
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -30,7 +30,7 @@
         text, end = self.rig.call(asked)
         self.assertEqual(right_answer(asked.messages), text)
         self.assertEqual(len(text), end.total)
-        finished = self.rig.control.of(program_messages.FinishCall)
+        finished = self.rig.control.requests_of(program_messages.FinishCall)
         self.assertEqual([end.message.encode()], [f.answer for f in finished])
 
     def test_second_turn_needs_no_history_from_the_entry(self) -> None:
@@ -101,7 +101,7 @@
         asked = service_rig.turn(program="", attempt=0)
         text, _ = self.rig.call(asked)
         self.assertEqual(right_answer(asked.messages), text)
-        self.assertEqual([], self.rig.control.heard)
+        self.assertEqual([], self.rig.control.requests)
 
 
 class ToolTest(testtools.TestCase):
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -48,7 +48,9 @@
         self.engine.skips = 1
         _, end = self.rig.call(service_rig.turn())
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
-        self.assertEqual([], self.rig.control.of(program_messages.FinishCall))
+        self.assertEqual(
+            [], self.rig.control.requests_of(program_messages.FinishCall)
+        )
 
     def test_crash_is_reported_before_any_caller_hears(self) -> None:
         """A request kills its engine while another one stands beside it.
@@ -72,14 +74,14 @@
                 parameters=longer,
             )
         )
-        (report,) = self.rig.until(lambda: self.rig.directory.asked)
+        (report,) = self.rig.wait_until(lambda: self.rig.directory.asked)
         self.assertEqual([b"b" * 16, b"o" * 16], report.digests)
         self.rig.sleep()
         running = self.rig.sidecar.under_way()
         self.assertThat(running, matchers.HasLength(2))
         self.rig.directory.held.send()
         for exchange in (poison, other):
-            _, end = service_rig.drain_rest(exchange)
+            _, end = service_rig.read_rest(exchange)
             self.assertEqual(errors.UNKNOWN, end.failure.outcome)
 
     def test_cut_connection_alone_is_no_crash(self) -> None:
@@ -97,7 +99,7 @@
         self.engine.crash_on = "asks"
         _, end = self.rig.call(service_rig.turn(idempotent=False))
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
-        (settled,) = self.rig.control.of(program_messages.SettleCall)
+        (settled,) = self.rig.control.requests_of(program_messages.SettleCall)
         self.assertEqual(errors.UNKNOWN, settled.outcome)
 
     def test_engine_that_refuses_the_request_has_a_final_outcome(self) -> None:
@@ -111,14 +113,16 @@
         The answer is whole, but until it is recorded a resend could make
         another one; the end frame waits and the report is repeated.
         """
-        self.rig.control.fail = errors.OutcomeUnknown("No leader.")
+        self.rig.control.failure = errors.OutcomeUnknown("No leader.")
         exchange = self.rig.open(service_rig.turn())
-        attempt = self.rig.until(lambda: self.rig.sidecar.attempts.find("p", 1))
-        self.rig.until(lambda: attempt.usage.completion_tokens)
+        attempt = self.rig.wait_until(
+            lambda: self.rig.sidecar.attempts.find("p", 1)
+        )
+        self.rig.wait_until(lambda: attempt.usage.completion_tokens)
         self.rig.sleep()
         self.assertIsNone(attempt.outcome)
-        self.rig.control.fail = None
-        _, end = service_rig.drain(exchange)
+        self.rig.control.failure = None
+        _, end = service_rig.read_answer(exchange)
         self.assertIsInstance(end, call_messages.AttemptFinished)
 
     def test_refused_commit_does_not_claim_that_the_call_did_not_run(
@@ -129,7 +133,7 @@
         The group refuses the answer with its usual "not run", which is about
         the commit. The engine has run the call, and the caller is told so.
         """
-        self.rig.control.fail = errors.ProgramClosed("Closed.")
+        self.rig.control.failure = errors.ProgramClosed("Closed.")
         _, end = self.rig.call(service_rig.turn())
         self.assertEqual("program_closed", end.failure.kind)
         self.assertEqual(errors.RAN, end.failure.outcome)
@@ -151,8 +155,8 @@
         innocent = self.rig.open(service_rig.turn("c", digest=b"3" * 16))
         innocent.receive(5.0)
         self.assertEqual(["a", "c"], [r.program for r in self.engine.runs])
-        service_rig.drain_rest(first)
-        _, end = service_rig.drain(second)
+        service_rig.read_rest(first)
+        _, end = service_rig.read_answer(second)
         self.assertIsInstance(end, call_messages.AttemptFinished)
 
 
@@ -228,7 +232,7 @@
         _, end = self.rig.call(asked)
         self.assertEqual("outcome_unknown", end.failure.kind)
         self.assertThat(
-            self.rig.control.of(program_messages.SettleCall),
+            self.rig.control.requests_of(program_messages.SettleCall),
             matchers.HasLength(1),
         )
         _, again = self.rig.call(asked)
@@ -257,8 +261,8 @@
 
     def test_dead_service_is_announced_and_comes_back(self) -> None:
         self.service.crash()
-        self.rig.sidecar.presence.probe()
+        self.rig.sidecar.monitor.probe()
         self.assertEqual("down", self.rig.sidecar.announcement().state)
         self.service.restart()
-        self.rig.sidecar.presence.probe()
+        self.rig.sidecar.monitor.probe()
         self.assertEqual("ready", self.rig.sidecar.announcement().state)
--- a/testing/test_sidecar_memory.py
+++ b/testing/test_sidecar_memory.py
@@ -25,20 +25,20 @@
         return self.engine.cache.used
 
     def assert_freed(self) -> None:
-        self.rig.until(lambda: not self.held())
+        self.rig.wait_until(lambda: not self.held())
         self.assertEqual({}, dict(self.engine.cache.totals))
 
     def test_closed_program_is_released(self) -> None:
         self.rig.call(service_rig.turn())
         self.assertThat(self.held(), matchers.GreaterThan(0))
-        self.rig.control.open = set()
+        self.rig.control.open_programs = set()
         self.assert_freed()
 
     def test_open_program_is_kept(self) -> None:
-        self.rig.control.open = {"p"}
+        self.rig.control.open_programs = {"p"}
         self.rig.call(service_rig.turn("gone"))
         self.rig.call(service_rig.turn("p"))
-        self.rig.until(lambda: set(self.engine.cache.totals) == {"p"})
+        self.rig.wait_until(lambda: set(self.engine.cache.totals) == {"p"})
 
     def test_program_of_a_lost_event_is_released(self) -> None:
         """The engine holds a program that the sidecar never heard of.
@@ -49,7 +49,7 @@
         self.engine.hidden.add("hidden")
         self.engine.cache.store("hidden", [service_rig.user("x" * 100)])
         self.engine.cache.store("seen", [service_rig.user("y" * 100)])
-        self.rig.control.open = set()
+        self.rig.control.open_programs = set()
         self.assert_freed()
 
     def test_program_closed_while_it_runs_is_stopped_and_released(
@@ -63,9 +63,9 @@
         long = service_rig.turn(parameters='{"max_tokens":100000}')
         exchange = self.rig.open(long)
         exchange.receive(5.0)
-        self.rig.control.open = set()
+        self.rig.control.open_programs = set()
         self.engine.cache.store("p", long.messages)
-        _, end = service_rig.drain_rest(exchange)
+        _, end = service_rig.read_rest(exchange)
         self.assertEqual("program_closed", end.failure.kind)
         self.assert_freed()
 
@@ -85,7 +85,7 @@
         )
         self.addCleanup(later.stop)
         self.assertThat(self.held(), matchers.GreaterThan(0))
-        later.control.open = set()
+        later.control.open_programs = set()
         self.assert_freed()
 
     def test_planned_stop_releases_everything(self) -> None:
@@ -95,12 +95,12 @@
 
     def test_restarted_engine_is_followed_from_its_start(self) -> None:
         self.rig.call(service_rig.turn())
-        memory = self.rig.sidecar.memory
-        self.rig.until(lambda: memory.ledger.seq)
+        memory = self.rig.sidecar.cache_manager
+        self.rig.wait_until(lambda: memory.ledger.seq)
         self.engine.crash()
         self.engine.restart()
         self.engine.cache.store("q", [service_rig.user("z" * 100)])
-        self.rig.until(lambda: set(memory.ledger.tokens) == {"q"})
+        self.rig.wait_until(lambda: set(memory.ledger.tokens) == {"q"})
 
 
 # Program, tokens, whether the event arrives, whether a batch ends there.
@@ -170,7 +170,7 @@
                 service_rig.turn(f"p{number}", messages=[text + " " * number])
             )
             self.assertIsInstance(end, call_messages.AttemptFinished)
-        memory = rig.sidecar.memory
+        memory = rig.sidecar.cache_manager
         self.assertThat(memory.ledger.total(), matchers.LessThan(541))
         self.assertThat(engine.cache.used, matchers.LessThan(601))
 
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -56,8 +56,8 @@
         waiting = self.rig.open(asked)
         self.rig.sleep()
         self.rig.sidecar.histories.drop("second")
-        service_rig.drain_rest(first)
-        text, _ = service_rig.drain(waiting)
+        service_rig.read_rest(first)
+        text, _ = service_rig.read_answer(waiting)
         whole = [*added, *asked.messages]
         self.assertEqual("".join(batch.answer_tokens(whole, 16)), text)
 
@@ -75,9 +75,9 @@
         )
         _, sealed = self.rig.call(seal)
         self.assertEqual("never", sealed.state)
-        _, end = service_rig.drain(waiting)
+        _, end = service_rig.read_answer(waiting)
         self.assertEqual(errors.NOT_RUN, end.failure.outcome)
-        service_rig.drain_rest(first)
+        service_rig.read_rest(first)
         self.rig.call(service_rig.turn("third"))
         ran = [run.program for run in self.engine.runs]
         self.assertEqual(["first", "third"], ran)
@@ -92,7 +92,7 @@
         waiting = self.rig.open(service_rig.turn("second"))
         self.rig.sleep()
         side = self.rig.sidecar
-        attempt = self.rig.until(lambda: side.attempts.find("second", 1))
+        attempt = self.rig.wait_until(lambda: side.attempts.find("second", 1))
         leave = side.admission.leave
 
         def leave_and_seal(*args: object) -> None:
@@ -102,8 +102,8 @@
             side.executor.cancel(attempt, gone)
 
         self.patch(side.admission, "leave", leave_and_seal)
-        service_rig.drain_rest(first)
-        _, end = service_rig.drain(waiting)
+        service_rig.read_rest(first)
+        _, end = service_rig.read_answer(waiting)
         self.assertIsInstance(end, call_messages.AttemptRefused)
         self.assertEqual("never", side.attempts.state("second", 1))
         self.patch(side.admission, "leave", leave)
@@ -129,10 +129,10 @@
         waiting = self.rig.open(service_rig.turn("second"))
         self.rig.sleep()
         self.rig.sidecar.drain()
-        _, refused = service_rig.drain(waiting)
+        _, refused = service_rig.read_answer(waiting)
         self.assertEqual("draining", refused.failure.kind)
         self.assertEqual(0, self.rig.sidecar.stop(5.0))
-        _, end = service_rig.drain_rest(first)
+        _, end = service_rig.read_rest(first)
         self.assertIsInstance(end, call_messages.AttemptFinished)
 
 
@@ -168,7 +168,7 @@
         exchange = self.rig.open(asked)
         exchange.receive(5.0)
         exchange.close()
-        self.rig.until(self.reason)
+        self.rig.wait_until(self.reason)
         self.assertEqual("cancelled", self.reason())
 
     def test_committed_call_goes_on_without_its_entry(self) -> None:
@@ -180,8 +180,8 @@
         exchange = self.rig.open(service_rig.turn())
         exchange.receive(5.0)
         self.rig.client.stop()
-        finished = self.rig.until(
-            lambda: self.rig.control.of(program_messages.FinishCall)
+        finished = self.rig.wait_until(
+            lambda: self.rig.control.requests_of(program_messages.FinishCall)
         )
         self.assertThat(finished, matchers.HasLength(1))
 
@@ -189,7 +189,7 @@
         exchange = self.rig.open(service_rig.turn(parameters=LONG))
         exchange.receive(5.0)
         exchange.send(call_messages.CancelAttempt("p", 1))
-        _, end = service_rig.drain_rest(exchange)
+        _, end = service_rig.read_rest(exchange)
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
         self.assertEqual("cancelled", self.reason())
 
@@ -204,8 +204,8 @@
         )
         exchange.receive(5.0)
         (running,) = self.rig.sidecar.under_way()
-        self.rig.sidecar.timers.now = lambda: running.until
-        _, end = service_rig.drain_rest(exchange)
+        self.rig.sidecar.timers.now = lambda: running.deadline_at
+        _, end = service_rig.read_rest(exchange)
         self.assertEqual("deadline_unmet", end.failure.kind)
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
         self.assertEqual("cancelled", self.reason())
@@ -216,7 +216,7 @@
         exchange = self.rig.open(service_rig.turn(parameters=LONG))
         exchange.receive(5.0)
         self.assertEqual(1, self.rig.sidecar.stop(0.0))
-        _, end = service_rig.drain_rest(exchange)
+        _, end = service_rig.read_rest(exchange)
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
 
 
@@ -277,7 +277,7 @@
         """
         self.rig.call(service_rig.turn(attempt=7))
         table = self.rig.sidecar.attempts
-        table.retention = table.keep_answer = -1.0
+        table.retention = table.answer_retention = -1.0
         table.forget_old()
         self.assertEqual({}, table.states)
         old = call_messages.SealAttempt("p", "", "k7", 7, service_rig.NODE)
