--- a/src/mintcleat/roles/sidecar/__init__.py
+++ b/src/mintcleat/roles/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: the gate in front of one upstream."""
+"""The sidecar: admission control and execution in front of one upstream."""
--- a/src/mintcleat/roles/sidecar/admission.py
+++ b/src/mintcleat/roles/sidecar/admission.py
@@ -1,4 +1,4 @@
-"""Joins the queue's decisions to the green threads that wait in it."""
+"""Applies the queue's decisions to the green threads of attempts."""
 
 import msgspec
 
@@ -16,10 +16,12 @@
 
 
 class Admission:
-    """Who runs at the upstream now, who waits, who is refused.
+    """Admission of attempts to the upstream: run, queue or refuse.
 
     Attributes:
-        waiting: Attempts that the gate holds, by request id.
+        cache_capacity: Size of the engine's prefix cache in tokens.
+        gate: Decides which attempt runs next.
+        waiting: Queued attempts by request id.
     """
 
     def __init__(
@@ -30,54 +32,59 @@
     ) -> None:
         self.timers = timers
         self.directory = directory
-        self.memory = 0
+        self.cache_capacity = 0
         self.gate = queue.Gate(queue.Options(), capacity)
         self.waiting: dict[str, sidecar_attempts.Attempt] = {}
         self.configure()
 
     def configure(self) -> None:
-        """Takes the policies of the manifest in force."""
+        """Applies the policies of the current manifest."""
         policies = self.directory.manifest().policies
-        self.gate.configure(gate_options(policies, self.memory))
+        self.gate.configure(gate_options(policies, self.cache_capacity))
 
-    def resize(self, capacity: int, memory: int) -> None:
-        """Takes what the upstream announces of its size."""
+    def resize(self, capacity: int, cache_capacity: int) -> None:
+        """Adopts the size that the upstream announces.
+
+        Args:
+            capacity: Calls that it runs concurrently.
+            cache_capacity: Size of its prefix cache in tokens; 0 if unknown.
+        """
         self.gate.limit.resize(capacity)
-        if memory != self.memory:
-            self.memory = memory
+        if cache_capacity != self.cache_capacity:
+            self.cache_capacity = cache_capacity
             self.configure()
 
     def first_token(self, attempt: sidecar_attempts.Attempt) -> None:
-        """Notes that the engine has computed an attempt's prompt."""
+        """Records that the engine has computed an attempt's prompt."""
         self.gate.first_token(attempt.request_id)
         self.admit_waiting()
 
     def protect(self, tokens: int) -> None:
-        """Takes the size of the caches that are expected back soon."""
+        """Reserves cache space for paused programs that return soon."""
         self.gate.protect(tokens)
         self.admit_waiting()
 
     def remove_programs(self, programs: list[str]) -> None:
-        """Notes that programs hold nothing at the engine any more."""
+        """Removes programs from the engine's working set."""
         for program in programs:
             self.gate.program_left(program)
         self.admit_waiting()
 
     def learn(self, agent: str, tokens: int, turns: int) -> None:
-        """Learns from a program that is gone."""
+        """Updates the estimator with the totals of an ended program."""
         self.gate.estimator.finished(agent, tokens, turns)
 
     def typical_answer_tokens(self, agent: str) -> int:
-        """Returns the tokens that a call of this agent usually generates."""
+        """Returns the tokens that a call of this agent typically generates."""
         return self.gate.estimator.answer_tokens(agent, _DEFAULT_ANSWER_TOKENS)
 
     def enter(
         self, attempt: sidecar_attempts.Attempt, call: calls.Call
     ) -> None:
-        """Waits until the attempt may go to the upstream.
+        """Blocks until the attempt is admitted.
 
         Raises:
-            errors.MintcleatError: It is refused, or was cancelled meanwhile.
+            errors.MintcleatError: It was refused or cancelled.
         """
         if attempt.cancelled is not None:
             raise attempt.cancelled
@@ -85,12 +92,13 @@
         match answer:
             case admission.Refuse(kind, retry_after):
                 raise errors.kinds()[kind](
-                    "The predicted wait here is too long.",
+                    "The predicted wait at this upstream is too long.",
                     retry_after=retry_after,
                 )
             case queue.Queued():
                 self.waiting[attempt.request_id] = attempt
-                # Those before it may be held back by more than the slots.
+                # A slot may be free: attempts ahead of this one may wait for
+                # something else, such as their customer's limit.
                 self.admit_waiting()
                 self._wait(attempt)
         attempt.admitted = True
@@ -100,7 +108,10 @@
         attempt: sidecar_attempts.Attempt,
         outcome: calls.Outcome | None,
     ) -> None:
-        """Frees the place of an admitted attempt; learns from an outcome."""
+        """Frees the slot of an admitted attempt.
+
+        With an outcome, the concurrency limit and the estimates are updated.
+        """
         if outcome is None:
             self.gate.cancel(attempt.request_id)
         else:
@@ -109,14 +120,14 @@
         self.admit_waiting()
 
     def cancel(self, attempt: sidecar_attempts.Attempt) -> None:
-        """Takes a cancelled attempt out of the queue."""
+        """Removes a cancelled attempt from the queue."""
         if not attempt.admitted:
             self.gate.cancel(attempt.request_id)
             attempt.notify()
             self.admit_waiting()
 
     def admit_waiting(self) -> None:
-        """Lets everything go that may go now."""
+        """Admits every queued attempt that may run now."""
         while (call := self.gate.next(self.timers.now())) is not None:
             attempt = self.waiting.get(call.call_id)
             if attempt is None:
@@ -126,12 +137,12 @@
             attempt.notify()
 
     def expire(self) -> None:
-        """Refuses what can't meet its deadline any more."""
+        """Refuses queued attempts that can no longer meet their deadline."""
         for call in self.gate.expire(self.timers.now()):
             attempt = self.waiting.get(call.call_id)
             if attempt is not None and attempt.cancelled is None:
                 attempt.cancelled = errors.DeadlineUnmet(
-                    "The deadline would end before the answer."
+                    "The deadline would pass before the answer is complete."
                 )
                 attempt.notify()
 
@@ -144,14 +155,19 @@
         finally:
             self.waiting.pop(attempt.request_id, None)
         if attempt.cancelled is not None:
-            # Cancelled between its admission and this line.
+            # Cancelled after its admission, before this thread resumed.
             self.gate.cancel(attempt.request_id)
             self.admit_waiting()
             raise attempt.cancelled
 
 
 def gate_options(policies: manifest.Policies, memory: int) -> queue.Options:
-    """Returns the gate's options under these policies."""
+    """Returns the options of the gate.
+
+    Args:
+        policies: Policies of the current manifest.
+        memory: Size of the engine's prefix cache in tokens; 0 if unknown.
+    """
     customers = policies.customers.items()
     return queue.Options(
         shares={name: customer.share for name, customer in customers},
@@ -171,13 +187,13 @@
     typical: int,
     suspect: bool,
 ) -> calls.Call:
-    """Returns a chat turn as the decisions see it.
+    """Returns the description of a chat turn for the queue.
 
     Args:
         attempt: The attempt.
-        resident: Tokens of the program that the engine holds.
-        typical: Tokens of this agent's typical answer.
-        suspect: Whether an upstream crashed while it ran this request.
+        resident: Tokens of the program in the engine's cache.
+        typical: Tokens that a call of this agent typically generates.
+        suspect: Whether the request is suspected of crashing upstreams.
     """
     request = attempt.message
     tokens = sum(map(len, attempt.prompt)) // _CHARACTERS_PER_TOKEN
@@ -198,7 +214,7 @@
 
 
 def tool_call(attempt: sidecar_attempts.Attempt, suspect: bool) -> calls.Call:
-    """Returns a request to a plain service as the decisions see it."""
+    """Returns the description of a plain request for the queue."""
     request = attempt.message
     return calls.Call(
         call_id=attempt.request_id,
@@ -213,7 +229,7 @@
 
 
 def max_tokens(parameters: str) -> int:
-    """Returns the completion limit of a body; 0 for none."""
+    """Returns `max_tokens` of a request body in JSON; 0 if not given."""
     if not parameters:
         return 0
     fields = msgspec.json.decode(parameters)
--- a/src/mintcleat/roles/sidecar/attempts.py
+++ b/src/mintcleat/roles/sidecar/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts at one sidecar: what may run, what runs, what will never run.
+"""The attempts that a sidecar has received, and their states.
 
-A scope is a program id, or `customer/key` for a call without a program. The
-attempt numbers of a program group only grow.
+A scope is a program id, or `customer/key` for a call without a program.
+Attempt numbers increase within a program group.
 """
 
 import collections
@@ -20,7 +20,7 @@
 RUNNING = "running"
 ENDED = "ended"
 
-# States of an attempt as `call_messages.Sealed` tells them.
+# States of an attempt in `call_messages.AttemptState`.
 NEVER = "never"
 RAN = "ran"
 UNKNOWN = "unknown"
@@ -34,7 +34,7 @@
 
 
 def scope_of(program: str, customer: str, key: str) -> str:
-    """Returns the scope whose group keeps a call."""
+    """Returns the scope of a call, which determines its group."""
     return program or placement.call_scope(customer, key)
 
 
@@ -42,20 +42,21 @@
     """One attempt and its answer so far.
 
     Attributes:
-        message: The RunTurn or RunTool that asked for it.
-        request: Id under which the engine and the gate know it.
-        prompt: All messages of a chat turn. Taken when the attempt is made:
-            while it waits, the history kept here may be dropped or replaced,
-            and the engine would answer half a conversation.
-        pieces: Parts of the answer; `total` counts their characters.
-        outcome: The last message for every watcher, once there is one.
-        until: Monotonic time at which the caller's deadline ends.
-        admitted: Whether the gate let it go to the upstream.
-        cancelled: Why it must stop, once it must.
-        started: Monotonic time at which it went to the upstream.
-        left: Whether it has given its place at the upstream back.
-        first: Monotonic time of the first text; 0 before it.
-        usage: Tokens as the engine told them at the end.
+        message: The RunTurn or RunTool that requested it.
+        request_id: Id of the request at the engine and in the queue.
+        prompt: All messages of a chat turn. They are copied when the attempt
+            is created: the stored history may be dropped or replaced while
+            the attempt waits, and the prompt would be incomplete.
+        chunks: Parts of the answer; `total` is their length in characters.
+        outcome: The final message to every watcher; None until the end.
+        deadline_at: Monotonic time of the caller's deadline.
+        admitted: Whether it was admitted to the upstream.
+        cancelled: Reason of the cancellation; None if not cancelled.
+        started_at: Monotonic time at which it started at the upstream.
+        slot_released: Whether its slot at the upstream was freed.
+        first_text_at: Monotonic time of the first text; 0 before it.
+        usage: Token counts that the engine reported at the end.
+        changed: Sent, and replaced, at every change of the attempt.
     """
 
     def __init__(
@@ -88,34 +89,46 @@
         self.notify()
 
     def end(self, outcome: Outcome) -> None:
-        """Gives the attempt its one outcome; a second one is ignored."""
+        """Sets the outcome, unless there is one already."""
         if self.outcome is None:
             self.outcome = outcome
             self.notify()
 
     def notify(self) -> None:
-        """Wakes whatever waits for a change."""
+        """Wakes the green threads that wait for a change."""
         changed, self.changed = self.changed, event.Event()
         changed.send()
 
 
 class _Expiry(NamedTuple):
+    """When an attempt ended, which determines how long it is kept."""
+
     ended: float
     scope: str
     number: int
 
 
 class AttemptTable:
-    """Every attempt seen here, and the seals.
+    """The attempts that this sidecar has received or sealed.
+
+    The state of an attempt is dropped `retention` seconds after its end, which
+    bounds the size of the table. This is safe for two reasons:
 
-    A state is forgotten `retention` seconds after the attempt ended, which
-    bounds the table to the calls of that time. Two things stay safe:
+    - A repeated request would run again only if it arrived later than that.
+      Idle connections are closed within seconds, so none is that late.
+    - An entry that asks about a dropped attempt must not get `never`, or it
+      would run the call twice. The table keeps the highest dropped number of
+      each program group and reports attempts up to it as `unknown`.
 
-    - A copy of a run frame would run again only if it came later than that.
-      Streams close a silent connection within seconds, so none is that old.
-    - An entry that asks about a forgotten attempt must not hear `never`, or
-      an action would be done twice. The highest forgotten number of each
-      program group is kept, and what is not above it is `unknown`.
+    Attributes:
+        groups: Number of program groups.
+        retention: Seconds for which the state of an ended attempt is kept.
+        answer_retention: Seconds for which its answer is kept.
+        attempts: Attempts with their answers, by scope and number.
+        states: Final states, by scope and number.
+        highest_forgotten: Highest dropped attempt number by group.
+        kept_answers: Ended attempts in `attempts`, the oldest first.
+        kept_states: Attempts in `states`, the oldest first.
     """
 
     def __init__(
@@ -136,11 +149,11 @@
         self.kept_states: collections.deque[_Expiry] = collections.deque()
 
     def find(self, scope: str, number: int) -> Attempt | None:
-        """Returns the attempt while its answer is kept."""
+        """Returns the attempt; None if its answer is not kept here."""
         return self.attempts.get(scope, {}).get(number)
 
     def state(self, scope: str, number: int) -> str:
-        """Returns a state of `call_messages.Sealed`; empty for new."""
+        """Returns the state for an AttemptState; empty if never received."""
         known = self.states.get(scope, {}).get(number)
         if known is not None:
             return known
@@ -150,18 +163,18 @@
         return UNKNOWN if number <= self.highest_forgotten.get(group, 0) else ""
 
     def add(self, attempt: Attempt) -> None:
-        """Registers an attempt that may run."""
+        """Adds an attempt that may run."""
         self.attempts.setdefault(attempt.scope, {})[attempt.number] = attempt
 
     def seal(self, scope: str, number: int) -> str:
-        """Seals an attempt unless it is known; returns its state."""
+        """Seals an attempt that was not received; returns its state."""
         state = self.state(scope, number)
         if not state:
             self.conclude(scope, number, NEVER)
         return state or NEVER
 
     def conclude(self, scope: str, number: int, state: str) -> None:
-        """Keeps the final state of an attempt; the first one stays."""
+        """Sets the final state of an attempt, unless it has one."""
         known = self.states.setdefault(scope, {})
         if number in known:
             return
@@ -180,7 +193,7 @@
         ]
 
     def forget_old(self) -> None:
-        """Drops answers and states that are past their time."""
+        """Drops answers and states after their retention time."""
         now = self.timers.now()
         while (
             self.kept_answers
--- a/src/mintcleat/roles/sidecar/execution.py
+++ b/src/mintcleat/roles/sidecar/execution.py
@@ -1,4 +1,4 @@
-"""Takes an attempt through the gate, the upstream and the commit."""
+"""Takes an attempt through admission, the upstream and the commit."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -22,35 +22,37 @@
     def describe(
         self, attempt: sidecar_attempts.Attempt, suspect: bool
     ) -> calls.Call:
-        """Returns the attempt as the queue's decisions see it."""
+        """Returns the description of the attempt for the queue."""
 
     def run(
         self,
         attempt: sidecar_attempts.Attempt,
         on_answered: Callable[[], None],
     ) -> None:
-        """Runs the attempt and commits its answer; sets its outcome.
+        """Runs the attempt, commits its answer and sets its outcome.
 
-        Calls `on_answered` once the upstream is done with it.
+        Calls `on_answered` once the upstream has finished with it.
         """
 
     def refused(self, attempt: sidecar_attempts.Attempt) -> None:
-        """Notes that the attempt is not run here."""
+        """Records that the attempt is not run here."""
 
     def has_pace(self, attempt: sidecar_attempts.Attempt) -> bool:
-        """Tells whether the time of an answer says something of the pace."""
+        """Returns whether the answer is a sample of the upstream's pace."""
 
     def cancel(self, attempt: sidecar_attempts.Attempt) -> bool:
-        """Stops a running attempt; False when it can't be stopped."""
+        """Cancels a running attempt; returns whether that was possible."""
 
 
 class Executor:
-    """Runs attempts; whatever happens, each one gets an outcome.
+    """Runs attempts and gives each one an outcome, also after a failure.
 
     Attributes:
-        unnumbered: Attempts without a number, which nobody can ask about.
-        deadlines: Deadline, request id and attempt of all that run. A timer
-            for each would stay until its deadline, long after most answers.
+        unnumbered: Unfinished attempts without a number. They are not in the
+            table, since no caller can attach to them.
+        deadlines: Deadline, request id and attempt of each running attempt.
+            One timer per attempt would stay until the deadline, long after
+            most attempts have ended.
     """
 
     def __init__(
@@ -94,7 +96,7 @@
         attempt: sidecar_attempts.Attempt,
         error: errors.MintcleatError,
     ) -> None:
-        """Stops an attempt that waits or runs."""
+        """Cancels an attempt that is queued or running."""
         if attempt.outcome is not None or attempt.cancelled is not None:
             return
         match attempt.state:
@@ -107,11 +109,11 @@
                 self.timers.spawn(self.runner.cancel, attempt)
 
     def expire(self) -> None:
-        """Stops what runs past its deadline; call it a few times a second."""
+        """Cancels attempts past their deadline; called periodically."""
         self.admission.expire()
         now = self.timers.now()
-        for until, _, attempt in list(self.deadlines):
-            if until > now:
+        for deadline_at, _, attempt in list(self.deadlines):
+            if deadline_at > now:
                 return
             self.cancel(attempt, _deadline_exceeded())
 
@@ -126,16 +128,19 @@
             self._end_refused(attempt, error)
             return
         except Exception as error:
-            # Whatever a request holds, its caller must not wait for ever.
-            logger.exception("An attempt can't be queued.")
-            self._end_refused(attempt, errors.BadRequest(f"{error!r}."))
+            # Whatever the request contains, its caller must get an answer.
+            logger.exception("Attempt {} can't be queued", attempt.request_id)
+            self._end_refused(
+                attempt,
+                errors.BadRequest(f"The request can't be queued: {error!r}."),
+            )
             return
-        # No green thread runs between the gate's word and this line, so a
-        # seal comes either before (and the gate raises) or after.
+        # No other green thread runs between the return of `enter` and this
+        # line. A seal comes either before, and `enter` raises, or later.
         attempt.state = sidecar_attempts.RUNNING
         attempt.started_at = self.timers.now()
-        deadline = (attempt.deadline_at, attempt.request_id, attempt)
-        self.deadlines.add(deadline)
+        entry = (attempt.deadline_at, attempt.request_id, attempt)
+        self.deadlines.add(entry)
         self.crashes.begin(attempt.request_id, digest)
         try:
             self.runner.run(attempt, lambda: self._answered(attempt))
@@ -143,7 +148,7 @@
             self.count("answered", "")
         except errors.NoUpstream as error:
             if attempt.slot_released:
-                # Not the upstream's word, which has answered.
+                # The upstream had answered; the commit raised this.
                 self._end_failed(attempt, error)
             else:
                 self._end_refused(attempt, error)
@@ -152,22 +157,23 @@
                 self._report_crash(attempt)
             self._end_failed(attempt, error)
         except Exception:
-            logger.exception("An attempt failed.")
+            logger.exception("Attempt {} failed", attempt.request_id)
             self._end_failed(
-                attempt, errors.OutcomeUnknown("The sidecar failed.")
+                attempt,
+                errors.OutcomeUnknown("The sidecar failed during the call."),
             )
         finally:
-            self.deadlines.remove(deadline)
+            self.deadlines.remove(entry)
             self._release_slot(attempt, None)
 
     def _report_crash(self, attempt: sidecar_attempts.Attempt) -> None:
-        """Reports a crash, if that is what broke the attempt."""
+        """Reports a crash of the upstream if that ended the attempt."""
         if attempt.cancelled is None and not attempt.slot_released:
             self.crashes.connection_lost(attempt.request_id)
             self._release_slot(attempt, self._measure(attempt, ok=False))
 
     def _answered(self, attempt: sidecar_attempts.Attempt) -> None:
-        """Notes that the upstream is done with the attempt."""
+        """Frees the slot once the upstream has finished with the attempt."""
         outcome = None
         if attempt.cancelled is None and self.runner.has_pace(attempt):
             outcome = self._measure(attempt, ok=True)
@@ -178,12 +184,12 @@
         attempt: sidecar_attempts.Attempt,
         outcome: calls.Outcome | None,
     ) -> None:
-        """Frees the upstream's place, once.
+        """Frees the attempt's slot at the upstream, if not done already.
 
-        The commit comes after: while control elects a leader, finished
-        calls would otherwise keep an idle upstream from the next ones.
-        Without an outcome nothing is learned: a cancelled call or one that
-        never arrived says nothing of the upstream's pace.
+        This comes before the commit: otherwise finished calls would block an
+        idle upstream while control elects a leader. Cancelled calls and those
+        that never reached the upstream have no outcome, since they are no
+        sample of its pace.
         """
         if attempt.slot_released:
             return
@@ -208,7 +214,10 @@
         attempt: sidecar_attempts.Attempt,
         error: errors.MintcleatError,
     ) -> None:
-        """Seals first: "not run" must hold for every copy of the frame."""
+        """Ends an attempt that did not run.
+
+        It is sealed first, so that no later copy of the request runs.
+        """
         self._conclude(attempt, sidecar_attempts.NEVER)
         self.count("refused", error.kind)
         self.runner.refused(attempt)
@@ -222,33 +231,38 @@
         attempt: sidecar_attempts.Attempt,
         error: errors.MintcleatError,
     ) -> None:
+        """Ends an attempt that ran, or may have run, without an answer."""
         self.count("broken", error.kind)
         failure = error.failure()
         if failure.outcome == errors.NOT_RUN:
             failure = failure._replace(outcome=errors.UNKNOWN)
-        broken = call_messages.AttemptFailed(attempt.number, failure)
+        failed = call_messages.AttemptFailed(attempt.number, failure)
         final = failure.outcome == errors.RAN
         state = sidecar_attempts.RAN if final else sidecar_attempts.UNKNOWN
         if attempt.message.idempotent and not final:
-            # The caller's retry need not wait for the commit.
+            # A retry is safe, so the caller need not wait for the commit.
             self._conclude(attempt, state)
-            attempt.end(broken)
+            attempt.end(failed)
             self._settle(attempt, failure)
             return
         self._settle(attempt, failure)
         self._conclude(attempt, state)
-        attempt.end(broken)
+        attempt.end(failed)
 
     def _settle(
         self, attempt: sidecar_attempts.Attempt, failure: errors.Failure
     ) -> None:
-        """Tells the group, so that a resend finds the truth without us."""
+        """Commits the outcome, so that a resent call gets it from the group."""
         if not attempt.number:
             return
         try:
             self.reporter.settle(attempt, failure.outcome, failure)
         except errors.MintcleatError as error:
-            logger.warning("{}: {}", attempt.scope, error.detail)
+            logger.warning(
+                "The outcome of a call of {} is not committed: {}",
+                attempt.scope,
+                error.detail,
+            )
 
     def _conclude(self, attempt: sidecar_attempts.Attempt, state: str) -> None:
         attempt.state = sidecar_attempts.ENDED
@@ -259,7 +273,7 @@
 
 def _deadline_exceeded() -> errors.MintcleatError:
     return errors.DeadlineUnmet(
-        "The deadline ended while the call ran.",
+        "The deadline passed while the call ran.",
         outcome=errors.UNKNOWN,
         remedy="Send the call again with the same key.",
     )
--- a/src/mintcleat/roles/sidecar/runners.py
+++ b/src/mintcleat/roles/sidecar/runners.py
@@ -1,4 +1,4 @@
-"""Runs one attempt at the upstream and gives it its outcome."""
+"""Runs single attempts at a model engine or a plain service."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -19,6 +19,7 @@
 from mintcleat.roles.sidecar import history as sidecar_history
 from mintcleat.roles.sidecar import memory as sidecar_memory
 
+# Attempts in a row to resume a stream that deliver no text.
 _MAX_RESUMES = 5
 _RESUME_DELAY = 0.1
 _CANCELLED = "cancelled"
@@ -53,10 +54,10 @@
     def describe(
         self, attempt: sidecar_attempts.Attempt, suspect: bool
     ) -> calls.Call:
-        """Returns the attempt as the queue's decisions see it."""
-        held = self.cache_manager.called(attempt.program)
-        usual = self.admission.typical_answer_tokens(attempt.message.agent)
-        return sidecar_admission.turn_call(attempt, held, usual, suspect)
+        """Returns the description of the attempt for the queue."""
+        resident = self.cache_manager.called(attempt.program)
+        typical = self.admission.typical_answer_tokens(attempt.message.agent)
+        return sidecar_admission.turn_call(attempt, resident, typical, suspect)
 
     def run(
         self, attempt: sidecar_attempts.Attempt, on_answered: OnAnswered
@@ -65,11 +66,11 @@
 
         Args:
             attempt: The attempt.
-            on_answered: Called once the engine has ended the call.
+            on_answered: Called once the engine has finished the call.
 
         Raises:
-            errors.NoUpstream: Nothing was delivered to the engine.
-            errors.MintcleatError: The engine took it and it failed.
+            errors.NoUpstream: The call did not reach the engine.
+            errors.MintcleatError: The call reached the engine and failed.
         """
         request = attempt.message
         self.cache_manager.prepare(request.program)
@@ -102,24 +103,28 @@
         )
 
     def refused(self, attempt: sidecar_attempts.Attempt) -> None:
-        """Notes that the attempt is not run here."""
+        """Records that the attempt is not run here."""
         self.cache_manager.refused(attempt.program)
 
     def has_pace(self, attempt: sidecar_attempts.Attempt) -> bool:
-        """Tells whether the answer has gaps between tokens to learn from.
+        """Returns whether the answer is a sample of the engine's pace.
 
-        The pace is the time after the first token. An answer of one token
-        has none, and its zero would count as the best pace ever, against
-        which every later answer looks like an overload.
+        The pace is the time per token after the first one. An answer of one
+        token would count as a pace of zero, the best ever, against which
+        every later answer looks like an overload.
         """
         return attempt.usage.completion_tokens > 1
 
     def cancel(self, attempt: sidecar_attempts.Attempt) -> bool:
-        """Stops the call at the engine, whose stream then ends."""
+        """Cancels the call at the engine, which then ends its stream."""
         try:
             self.engine.cancel(attempt.request_id)
         except errors.MintcleatError as error:
-            logger.warning("A cancel did not reach: {}", error.detail)
+            logger.warning(
+                "Could not cancel {} at the engine: {}",
+                attempt.request_id,
+                error.detail,
+            )
             return False
         return True
 
@@ -150,10 +155,10 @@
         attempt: sidecar_attempts.Attempt,
         call: upstream_port.EngineCall,
     ) -> upstream_port.End:
-        """Reads the whole answer, resuming a stream that breaks.
+        """Reads the whole answer and resumes the stream if it is lost.
 
-        Only the first request may fail with `not_run`: after it, the engine
-        has the call, whatever a later error says.
+        Only the first request may fail with `not_run`. After it, the engine
+        has the call, whatever the outcome of a later error is.
         """
         try:
             return self._read_stream(attempt, self.engine.run(call))
@@ -169,13 +174,12 @@
             except _CONNECTION_LOST as error:
                 cause = error
             except (errors.NoUpstream, errors.UpstreamFailed) as error:
-                # The engine is gone, and with it its streams, or it has
-                # forgotten this one.
+                # The engine is down, or no longer has this stream.
                 cause = error
                 break
             tries = 0 if attempt.total > before else tries + 1
         raise errors.OutcomeUnknown(
-            f"The engine's stream broke and did not resume: {cause.detail}"
+            f"The engine's stream was lost and not resumed: {cause.detail}"
         ) from cause
 
     def _read_stream(
@@ -183,10 +187,11 @@
         attempt: sidecar_attempts.Attempt,
         stream: Iterator[upstream_port.TextChunk | upstream_port.End],
     ) -> upstream_port.End:
-        """Adds every piece to the attempt and returns the engine's end.
+        """Appends a stream's text to the attempt and returns its end.
 
         Raises:
-            errors.StreamClosed: Text is missing or the stream broke.
+            errors.OutcomeUnknown: Part of the answer is missing.
+            errors.StreamClosed: The stream ended before the answer did.
         """
         for item in stream:
             match item:
@@ -197,13 +202,15 @@
                     attempt.add(text)
                 case upstream_port.End():
                     if item.total != attempt.total:
-                        # Resuming adds at the end and can't mend this.
+                        # Resuming appends at the end, so it can't fill the gap.
                         raise errors.OutcomeUnknown(
-                            f"The answer has {item.total} characters and"
-                            f" {attempt.total} came."
+                            f"The engine's answer has {item.total} characters,"
+                            f" but {attempt.total} were received."
                         )
                     return item
-        raise errors.StreamClosed("The engine's stream has no end.")
+        raise errors.StreamClosed(
+            "The engine's stream ended without an end message."
+        )
 
 
 class ToolRunner:
@@ -224,18 +231,18 @@
     def describe(
         self, attempt: sidecar_attempts.Attempt, suspect: bool
     ) -> calls.Call:
-        """Returns the attempt as the queue's decisions see it."""
+        """Returns the description of the attempt for the queue."""
         return sidecar_admission.tool_call(attempt, suspect)
 
     def refused(self, attempt: sidecar_attempts.Attempt) -> None:
-        """Notes nothing: a service holds nothing for a program."""
+        """Does nothing: a plain service caches nothing for a program."""
 
     def has_pace(self, attempt: sidecar_attempts.Attempt) -> bool:
-        """Tells that every answer of a service counts."""
+        """Returns True: every answer of a service is a sample."""
         return True
 
     def cancel(self, attempt: sidecar_attempts.Attempt) -> bool:
-        """Leaves it: a request that a service has begun can't be stopped."""
+        """Returns False: a plain service can't cancel a request."""
         return False
 
     def run(
@@ -248,8 +255,8 @@
             on_answered: Called once the service has answered.
 
         Raises:
-            errors.NoUpstream: Nothing was delivered to the service.
-            errors.OutcomeUnknown: It was delivered and no answer came.
+            errors.NoUpstream: The request did not reach the service.
+            errors.OutcomeUnknown: It was delivered but not answered.
         """
         request = attempt.message
         try:
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -1,7 +1,8 @@
-"""The sidecar: the last gate before one upstream.
+"""The sidecar: admission control and execution in front of one upstream.
 
 It decides whether an attempt runs here, runs it at most once, reports the
-outcome to the program's group and lets callers follow the answer.
+outcome to the program's group and streams the answer to every caller that
+follows it.
 """
 
 import itertools
@@ -32,23 +33,25 @@
 from mintcleat.roles.sidecar import orders as sidecar_orders
 from mintcleat.roles.sidecar import runners as sidecar_runners
 
-# One load report on the wire, its frame included (docs/capacity.json).
+# Size of a load report on the wire, its frame included (docs/capacity.json).
 _LOAD_REPORT_BYTES = 100
 _STOP_POLL_SECONDS = 0.02
 _ATTACH_POLL_SECONDS = 0.02
 _EXPIRE_INTERVAL = 0.1
 _FORGET_INTERVAL = 1.0
+# Concurrent calls until the engine has announced its capacity.
 _DEFAULT_CAPACITY = 16
 
 SidecarOptions = sidecar_monitor.SidecarOptions
 
 
 class Sidecar:
-    """One sidecar beside one upstream.
+    """The sidecar of one upstream.
 
     Attributes:
-        monitor: What the upstream and this sidecar tell of themselves.
-        attempts: Every attempt seen here.
+        monitor: State of the upstream and of this sidecar.
+        attempts: Attempts that this sidecar has received.
+        load_watchers: Open load report streams.
     """
 
     def __init__(
@@ -127,7 +130,7 @@
         self.subscriptions: list[timers_port.Subscription] = []
 
     def start(self) -> None:
-        """Serves and begins to look at the upstream."""
+        """Registers the handlers and starts to probe the upstream."""
         handlers = {
             call_messages.RunTurn: self.run_turn,
             call_messages.RunTool: self.run_tool,
@@ -151,11 +154,14 @@
             self.cache_manager.start(self.options.renew_interval)
 
     def announcement(self) -> member_messages.Announcement:
-        """Describes the upstream; the counter grows with each change."""
+        """Returns the description of the upstream that is sent to control.
+
+        Its counter is incremented with each change.
+        """
         return self.monitor.announcement()
 
     def load(self) -> call_messages.LoadReport:
-        """Returns a fresh load report."""
+        """Returns a load report of this moment."""
         return self.monitor.load()
 
     # --- Handlers -------------------------------------------------------------
@@ -193,7 +199,7 @@
         exchange: streams_port.Exchange,
         request: call_messages.AttachAttempt,
     ) -> None:
-        """Lets a caller follow an attempt from the start of its answer."""
+        """Streams an attempt's answer from its start to a caller."""
         if request.sidecar != self.node:
             exchange.send(_other_incarnation(request.attempt))
             return
@@ -201,8 +207,8 @@
         give_up_at = self.timers.now() + self.options.attach_timeout
         while not self.attempts.state(scope, request.attempt):
             if self.timers.now() >= give_up_at:
-                # The run never came. Sealing makes "not run" true for a copy
-                # that is still on its way, so that the caller need not wait.
+                # The request to run it has not arrived. Once sealed, a copy
+                # that arrives later is refused, so "not run" is safe to say.
                 self.attempts.seal(scope, request.attempt)
                 break
             self.timers.sleep(_ATTACH_POLL_SECONDS)
@@ -217,7 +223,10 @@
         exchange: streams_port.Exchange,
         request: call_messages.SealAttempt,
     ) -> None:
-        """Makes sure that an attempt never runs here, unless it has begun."""
+        """Prevents an attempt from running here, unless it has started.
+
+        Replies with the attempt's state.
+        """
         state = sidecar_attempts.UNKNOWN
         if request.sidecar == self.node:
             scope = _scope(request)
@@ -233,7 +242,7 @@
         exchange: streams_port.Exchange,
         request: call_messages.CancelAttempt,
     ) -> None:
-        """Stops an attempt whose caller has gone."""
+        """Cancels an attempt whose caller has disconnected."""
         attempt = self.attempts.find(request.program, request.attempt)
         if attempt is not None:
             self.executor.cancel(attempt, sidecar_answers.caller_gone())
@@ -242,10 +251,11 @@
     def watch_load(
         self, exchange: streams_port.Exchange, request: call_messages.WatchLoad
     ) -> None:
-        """Pushes load reports until the watcher goes.
+        """Sends load reports until the watcher disconnects.
 
-        Every answer carries a report too, so a watcher that sends work here
-        stays informed when many watchers make the interval long.
+        The interval grows with the number of watchers, to bound the traffic.
+        Every answer carries a report too, so a watcher that sends calls here
+        has recent loads in any case.
         """
         self.load_watchers += 1
         try:
@@ -264,9 +274,11 @@
     def order(
         self, exchange: streams_port.Exchange, request: config_messages.Order
     ) -> None:
-        """Carries out an order to the upstream."""
+        """Executes an order on the upstream."""
         if not self.is_model:
-            raise errors.BadRequest("A plain service takes no orders.")
+            raise errors.BadRequest(
+                "Orders are for model engines; this upstream is a plain service."
+            )
         self.orders.handle(exchange, request)
 
     def drain_upstream(
@@ -274,9 +286,11 @@
         exchange: streams_port.Exchange,
         request: operator_messages.DrainUpstream,
     ) -> None:
-        """Takes no new work, or takes it again."""
+        """Starts or ends the draining of this sidecar."""
         if request.sidecar != self.node:
-            raise errors.FencedOff("The order is for another incarnation.")
+            raise errors.FencedOff(
+                f"The request is for {request.sidecar}, but this is {self.node}."
+            )
         if request.drain:
             self.drain()
         else:
@@ -287,20 +301,29 @@
     # --- Stopping -------------------------------------------------------------
 
     def drain(self) -> None:
-        """Refuses new work and hands back what waits."""
+        """Refuses new attempts and those in the queue."""
         self.monitor.draining = True
         self._refuse_queued()
 
     def stop(self, limit: float) -> int:
-        """Drains, waits for what runs, and returns how many were cut."""
+        """Drains the sidecar and stops it.
+
+        Args:
+            limit: Seconds to wait for running attempts to end.
+
+        Returns:
+            How many attempts were still running and were cut off.
+        """
         self.drain()
         until = self.timers.now() + limit
         while self.under_way() and self.timers.now() < until:
             self.timers.sleep(_STOP_POLL_SECONDS)
-        cut = self.under_way()
+        unfinished = self.under_way()
         self.reporter.stopped = True
-        for attempt in cut:
-            failure = errors.OutcomeUnknown("The sidecar was stopped.")
+        for attempt in unfinished:
+            failure = errors.OutcomeUnknown(
+                "The sidecar stopped while the call ran."
+            )
             attempt.end(
                 call_messages.AttemptFailed(attempt.number, failure.failure())
             )
@@ -309,13 +332,13 @@
         self.cache_manager.stopped = True
         if self.is_model and self.options.release_on_stop:
             self.cache_manager.release_all()
-        return len(cut)
+        return len(unfinished)
 
     def under_way(self) -> list[sidecar_attempts.Attempt]:
-        """Returns the attempts that a stop would cut now."""
+        """Returns the attempts that wait or run here."""
         return self.executor.under_way()
 
-    # --- Inside ---------------------------------------------------------------
+    # --- Helpers --------------------------------------------------------------
 
     def _new_runner(self, upstream: Any) -> sidecar_execution.Runner:
         if self.is_model:
@@ -338,7 +361,11 @@
     def _answer_without_running(
         self, exchange: streams_port.Exchange, request: Any
     ) -> bool:
-        """Answers a copy of a known attempt, or a refusal; True if it did."""
+        """Answers a repeated or refused attempt, which must not run.
+
+        Returns:
+            Whether the request was answered.
+        """
         if request.attempt:
             if request.sidecar != self.node:
                 exchange.send(_other_incarnation(request.attempt))
@@ -365,10 +392,10 @@
         request: Any,
         error: errors.MintcleatError,
     ) -> None:
-        """Refuses an attempt before it was registered.
+        """Refuses an attempt that is not registered.
 
-        Sealed first: another copy of the frame may be on its way, and would
-        run after its caller was told that it did not.
+        It is sealed first: another copy of the request may still arrive, and
+        would run after the caller was told that the attempt did not.
         """
         self._count("refused", error.kind)
         if request.attempt:
@@ -380,7 +407,7 @@
         )
 
     def _count(self, ended: str, kind: str) -> None:
-        """Counts how an attempt ended here; `kind` is that of its error."""
+        """Counts an ended attempt; `kind` is the kind of its error."""
         if self.metrics is not None:
             self.metrics.count("attempts_total", ended=ended, kind=kind)
 
@@ -405,7 +432,9 @@
         """Returns the outcome of an attempt whose answer is not kept."""
         match self.attempts.state(scope, number):
             case sidecar_attempts.NEVER:
-                failure = errors.Draining("The attempt was sealed here.")
+                failure = errors.Draining(
+                    "The attempt was sealed before it ran."
+                )
                 return call_messages.AttemptRefused(
                     number, failure.failure(), self.load()
                 )
@@ -416,7 +445,9 @@
                     remedy="Send the call again with the same key.",
                 )
             case _:
-                failure = errors.OutcomeUnknown("The call may have run.")
+                failure = errors.OutcomeUnknown(
+                    "The call may have run; its state is no longer kept here."
+                )
         return call_messages.AttemptFailed(number, failure.failure())
 
     def _on_configuration(self) -> None:
@@ -425,21 +456,22 @@
             self._refuse_queued()
 
     def _refuse_queued(self) -> None:
-        """Refuses what waits, so that the entries place it elsewhere."""
+        """Refuses queued attempts, so that entries place them elsewhere."""
         for attempt in self.under_way():
             if attempt.state == sidecar_attempts.QUEUED:
-                leaving = errors.Draining("This sidecar takes no new work.")
-                self.executor.cancel(attempt, leaving)
+                draining = errors.Draining("This sidecar is draining.")
+                self.executor.cancel(attempt, draining)
 
     def _on_program_ended(self, program: str) -> None:
-        """Drops a program that its group has closed or moved."""
+        """Drops the state of a program that its group no longer has."""
         self.histories.drop(program)
         for attempt in self.under_way():
             if attempt.program == program:
-                gone = errors.ProgramClosed(
-                    "The program was closed.", outcome=errors.UNKNOWN
+                closed = errors.ProgramClosed(
+                    "The program was closed while the call ran.",
+                    outcome=errors.UNKNOWN,
                 )
-                self.executor.cancel(attempt, gone)
+                self.executor.cancel(attempt, closed)
 
 
 def _scope(request: Any) -> str:
@@ -450,6 +482,6 @@
 
 def _other_incarnation(number: int) -> call_messages.AttemptFailed:
     failure = errors.OtherIncarnation(
-        "The attempt belongs to another life of this sidecar."
+        "The attempt belongs to another incarnation of this sidecar."
     )
     return call_messages.AttemptFailed(number, failure.failure())
