--- a/src/mintcleat/roles/control_client.py
+++ b/src/mintcleat/roles/control_client.py
@@ -1,4 +1,4 @@
-"""Asks program groups: finds leaders, follows redirects, retries."""
+"""Client of the program groups: finds leaders, batches and retries requests."""
 
 import math
 import secrets
@@ -16,37 +16,45 @@
 from mintcleat.programs import commands
 from mintcleat.programs import placement
 
-# A leader behind a silent partition never answers; after this long the next
-# control instance is asked. Above the service's own wait for a commit.
+# Seconds after which the next control instance is tried. A leader that is cut
+# off never answers. Longer than the service itself waits for a commit.
 TRY_TIMEOUT = 2.0
-# Pauses between rounds in which no instance knew a leader: an election takes
-# some hundred milliseconds, and asking faster only delays it.
+# Seconds between two rounds in which no instance knew a leader. An election
+# takes some hundred milliseconds, and more frequent requests only delay it.
 MIN_BACKOFF = 0.02
 MAX_BACKOFF = 0.1
-# For so long an instance that did not answer is asked last. About the time
-# of a failover; after it, the instance may be back.
+# Seconds during which an instance that did not answer is tried last. This is
+# about the time of a failover; after it, the instance may be back.
 UNRESPONSIVE_SECONDS = 2.0
-# One message holds the loop of both sides while it is coded; these keep that
+# Encoding and decoding a message blocks the event loop. These limits keep that
 # below a few milliseconds.
 MAX_BATCH_ITEMS = 256
 MAX_BATCH_BYTES = 1024 * 1024
-# Batches under way to one leader and group. Two let one be coded while the
-# other waits for its sync; more would only make the batches smaller.
+# Concurrent batches to one leader and group. With two, one is encoded while the
+# other waits for the disk; more would only make the batches smaller.
 MAX_IN_FLIGHT = 2
 
 
 class PendingRequest(NamedTuple):
-    """A request that waits for its reply; equal only to itself."""
+    """An encoded request that waits for its reply.
+
+    Each `reply` is a new event, so no two requests are equal.
+    """
 
     item: bytes
     reply: event.Event
 
 
 class BatchChannel:
-    """Requests to one leader and group, coalesced into batches.
+    """Sends requests to one leader and group in batches.
 
-    A request on a free line goes at once; those that come while batches are
-    under way share the next one, so load makes batches, not a timer.
+    An idle channel sends a request at once. Requests that arrive while batches
+    are in flight share the next one, so batches grow with the load and no
+    timer is needed.
+
+    Attributes:
+        waiting: Requests that were not sent yet.
+        in_flight: Number of green threads that send batches.
     """
 
     def __init__(
@@ -67,9 +75,9 @@
         """Returns the reply, which may be a Failure.
 
         Raises:
-            errors.StreamClosed: The line failed; `not_run` when the request
-                was never sent.
-            errors.StreamTimeout: No reply in time; `not_run` likewise.
+            errors.StreamClosed: The connection failed. The outcome is
+                `not_run` if the request was not sent.
+            errors.StreamTimeout: No reply in time, with the same outcomes.
         """
         pending = PendingRequest(codec.encode(message), event.Event())
         self.waiting.append(pending)
@@ -86,10 +94,10 @@
         )
 
     def ask_unbatched(self, message: Any) -> Any:
-        """Returns the reply to a request that shares no batch.
+        """Returns the reply to a request that is sent in its own batch.
 
-        Made for histories: hundreds of them in one reply would be over the
-        size of a message, and all their callers would be refused.
+        This is for histories: hundreds of them in one reply would exceed the
+        maximum message size, and all requests of the batch would fail.
         """
         pending = PendingRequest(codec.encode(message), event.Event())
         self._send([pending])
@@ -138,10 +146,10 @@
             pending.reply.send(item)
 
     def _retryable(self, error: errors.MintcleatError) -> errors.MintcleatError:
-        """Returns the failure of a whole batch as one to retry elsewhere.
+        """Converts the failure of a batch to an error that is retried.
 
-        An instance that is starting or stopping has no handler yet, or no
-        longer; its refusal is not the group's.
+        An instance that starts or stops has no handler for batches. Its error
+        is not the group's answer to the requests.
         """
         if isinstance(error, (errors.StreamTimeout, errors.TooLarge)):
             return error
@@ -150,28 +158,32 @@
         )
 
     def _fail_waiting(self) -> None:
-        """Sends the requests behind a failed batch elsewhere at once.
+        """Fails the waiting requests, so that other instances are tried.
 
-        Each would otherwise wait out one try after another on a leader that
-        is cut off, and run out of time there.
+        Otherwise they would be sent to the same unreachable leader, wait for
+        one timeout after another and miss their deadlines.
         """
         waiting, self.waiting = self.waiting, []
         for pending in waiting:
             pending.reply.send_exception(
                 errors.StreamClosed(
-                    f"{self.address} does not answer.", outcome=errors.NOT_RUN
+                    f"{self.address} did not answer an earlier request.",
+                    outcome=errors.NOT_RUN,
                 )
             )
 
 
 class ControlClient:
-    """Sends program group requests to whichever instance leads the group.
+    """Sends requests to the leaders of the program groups.
+
+    Implements `ports.control.Control`.
 
     Attributes:
         addresses: Stream addresses of the control instances.
-        groups: How many program groups there are.
-        leaders: The last known leader's address by group.
-        unresponsive: Instances that did not answer, and when that was noted.
+        groups: Number of program groups.
+        leaders: Address of the last known leader by group.
+        channels: Channels by group and address.
+        unresponsive: When an instance last failed to answer, by address.
     """
 
     def __init__(
@@ -194,19 +206,21 @@
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
         """Returns the group's reply to a request.
 
-        A lost answer is asked for again, which is safe: every request may be
-        repeated. A BeginCall gets a nonce, so that its copies are known as
-        one.
+        A request without a reply is sent again, which is safe, since every
+        request is idempotent. A BeginCall gets a nonce, by which the group
+        recognises its copies.
 
         Args:
-            scope: Program id, or `placement.call_scope` of a call without.
+            scope: Program id, or `placement.call_scope` of a call without a
+                program.
             message: A program group request.
-            timeout: Seconds to go on trying.
+            timeout: Seconds for the whole exchange, retries included.
 
         Raises:
-            errors.ControlUnavailable: Nothing can have been proposed.
+            errors.ControlUnavailable: No leader answered in time, and the
+                request has not been committed.
             errors.OutcomeUnknown: The request may have been committed.
-            errors.MintcleatError: The group's own refusal.
+            errors.MintcleatError: The group refused the request.
         """
         if (
             isinstance(message, program_messages.BeginCall)
@@ -228,9 +242,9 @@
         programs: list[str],
         timeout: float,
     ) -> list[str]:
-        """Returns which programs are gone, for the release of their memory.
+        """Returns those of the programs that are closed, expired or unknown.
 
-        A group that cannot be asked reports nothing; ask again later.
+        Programs of a group that does not answer are left out.
         """
         by_group: dict[str, list[str]] = {}
         for program in programs:
@@ -247,7 +261,7 @@
         return found
 
     def _ask_group(self, group: str, message: Any, timeout: float) -> Any:
-        """Tries instance after instance until one answers or time is up."""
+        """Tries one instance after another until one answers or time is up."""
         deadline = self.timers.now() + timeout
         may_be_proposed = False
         backoff = MIN_BACKOFF
@@ -298,23 +312,23 @@
         return reply
 
     def _pick(self, group: str, tried: list[str]) -> str:
-        """Returns the known leader, or the next instance not tried yet.
+        """Returns the known leader, or the next instance to try.
 
-        Instances that did not answer lately come last, and those that have
-        just kept a caller waiting not at all: each try of one that is cut off
-        costs another `try_timeout`.
+        Instances that recently did not answer come last. Those that have just
+        timed out are left out, since each try of an unreachable instance costs
+        another `try_timeout`.
 
         Returns:
-            An address; empty when this round is over.
+            An address; empty if all instances were tried in this round.
         """
         leader = self.leaders.get(group)
         if leader:
             return leader
-        asked = [
+        candidates = [
             one for one in self.addresses if not self._timed_out_just_now(one)
         ]
-        asked = asked or self.addresses
-        left = [one for one in asked if one not in tried]
+        candidates = candidates or self.addresses
+        left = [one for one in candidates if one not in tried]
         if not left:
             return ""
         return min(
@@ -323,11 +337,11 @@
         )
 
     def _timed_out_just_now(self, address: str) -> bool:
-        """Tells whether an instance did not answer just now.
+        """Returns whether an instance has just failed to answer.
 
-        The others take a leader that stands still for the leader until the
-        next one is elected. Sent back to it by their word, a caller waits
-        once more, and past the election.
+        If a leader hangs, the other instances redirect to it until the next
+        leader is elected. A caller that followed such a redirect would wait
+        for another timeout, beyond the end of the election.
         """
         return self._is_unresponsive(address, self.try_timeout)
 
@@ -345,7 +359,10 @@
             del self.unresponsive[known]
 
     def _redirect(self, group: str, address: str, leader: str) -> None:
-        """Learns from a failed try; a newer entry of the cache stays."""
+        """Updates the group's leader after a failed try of `address`.
+
+        A leader that another request has found meanwhile is kept.
+        """
         if self.leaders.get(group, address) != address:
             return
         if (
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -1,6 +1,6 @@
-"""The configuration and members as an entry or a sidecar follows them.
+"""The configuration and members at an entry or a sidecar.
 
-Implements `ports.directory.Directory`.
+Implements `ports.directory.Directory` and `ports.membership.Membership`.
 """
 
 from collections.abc import Callable
@@ -21,30 +21,34 @@
 from mintcleat.ports import timers as timer_ports
 from mintcleat.roles.control.configuration import stream as config_stream
 
-# A node on another control instance than its preferred one goes back after
-# this time, so that load evens out when a control instance returns.
+# Interval at which a node tries to return to its preferred control instance, so
+# that the load is even again after a control instance has restarted.
 REBALANCE_SECONDS = 60.0
-# After a failover, a control instance may not have heard of every upstream
-# yet. Upstreams missing from its first list are kept for this time; one that
-# really left refuses by itself.
+# After a failover, a control instance may not know every upstream yet.
+# Upstreams that are missing from its first list are kept for this time. This
+# is safe: one that has really left accepts no calls.
 MISSING_GRACE_SECONDS = lease.MEMBER_LEASE
-# Rounds of renewals after which a node in touch has heard of a push, for one
-# that is late.
+# Number of renewal rounds within which a connected node receives a push, with
+# half a round of margin.
 _LATE_PUSH_ROUNDS = 1.5
 
 Announcer = Callable[[], member_messages.Announcement | None]
 
 
 class Follower:
-    """Keeps a node's manifest, lease and members up to date.
+    """Keeps the manifest, lease and members of a node up to date.
 
     Attributes:
-        node: This life of the node.
-        announcer: Returns the upstream's announcement, on sidecars.
+        node: Incarnation of the node.
+        announcer: Returns the upstream's announcement; None on entries.
         duplicate: Whether a newer process announces this node's name.
-        restrictions: Draining and quarantine, as last told.
-        on_restrictions: Called after each change of `restrictions`.
+        assembly: Sections of the applied manifest.
+        by_instance: Announcements of the members by instance.
+        by_service: The same by service, with drained members marked.
+        missing_until: When members missing from a full list are removed.
+        restrictions: The latest drains, quarantine and suspects.
         registered: Upstreams that registered themselves.
+        announced: The announcement sent last, without its counter.
     """
 
     def __init__(
@@ -90,7 +94,7 @@
         )
 
     def start(self) -> None:
-        """Starts following; returns at once."""
+        """Starts to follow the configuration; does not block."""
         self.stream.start()
         self.subscriptions = [
             self.timers.every(REBALANCE_SECONDS, self._rebalance),
@@ -98,7 +102,7 @@
         ]
 
     def stop(self) -> None:
-        """Stops following; the lease runs out by itself."""
+        """Stops following the configuration; the lease is left to expire."""
         for subscription in self.subscriptions:
             subscription.cancel()
         self.stream.stop()
@@ -106,41 +110,44 @@
     # --- ports.directory.Directory --------------------------------------------
 
     def manifest(self) -> manifest.Manifest:
-        """Returns the manifest applied here."""
+        """Returns the applied manifest."""
         return self.current
 
     def revision(self) -> int:
-        """Returns the revision applied here; 0 before the first."""
+        """Returns the applied revision; 0 before the first."""
         return self.current_revision
 
     def has_lease(self) -> bool:
-        """Tells whether new work may be taken on this revision."""
+        """Returns whether new work may be accepted on this revision."""
         return self.lease_left() > 0
 
     def lease_left(self) -> float:
-        """Returns the seconds left of the lease."""
+        """Returns the seconds until the lease expires; 0 if it has."""
         return self.lease.left(self.timers.now())
 
     def key_seconds(self) -> float:
-        """Returns for how long customers' keys may still be taken."""
+        """Returns the seconds for which customers' keys are still accepted."""
         if not self.current_revision:
             return 0.0
         return self.lease.left(self.timers.now(), self.times.key_grace)
 
     def known_until(self) -> float:
-        """Returns the clock up to which no accepted push is unknown here.
+        """Returns the time up to which every accepted push is known here.
 
-        The leader granted at most `max_lease` when nothing newer than this
-        revision was in force, and no relay adds to what it was granted.
+        When the leader granted the lease, for at most `max_lease`, it had no
+        newer revision than this one, and relays never extend a lease.
+
+        Returns:
+            Monotonic time in seconds.
         """
         return self.lease.expires - self.times.max_lease
 
     def word_seconds(self) -> float:
-        """Returns within which time a node in touch hears of every push."""
+        """Returns the seconds within which a connected node gets a push."""
         return _LATE_PUSH_ROUNDS * (self.times.renew + self.times.relay_renew)
 
     def may_serve_stale(self) -> bool:
-        """Tells whether idempotent plain calls go on without a lease."""
+        """Returns whether idempotent plain calls are served without a lease."""
         return (
             self.current_revision > 0
             and self.current.policies.stale_lease == "serve"
@@ -151,35 +158,35 @@
         return list(self.by_service.get(service, ()))
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Calls back after each change of manifest or members."""
+        """Calls `callback` after each change of the manifest or members."""
         self.callbacks.append(callback)
 
     # --- Restrictions ---------------------------------------------------------
 
     def is_draining(self, instance: str, failure_domain: str) -> bool:
-        """Tells whether an operator drains the instance or its domain."""
+        """Returns whether the instance or its failure domain is drained."""
         return (
             f"instance/{instance}" in self.drains
             or f"failure_domain/{failure_domain}" in self.drains
         )
 
     def is_quarantined(self, digest: bytes) -> bool:
-        """Tells whether a request is refused everywhere."""
+        """Returns whether a request is quarantined, that is, never run."""
         return digest in self.quarantine
 
     def is_suspect(self, digest: bytes) -> bool:
-        """Tells whether a request may run beside no other suspect only."""
+        """Returns whether a request is suspected of crashing upstreams."""
         return digest in self.suspects
 
     # --- Asking control -------------------------------------------------------
 
     def ask(self, message: Any, timeout: float) -> Any:
-        """Asks the config leader, going through any control instance.
+        """Sends a request to the config leader and returns its reply.
 
-        The message must be safe to repeat.
+        The request may be sent more than once, so it must be idempotent.
 
         Raises:
-            errors.ControlUnavailable: No control instance gave an answer.
+            errors.ControlUnavailable: No control instance answered in time.
         """
         deadline = self.timers.now() + timeout
         pending = self.addresses()
@@ -197,16 +204,22 @@
             except (errors.StreamClosed, errors.StreamTimeout):
                 self.timers.sleep(0.1)
                 pending = pending or self.addresses()
-        raise errors.ControlUnavailable("No config leader answered.")
+        raise errors.ControlUnavailable(
+            f"No config leader answered within {timeout:g} s."
+        )
 
     def announce(self) -> None:
-        """Sends a changed announcement at once, not at the next renewal."""
+        """Sends a changed announcement now, not at the next renewal."""
         self.stream.report()
 
     # --- config_stream.Owner --------------------------------------------------
 
     def pick(self, attempt: int) -> str:
-        """Returns the control instance to try."""
+        """Returns the address of the control instance to try.
+
+        Args:
+            attempt: Number of instances tried before.
+        """
         order = self.addresses()
         return order[attempt % len(order)] if order else ""
 
@@ -222,11 +235,11 @@
         )
 
     def applied(self) -> int:
-        """Returns the revision applied here."""
+        """Returns the applied revision."""
         return self.current_revision
 
     def outgoing(self, first: bool) -> list[Any]:
-        """Returns the announcement when the control instance lacks it."""
+        """Returns the announcement if the control instance lacks it."""
         announcement = self.announcer() if self.announcer else None
         if announcement is None:
             return []
@@ -237,7 +250,7 @@
         return [member_messages.Announce(announcement)]
 
     def take(self, message: Any) -> None:
-        """Handles a message of the control instance."""
+        """Handles a message from the control instance."""
         match message:
             case config_messages.ConfigUpdate():
                 self._apply_config(message)
@@ -251,16 +264,18 @@
             case member_messages.LeaseRenewed(duplicate=duplicate):
                 self.duplicate = duplicate
             case _:
-                logger.warning("Unexpected {}", type(message).__name__)
+                logger.warning(
+                    "Ignored an unexpected {}", type(message).__name__
+                )
 
     # --- Updates --------------------------------------------------------------
 
     def _apply_config(self, update: config_messages.ConfigUpdate) -> None:
         if update.revision < self.current_revision:
-            # A control instance that lags must not take the node back.
+            # A control instance that lags must not make the node go back.
             return
         if not update.whole and update.base > self.current_revision:
-            # What these changes rest on could not be read here.
+            # The revision that these changes build on was not applied here.
             return
         if update.revision > self.current_revision:
             if not self._apply_sections(update):
@@ -272,15 +287,15 @@
         self.lease.renew(update.echo, update.lease)
 
     def _apply_sections(self, update: config_messages.ConfigUpdate) -> bool:
-        """Applies an update whole or not at all."""
+        """Applies an update as a whole; returns whether that succeeded."""
         assembly = sections.Assembly() if update.whole else self.assembly
         try:
             assembly.put(list(update.sections.items()))
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            # No renewal follows, so the node refuses new work instead of
-            # acting on a manifest that is not in force.
+            # The lease is not renewed, so that the node stops accepting work
+            # instead of acting on an outdated manifest.
             logger.error(
-                "Revision {} can't be read by this release: {}",
+                "This release can't read revision {}: {}",
                 update.revision,
                 error,
             )
@@ -322,7 +337,7 @@
         self.missing_until.pop(instance, None)
 
     def _index(self) -> None:
-        """Sorts the members by service and marks the drained ones."""
+        """Groups the members by service and marks the drained ones."""
         index: dict[str, list[member_messages.Announcement]] = {}
         for name in sorted(self.by_instance):
             item = self.by_instance[name]
@@ -342,7 +357,7 @@
         self._index()
 
     def addresses(self) -> list[str]:
-        """Returns the control instances' stream addresses, by preference."""
+        """Returns the control instances' addresses in order of preference."""
         known = [*self.control_addresses, *self.restrictions.control]
         return config_stream.ranked(self.node.instance, known)
 
@@ -351,7 +366,7 @@
         if not self.stream.address or self.stream.address == home:
             return
         try:
-            # Moving to an instance that is cut off could cost the lease.
+            # A move to an unreachable instance could let the lease expire.
             self.streams.ask(home, config_messages.Ping(), 1.0)
         except errors.MintcleatError:
             return
--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams: the leader's sending and the sidecar's receiving."""
+"""Orders to upstreams: sending by the leader and execution at the sidecar."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,16 +21,16 @@
 
 # Loading a model from the weight store takes minutes.
 ORDER_TIMEOUT = 600.0
-# An order without outcome for so long counts as failed: an engine that hangs
-# would hold its rollout up for good.
+# An order without an outcome for this time counts as failed. Otherwise an
+# engine that hangs would block its rollout forever.
 ORDER_FAILURE_SECONDS = 1_200.0
-# Calls under way get this time to end before an order changes the model.
+# Running calls have this time to end before an order changes the model.
 IDLE_TIMEOUT = 300.0
 IDLE_POLL_SECONDS = 0.1
 
 
 class Leader(Protocol):
-    """What sending needs of the config service."""
+    """The part of the config service that the sender uses."""
 
     machine: machine.ConfigMachine
     streams: stream_ports.Streams
@@ -44,14 +44,14 @@
         """Returns seconds since 1970 that no step of a clock changes."""
 
     def leads(self) -> bool:
-        """Tells whether this instance may decide now."""
+        """Returns whether this instance leads and may make decisions now."""
 
 
 class OrderSender:
-    """Sends committed orders until their outcome is committed.
+    """Sends committed orders and commits their outcomes.
 
     Attributes:
-        sending: Fencing numbers of the orders that are being sent.
+        sending: Fencing tokens of the orders that are being sent.
     """
 
     def __init__(self, leader: Leader) -> None:
@@ -65,7 +65,7 @@
         order: rollouts.Order,
         policies: manifest.Policies,
     ) -> None:
-        """Starts sending an order, unless it is being sent already."""
+        """Sends an order in a new green thread, unless it is being sent."""
         if order.fencing_token in self.sending:
             return
         self.sending.add(order.fencing_token)
@@ -89,7 +89,9 @@
                 if outcome:
                     self._end(service, announced, order, outcome)
         except errors.MintcleatError as error:
-            logger.info("Order {} waits: {}", order.fencing_token, error.detail)
+            logger.info(
+                "Order {} is delayed: {}", order.fencing_token, error.detail
+            )
         finally:
             self.sending.discard(order.fencing_token)
 
@@ -113,10 +115,10 @@
     def _deliver(
         self, announced: member_messages.Announcement, order: rollouts.Order
     ) -> str:
-        """Returns the outcome; empty when it is not known.
+        """Sends the order once and returns its outcome; empty if unknown.
 
-        An order of unknown outcome is sent again under its number, which the
-        sidecar carries out once.
+        An order of unknown outcome is sent again with the same fencing token.
+        The sidecar executes it once.
         """
         message = config_messages.Order(
             announced.sidecar, order.fencing_token, order.action, order.model
@@ -126,7 +128,7 @@
         except (errors.StreamClosed, errors.StreamTimeout):
             return ""
         except (errors.FencedOff, errors.Draining):
-            # Neither says anything about the version that it was to load.
+            # Neither error is caused by the version that was to be loaded.
             return ""
         except errors.MintcleatError as error:
             logger.warning(
@@ -158,23 +160,32 @@
 
 
 class Upstream(Protocol):
-    """What an order does at the upstream."""
+    """The upstream, as far as orders are concerned."""
 
-    def pause_admission(self, held: bool) -> None:
-        """Refuses new work while an order is carried out, or takes it."""
+    def pause_admission(self, paused: bool) -> None:
+        """Refuses new work, or accepts it again."""
 
     def is_busy(self) -> bool:
-        """Tells whether calls are under way."""
+        """Returns whether calls wait or run."""
 
     def execute_order(self, number: int, action: str, model: str) -> None:
-        """Hands the order to the upstream and waits for its end."""
+        """Sends the order to the upstream and waits until it is done.
+
+        Args:
+            number: Fencing token of the order.
+            action: Kind of the order, such as `load`.
+            model: Model that it is about.
+        """
 
 
 class OrderReceiver:
-    """The sidecar's side: the only path of orders to its upstream.
+    """Checks and executes the orders that a sidecar receives.
+
+    All orders to the upstream go through it.
 
     Attributes:
-        read_fencing_token: Asks control for the highest committed number.
+        read_fencing_token: Asks control for the highest committed fencing
+            token.
     """
 
     def __init__(
@@ -194,14 +205,17 @@
     def handle(
         self, exchange: stream_ports.Exchange, order: config_messages.Order
     ) -> None:
-        """Carries an order out once; answers a repeated one alike.
+        """Executes an order once and replies; a repeated one only replies.
 
         Raises:
-            errors.FencedOff: A newer order was seen.
-            errors.Draining: Calls under way did not end in time.
+            errors.FencedOff: An order with a higher fencing token was
+                received.
+            errors.Draining: Running calls did not end in time.
         """
         if order.sidecar != self.node:
-            raise errors.FencedOff("The order is for another incarnation.")
+            raise errors.FencedOff(
+                f"The order is for {order.sidecar}, this is {self.node}."
+            )
         if self.gate.highest is None:
             self.gate.learn(self.read_fencing_token())
         self.gate.admit(order.fencing_token)
@@ -210,15 +224,17 @@
         exchange.send(identities.Done(order.model))
 
     def _carry_out(self, order: config_messages.Order) -> None:
-        # Asked again: while this order waited for the one before it, a newer
-        # one may have come, or a copy of this one may have been carried out.
+        # Checked again: while this order waited for the lock, a newer one may
+        # have arrived, or a copy of this one may have been executed.
         if not self.gate.admit(order.fencing_token):
             return
         self.upstream.pause_admission(True)
         try:
             self._wait_idle()
             if not self.gate.is_current(order.fencing_token):
-                raise errors.FencedOff("A newer order came.")
+                raise errors.FencedOff(
+                    "A newer order arrived while this one waited for calls."
+                )
             self.upstream.execute_order(
                 order.fencing_token, order.action, order.model
             )
@@ -227,9 +243,11 @@
             self.upstream.pause_admission(False)
 
     def _wait_idle(self) -> None:
-        """Waits for the calls under way; an order cuts no request."""
-        until = self.timers.now() + IDLE_TIMEOUT
+        """Waits for running calls to end, since orders don't cancel them."""
+        deadline = self.timers.now() + IDLE_TIMEOUT
         while self.upstream.is_busy():
-            if self.timers.now() >= until:
-                raise errors.Draining("Calls under way did not end in time.")
+            if self.timers.now() >= deadline:
+                raise errors.Draining(
+                    f"Calls still ran {IDLE_TIMEOUT:g} s after the order came."
+                )
             self.timers.sleep(IDLE_POLL_SECONDS)
--- a/src/mintcleat/roles/sidecar/answers.py
+++ b/src/mintcleat/roles/sidecar/answers.py
@@ -1,4 +1,4 @@
-"""Lets callers follow an attempt, each at its own pace."""
+"""Streaming of answers to callers, each at its own pace."""
 
 from collections.abc import Callable
 
@@ -15,11 +15,11 @@
 
 
 class Watcher:
-    """One caller that follows an attempt.
+    """A caller that receives the answer of an attempt.
 
     Attributes:
-        gone: The caller closed before the end.
-        done: The following has ended.
+        closed: Whether the caller disconnected before the end.
+        done: Whether nothing more is sent to the caller.
     """
 
     def __init__(self, attempt: sidecar_attempts.Attempt) -> None:
@@ -29,11 +29,11 @@
 
 
 class AnswerSender:
-    """Sends answers to callers.
+    """Sends the answers of attempts to callers.
 
-    The pieces lie in the attempt once, whatever the number of callers, and
-    each caller's exchange has its own credit: a slow one waits in its own
-    green thread and holds back neither the engine nor the others.
+    The text is stored once per attempt, and each caller has its own flow
+    control and green thread, so that a slow caller delays neither the engine
+    nor other callers.
     """
 
     def __init__(self, timers: timers_port.Timers, cancel: Cancel) -> None:
@@ -45,7 +45,10 @@
         exchange: streams_port.Exchange,
         attempt: sidecar_attempts.Attempt,
     ) -> None:
-        """Sends the answer from its start until the outcome."""
+        """Sends the answer from its start to its outcome.
+
+        Blocks until it is sent or the caller disconnects.
+        """
         watcher = Watcher(attempt)
         attempt.watchers += 1
         self.timers.spawn(self._listen, exchange, watcher)
@@ -55,20 +58,20 @@
             watcher.done = True
             attempt.watchers -= 1
             if not attempt.watchers and not attempt.number:
-                # Nobody can attach to an attempt without a number.
+                # No other caller can attach to an attempt without a number.
                 self.cancel(attempt, caller_gone())
 
     def _send_all(
         self, exchange: streams_port.Exchange, watcher: Watcher
     ) -> None:
         attempt = watcher.attempt
-        place = 0
+        next_chunk = 0
         offset = 0
         while not watcher.closed:
             changed = attempt.changed
-            if place < len(attempt.chunks):
-                text = "".join(attempt.chunks[place:])
-                place = len(attempt.chunks)
+            if next_chunk < len(attempt.chunks):
+                text = "".join(attempt.chunks[next_chunk:])
+                next_chunk = len(attempt.chunks)
                 exchange.send(call_messages.Chunk(attempt.number, offset, text))
                 offset += len(text)
             elif attempt.outcome is not None:
@@ -80,7 +83,7 @@
     def _listen(
         self, exchange: streams_port.Exchange, watcher: Watcher
     ) -> None:
-        """Notices that the caller closed, even while nothing is sent."""
+        """Receives cancellations and detects that the caller disconnects."""
         try:
             while True:
                 message = exchange.receive()
@@ -93,5 +96,7 @@
 
 
 def caller_gone() -> errors.MintcleatError:
-    """Returns the reason of a cancel by the caller."""
-    return errors.OutcomeUnknown("The caller has gone.")
+    """Returns the error of an attempt that its caller cancelled."""
+    return errors.OutcomeUnknown(
+        "The caller cancelled the call or disconnected."
+    )
--- a/src/mintcleat/roles/sidecar/commit.py
+++ b/src/mintcleat/roles/sidecar/commit.py
@@ -1,4 +1,4 @@
-"""Reports what came of an attempt to its program's group, until committed."""
+"""Commit of the outcomes of attempts at the program's group."""
 
 from typing import Any
 
@@ -29,10 +29,13 @@
 
 
 class OutcomeReporter:
-    """Sends FinishCall and SettleCall and repeats them.
+    """Sends FinishCall and SettleCall, repeatedly until they are committed.
 
-    The upstream has run by then, so giving up would lose an answer that
-    cannot be made again; the messages are idempotent, so repeating is safe.
+    The upstream has run the call by then, so giving up would lose an answer
+    that may not be reproducible. The messages are idempotent.
+
+    Attributes:
+        stopped: Whether to give up after the next transient error.
     """
 
     def __init__(
@@ -52,10 +55,10 @@
         answer: bytes,
         usage: identities.Usage,
     ) -> None:
-        """Records a whole answer; returns once it is committed.
+        """Commits a complete answer; blocks until it is committed.
 
         Raises:
-            errors.MintcleatError: The group refuses it for good.
+            errors.MintcleatError: The group rejected it permanently.
         """
         request = attempt.message
         finish = program_messages.FinishCall(
@@ -70,7 +73,7 @@
         try:
             self._commit(attempt.scope, finish)
         except errors.MintcleatError as error:
-            # A refusal says "not run" of the commit; the call itself ran.
+            # The group's "not run" is about the commit; the call itself ran.
             if error.outcome == errors.NOT_RUN:
                 error.outcome = errors.RAN
             raise
@@ -81,7 +84,7 @@
         outcome: str,
         failure: errors.Failure,
     ) -> None:
-        """Records an end without an answer; returns once it is committed."""
+        """Commits an end without an answer; blocks until committed."""
         request = attempt.message
         self._commit(
             attempt.scope,
@@ -104,6 +107,10 @@
             except _TRANSIENT as error:
                 if self.stopped:
                     raise
-                logger.info("{} is not committed yet: {}", scope, error.detail)
+                logger.info(
+                    "An outcome of {} is not committed yet: {}",
+                    scope,
+                    error.detail,
+                )
             self.timers.sleep(backoff)
             backoff = min(_MAX_BACKOFF, backoff * 2)
--- a/src/mintcleat/roles/sidecar/crashes.py
+++ b/src/mintcleat/roles/sidecar/crashes.py
@@ -1,4 +1,4 @@
-"""Tells which requests were in flight when the upstream crashed."""
+"""Reports of the requests that were in flight when an upstream crashed."""
 
 from typing import NamedTuple
 from typing import Protocol
@@ -14,40 +14,46 @@
 
 _REPORT_TIMEOUT = 2.0
 _RETRY_DELAY = 1.0
-# Time in which the restrictions of a taken report reach every sidecar.
+# Time after which every sidecar has the restrictions from an accepted report.
 _PROPAGATION_SECONDS = 5.0
 
 
 class Monitor(Protocol):
-    """What is known of the upstream.
+    """The probe of the upstream.
 
     Attributes:
-        life: Its life as last seen.
+        life: Number of the upstream's process at the last probe.
     """
 
     life: int
 
     def read_life(self) -> int:
-        """Looks at the upstream; returns its life, or 0 when it is gone."""
+        """Returns the number of the upstream's process; 0 if it is down."""
 
 
 class InFlight(NamedTuple):
-    """A request at the upstream, in one of the upstream's lives."""
+    """A request at the upstream.
+
+    Attributes:
+        digest: Digest of the request.
+        life: Number of the upstream process that received it.
+    """
 
     digest: bytes
     life: int
 
 
 class CrashReporter:
-    """Digests in flight, and the report of each crash.
+    """Tracks requests in flight and reports each crash to control.
 
-    A caller is told of a broken call only once the crash is reported: its
-    resend would otherwise crash a second upstream as an unsuspected request
-    among others, and nothing would be learned from that crash.
+    A caller gets the error of a lost call only after the crash is reported.
+    Otherwise its retry could crash a second upstream while the request is not
+    yet a suspect, among other requests, and that crash would not show which
+    request was the cause.
 
     Attributes:
-        monitor: Knows the upstream's life.
-        in_flight: Digest and life of the upstream, by request id.
+        monitor: Probes the upstream.
+        in_flight: Requests at the upstream by request id.
         local_suspects: Suspects of this upstream's own crashes, while
             control cannot be told or has not yet distributed them.
     """
@@ -69,30 +75,41 @@
         self.report_done: event.Event | None = None
 
     def begin(self, request_id: str, digest: bytes) -> None:
-        """Notes that a request goes to the upstream."""
+        """Records that a request is sent to the upstream."""
         self.in_flight[request_id] = InFlight(digest, self.monitor.life)
 
     def end(self, request_id: str) -> None:
-        """Notes that the upstream has answered."""
+        """Records that the upstream has finished a request."""
         self.in_flight.pop(request_id, None)
 
     def is_suspect(self, digest: bytes) -> bool:
-        """Tells whether a request may run beside no other suspect only."""
+        """Returns whether a request is suspected of crashing upstreams.
+
+        Suspects run one at a time, so that a crash shows which one caused it.
+        """
         return digest in self.local_suspects or self.directory.is_suspect(
             digest
         )
 
     def connection_lost(self, request_id: str) -> None:
-        """Handles a lost stream; returns once a crash is reported."""
+        """Handles the lost connection of a request.
+
+        If the upstream has crashed, blocks until a report was sent.
+        """
         digests = self._take_crashed(request_id)
         if digests:
             self._report(digests)
         elif self.report_done is not None:
-            # A call that was lost beside this one reports the crash.
+            # Another call that was lost in the same crash reports it.
             self.report_done.wait()
 
     def _take_crashed(self, request_id: str) -> list[bytes]:
-        """Takes out what was in flight at a crash; empty if there is none."""
+        """Removes and returns the digests in flight at a crash.
+
+        Returns:
+            The digests, sorted; empty if the upstream has not crashed or
+            another call reports this crash.
+        """
         lost = self.in_flight.get(request_id)
         if lost is None:
             return []
@@ -119,7 +136,7 @@
         self.report_done = event.Event()
         try:
             if not self._send(report):
-                self.timers.spawn(self._send_until_taken, report)
+                self.timers.spawn(self._send_until_accepted, report)
         finally:
             self.report_done.send()
 
@@ -127,15 +144,15 @@
         try:
             self.directory.ask(report, _REPORT_TIMEOUT)
         except errors.MintcleatError as error:
-            logger.warning("A crash is not reported yet: {}", error.detail)
+            logger.warning("Could not report a crash yet: {}", error.detail)
             return False
-        # From now on control says who is a suspect, and for how long.
+        # Then control determines which requests are suspects.
         self.timers.after(
             _PROPAGATION_SECONDS,
             lambda: self.local_suspects.difference_update(report.digests),
         )
         return True
 
-    def _send_until_taken(self, report: member_messages.ReportCrash) -> None:
+    def _send_until_accepted(self, report: member_messages.ReportCrash) -> None:
         while not self._send(report):
             self.timers.sleep(_RETRY_DELAY)
--- a/src/mintcleat/roles/sidecar/history.py
+++ b/src/mintcleat/roles/sidecar/history.py
@@ -1,4 +1,4 @@
-"""The histories that a sidecar keeps, so that entries send only new turns."""
+"""Histories of programs at a sidecar, so that entries send only new turns."""
 
 import collections
 
@@ -8,11 +8,14 @@
 
 
 class Histories:
-    """Finished turns by program, the least recently used dropped first.
+    """Finished turns by program; the least recently used are dropped first.
 
     Attributes:
-        limit: Bytes of messages kept. What is dropped is sent again by the
-            entry, so the limit costs time and never an answer.
+        limit: Maximum size of the stored messages in characters. Entries send
+            dropped turns again, so a low limit costs time only.
+        turns: Turns of each program.
+        sizes: Size of each program's messages.
+        size: Size of all stored messages.
     """
 
     def __init__(self, limit: int) -> None:
@@ -24,10 +27,15 @@
         self.size = 0
 
     def count_kept(self, program: str, turn: int, digest: bytes) -> int:
-        """Returns how many turns of this very history are kept here.
+        """Returns how many of the first `turn` turns are stored here.
 
-        A history of another digest is dropped: it may hold a turn that was
-        never committed, and mixing the two would answer the wrong request.
+        A history with a different digest is dropped: it may include a turn
+        that was never committed, and the prompt would be wrong.
+
+        Args:
+            program: The program.
+            turn: Number of turns that are needed.
+            digest: Digest of the history up to that turn.
         """
         kept = self.turns.get(program, [])
         if len(kept) < turn:
@@ -40,10 +48,10 @@
         return turn
 
     def extend(self, program: str, turns: list[identities.Turn]) -> None:
-        """Adds turns that an entry sent, each checked by its digest.
+        """Adds turns from an entry after checking their digests.
 
         Raises:
-            errors.BadRequest: The turns do not continue what is kept here.
+            errors.BadRequest: The turns do not continue the stored history.
         """
         kept = list(self.turns.get(program, []))
         for turn in turns:
@@ -55,7 +63,7 @@
                 self.drop(program)
                 raise errors.BadRequest(
                     f"Turn {turn.turn} of {program} does not follow the"
-                    " history kept here."
+                    " history stored at the sidecar."
                 )
             kept.append(turn)
         self._store(program, kept)
@@ -68,7 +76,14 @@
     def finish(
         self, program: str, base: int, digest: bytes, added: list[str]
     ) -> None:
-        """Keeps a turn that was just committed behind `base` turns."""
+        """Adds a committed turn after the first `base` turns.
+
+        Args:
+            program: The program.
+            base: Number of turns before it.
+            digest: Digest of these turns.
+            added: Messages of the new turn.
+        """
         kept = self.turns.get(program, [])[:base]
         if len(kept) < base:
             return
@@ -76,7 +91,7 @@
         self._store(program, [*kept, turn])
 
     def drop(self, program: str) -> None:
-        """Forgets a program."""
+        """Removes a program."""
         self.turns.pop(program, None)
         self.size -= self.sizes.pop(program, 0)
 
--- a/src/mintcleat/roles/sidecar/ledger.py
+++ b/src/mintcleat/roles/sidecar/ledger.py
@@ -1,20 +1,22 @@
-"""What the engine's memory holds, by program, as far as is known here.
+"""Ledger of the engine's prefix cache: cached tokens by program.
 
-Sources are the sidecar's own calls, which are quick and rough, and the
-engine's numbered events, which are right but come late and with gaps. A gap
-makes the ledger unsure until a listing of the whole cache mends it.
+It is updated from the sidecar's own calls, which give an early estimate, and
+from the engine's numbered events, which are exact but late and may be lost. A
+gap in the numbers makes the ledger unsure until a listing of the whole cache
+replaces its content.
 """
 
 from mintcleat.ports import upstream as upstream_port
 
 
 class Ledger:
-    """Tokens held by program.
+    """Cached tokens by program.
 
     Attributes:
-        life: Life of the engine that the ledger speaks of.
-        seq: Number of the last event, or of the listing, taken in.
-        unsure: Whether something may be held that is not listed here.
+        tokens: Cached tokens by program.
+        life: Number of the engine process that the content is about.
+        seq: Sequence number of the last event or listing applied.
+        unsure: Whether the cache may hold something that is missing here.
     """
 
     def __init__(self) -> None:
@@ -24,14 +26,14 @@
         self.unsure = True
 
     def record_turn(self, program: str, tokens: int) -> None:
-        """Notes an own call, ahead of the engine's event."""
+        """Records a finished call before the engine's event arrives."""
         if program:
             self.tokens[program] = max(tokens, self.tokens.get(program, 0))
 
     def take(self, batch: upstream_port.CacheEvents) -> None:
-        """Takes in events; those before a listing are old and ignored."""
+        """Applies events; those that a listing includes are ignored."""
         if batch.life != self.life:
-            # A restarted engine holds nothing and counts from the start.
+            # A restarted engine has an empty cache and new event numbers.
             self.tokens.clear()
             self.life = batch.life
             self.seq = 0
@@ -44,11 +46,12 @@
             self.seq = event.seq
             self._set(event.program, event.tokens)
         if batch.seq > self.seq:
-            # The newest events are missing, and none may come after them.
+            # The newest events are missing. The gap would go unnoticed if no
+            # event came after them.
             self.unsure = True
 
     def mend(self, listing: upstream_port.CacheListing) -> None:
-        """Replaces everything by the engine's own listing."""
+        """Replaces the content by the engine's listing."""
         self.life = listing.life
         self.seq = listing.seq
         self.tokens = {
@@ -57,17 +60,17 @@
         self.unsure = False
 
     def released(self, programs: list[str]) -> None:
-        """Notes that the engine has released programs."""
+        """Removes programs that the engine has evicted."""
         for program in programs:
             self.tokens.pop(program, None)
 
     def truncated(self, program: str, keep: int) -> None:
-        """Notes that the engine has dropped the end of a cache."""
+        """Records that the engine has truncated a prefix to `keep` tokens."""
         if program in self.tokens:
             self.tokens[program] = min(keep, self.tokens[program])
 
     def total(self) -> int:
-        """Returns all tokens held."""
+        """Returns the cached tokens of all programs."""
         return sum(self.tokens.values())
 
     def _set(self, program: str, tokens: int) -> None:
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -1,4 +1,7 @@
-"""Keeps the engine's memory free of programs that nobody continues."""
+"""Management of the engine's prefix cache.
+
+Evicts the prefixes of ended programs and, under pressure, of paused ones.
+"""
 
 import collections
 from collections.abc import Callable
@@ -16,25 +19,31 @@
 from mintcleat.roles.sidecar import admission as sidecar_admission
 from mintcleat.roles.sidecar import ledger as sidecar_ledger
 
-# Programs asked about in one message to a program group.
+# Programs in one RenewResidency request.
 _RENEW_BATCH = 512
 _ASK_TIMEOUT = 5.0
-# One program's id in a renewal, as entries make ids.
+# Length of a program id that an entry generated.
 _RENEWAL_BYTES = 36
+# Seconds for which the engine may hold a request for events.
 _EVENT_WAIT = 1.0
-# Each turn makes events. Asked for one by one they cost a request a turn; a
-# ledger that is this much behind costs nothing, for the engine's own events
-# come late in any case.
+# Seconds between two requests for cache events. Without a pause there would be
+# a request per turn; the delay does no harm, since the engine's events are late
+# in any case.
 _EVENT_PAUSE = 0.2
 _RETRY_SECONDS = 0.5
-# Caches are put out from this part of the engine's memory on, down to the
-# other, so that the engine need not evict what is about to be used.
+# Paused programs are evicted when the cache is filled to the first fraction,
+# until it is down to the second. Otherwise the engine would evict prefixes
+# that are about to be used, since it knows nothing of pauses.
 _EVICTION_START = 0.9
 _EVICTION_TARGET = 0.8
 
 
 class Exports:
-    """Exported caches, the oldest dropped first; `limit` in bytes."""
+    """Exported prefixes by program; the oldest is dropped first.
+
+    Attributes:
+        limit: Maximum total size in bytes.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -44,7 +53,7 @@
         self.size = 0
 
     def put(self, program: str, blob: bytes) -> None:
-        """Keeps an export."""
+        """Adds an export and drops the oldest ones above the limit."""
         self.pop(program)
         self.blobs[program] = blob
         self.size += len(blob)
@@ -52,22 +61,24 @@
             self.pop(next(iter(self.blobs)))
 
     def pop(self, program: str) -> bytes | None:
-        """Takes an export out."""
+        """Removes and returns an export; None if there is none."""
         blob = self.blobs.pop(program, None)
         if blob is not None:
             self.size -= len(blob)
         return blob
 
 
-# Programs whose usage is remembered, at about 200 bytes each.
+# Programs whose usage is kept, at about 200 bytes each.
 _MAX_USAGES = 20_000
 
 
 class ProgramUsage(NamedTuple):
-    """What a program had when its last turn here ended.
+    """Totals of a program at the end of its last turn here.
 
     Attributes:
-        tokens: Tokens served to the whole (root) program.
+        agent: Name of the agent; empty if unknown.
+        tokens: Tokens served to the root program so far.
+        turns: Turns of this program so far.
     """
 
     agent: str
@@ -76,10 +87,15 @@
 
 
 class CacheManager:
-    """The ledger of one engine, its renewal and the retain decisions.
+    """Tracks and evicts the cached prefixes of one engine.
 
     Attributes:
-        on_program_ended: Called with each program that its group gave up.
+        on_program_ended: Called with each program that its group no longer
+            has.
+        ledger: Cached tokens by program, as known here.
+        paused_caches: Decides which paused programs to evict.
+        exports: Prefixes that were exported from the cache.
+        usages: Totals of the programs that ran here, the latest last.
     """
 
     def __init__(
@@ -110,12 +126,16 @@
         self.stopped = False
 
     def start(self, renew_interval: float) -> None:
-        """Begins to follow the engine and to renew residency."""
+        """Starts to follow cache events and to renew residency.
+
+        Args:
+            renew_interval: Seconds between two renewals, at least.
+        """
         self.timers.spawn(self._follow_events_forever)
         self.timers.spawn(self._renew_forever, renew_interval)
 
     def resize(self, info: upstream_port.EngineInfo) -> None:
-        """Takes the size that the engine announces."""
+        """Adopts the cache size that the engine announces."""
         rate = (
             self.paused_caches.options.prefill_rate * 8
             if info.kv_export
@@ -126,20 +146,20 @@
         )
 
     def resident_tokens(self, program: str) -> int:
-        """Returns the tokens that the engine holds for a program."""
+        """Returns the cached tokens of a program."""
         return self.ledger.tokens.get(program, 0)
 
     def called(self, program: str) -> int:
-        """Notes that a program's next turn waits; returns what is cached."""
+        """Records a queued turn of a program; returns its cached tokens."""
         self.paused_caches.called(program, self.timers.now())
         return self.resident_tokens(program)
 
     def refused(self, program: str) -> None:
-        """Notes that the turn is not run here."""
+        """Records that the queued turn of a program is not run here."""
         self.paused_caches.refused(program, self.timers.now())
 
     def prepare(self, program: str) -> None:
-        """Prepares the engine for a program's turn that starts now."""
+        """Restores an exported prefix before a program's turn starts."""
         self.paused_caches.started(program)
         blob = self.exports.pop(program)
         if blob is None:
@@ -147,11 +167,19 @@
         try:
             self.engine.import_cache(blob)
         except errors.MintcleatError as error:
-            # The engine rebuilds the prefix instead; only time is lost.
-            logger.info("No import for {}: {}", program, error.detail)
+            # The engine computes the prefix again, which only takes time.
+            logger.info(
+                "Could not import the prefix of {}: {}", program, error.detail
+            )
 
     def pause(self, program: str, agent: str, tokens: int) -> None:
-        """Decides what becomes of a cache while the program's tool runs."""
+        """Decides whether to keep a prefix while the program's tool runs.
+
+        Args:
+            program: The program; empty for none.
+            agent: Name of its agent.
+            tokens: Tokens of the conversation so far.
+        """
         if not program:
             return
         self.ledger.record_turn(program, tokens)
@@ -166,7 +194,7 @@
         self.admission.protect(self.paused_caches.expected_soon(now))
 
     def record_usage(self, program: str, usage: ProgramUsage) -> None:
-        """Keeps what a program had, for the learner once it is gone."""
+        """Keeps a program's totals for the estimator until it ends."""
         self.usages[program] = usage
         self.usages.move_to_end(program)
         if len(self.usages) > _MAX_USAGES:
@@ -178,7 +206,7 @@
             self.admission.learn(usage.agent, usage.tokens, usage.turns)
 
     def sweep(self) -> None:
-        """Puts out what has been paused for too long."""
+        """Evicts programs that have been paused for too long."""
         now = self.timers.now()
         for action in self.paused_caches.sweep(now):
             self._execute(action)
@@ -186,26 +214,26 @@
         self.admission.protect(self.paused_caches.expected_soon(now))
 
     def renew(self) -> None:
-        """Asks which programs are gone and releases them."""
+        """Asks the groups which programs have ended and evicts these."""
         programs = list(self.ledger.tokens)
         for start in range(0, len(programs), _RENEW_BATCH):
             batch = programs[start : start + _RENEW_BATCH]
-            gone = self.control.ended_programs(self.node, batch, _ASK_TIMEOUT)
-            for program in gone:
+            ended = self.control.ended_programs(self.node, batch, _ASK_TIMEOUT)
+            for program in ended:
                 self.paused_caches.gone(program)
                 self.exports.pop(program)
                 self.on_program_ended(program)
                 self._learn(program)
-            # Only a program that is gone leaves the working set. One whose
-            # cache was evicted under pressure comes back; counted as gone it
-            # made room for newcomers, and the engine took in too many.
-            self.admission.remove_programs(gone)
-            # A turn that ends after this fills the cache again; the ledger
-            # hears of it, and the next renewal releases it.
-            self.release(gone)
+            # Only ended programs leave the working set. A program that was
+            # evicted under pressure comes back; if it left the working set,
+            # too many new programs would be admitted.
+            self.admission.remove_programs(ended)
+            # A turn that ends later fills the cache again. The ledger records
+            # it, and the next renewal evicts it.
+            self.release(ended)
 
     def release(self, programs: list[str]) -> None:
-        """Frees programs; what fails stays in the ledger for the next time."""
+        """Evicts programs; after a failure the next renewal tries again."""
         if not programs:
             return
         try:
@@ -218,12 +246,14 @@
         self.ledger.released(programs)
 
     def release_all(self) -> None:
-        """Frees everything, for a planned stop."""
+        """Evicts all programs before a planned stop."""
         self.stopped = True
         try:
             self.ledger.mend(self.engine.cache_listing())
         except errors.MintcleatError as error:
-            logger.info("No listing at the stop: {}", error.detail)
+            logger.info(
+                "Could not list the cache at the stop: {}", error.detail
+            )
         self.release(list(self.ledger.tokens))
 
     def _execute(self, action: cache_retention.Action) -> None:
@@ -242,7 +272,9 @@
         try:
             self.engine.truncate(program, keep)
         except errors.MintcleatError as error:
-            logger.info("{} is not shortened: {}", program, error.detail)
+            logger.info(
+                "Could not truncate the prefix of {}: {}", program, error.detail
+            )
             return
         self.ledger.truncated(program, keep)
 
@@ -250,10 +282,12 @@
         try:
             self.exports.put(program, self.engine.export_cache(program))
         except errors.MintcleatError as error:
-            logger.info("No export of {}: {}", program, error.detail)
+            logger.info(
+                "Could not export the prefix of {}: {}", program, error.detail
+            )
 
     def _follow_events_forever(self) -> None:
-        """Takes in events as they come, and listings where they are lacking."""
+        """Applies cache events, and a listing whenever events are missing."""
         while not self.stopped:
             try:
                 self._follow_events()
@@ -266,8 +300,8 @@
             self.ledger.mend(self.engine.cache_listing())
         events = self.engine.events(self.ledger.seq, _EVENT_WAIT)
         self.ledger.take(events)
-        # Late events may still come; a listing at each of them would cost
-        # more than the wait.
+        # Missing events may only be late. Waiting for them costs less than a
+        # listing each time.
         unsure = self.ledger.unsure
         self.timers.sleep(_RETRY_SECONDS if unsure else _EVENT_PAUSE)
 
@@ -284,4 +318,4 @@
                 self.sweep()
                 self.renew()
             except errors.MintcleatError as error:
-                logger.info("Residency is not renewed: {}", error.detail)
+                logger.info("Could not renew residency: {}", error.detail)
--- a/src/mintcleat/roles/sidecar/monitor.py
+++ b/src/mintcleat/roles/sidecar/monitor.py
@@ -1,4 +1,4 @@
-"""What a sidecar tells of its upstream and of itself."""
+"""Monitoring of the upstream and the state that a sidecar announces."""
 
 import itertools
 from typing import Any
@@ -37,17 +37,21 @@
     """Settings of one sidecar; sizes in bytes, times in seconds.
 
     Attributes:
-        kind: `model` or `plain`.
-        capacity: Calls that the upstream takes at once; 0 asks the engine.
-        history_bytes: Program history kept here.
-        export_bytes: Exported caches kept here.
+        kind: `model` for a model engine, `plain` for a plain service.
+        capacity: Calls that the upstream runs concurrently; 0 to use what the
+            engine announces.
+        history_bytes: Maximum size of the stored histories.
+        export_bytes: Maximum size of the exported prefixes.
         retention: Time for which the state of an ended attempt is kept.
-        answer_retention: Time for which an ended answer can be attached to.
-        attach_timeout: Time that Attach waits for a run on its way.
-        load_interval: Time between two load reports on a watch.
-        probe_interval: Time between two looks at the upstream.
-        renew_interval: Time between two renewals of residency.
-        release_on_stop: Whether a planned stop frees the engine's memory.
+        answer_retention: Time for which a caller can attach to an ended
+            attempt.
+        attach_timeout: Time for which AttachAttempt waits for the request to
+            run the attempt.
+        load_interval: Time between two load reports, at least.
+        probe_interval: Time between two probes of the upstream.
+        renew_interval: Time between two renewals of residency, at least.
+        release_on_stop: Whether a planned stop evicts all programs from the
+            engine's cache.
     """
 
     service: str
@@ -67,14 +71,16 @@
 
 
 class UpstreamMonitor:
-    """Looks at the upstream, and describes it to entries and control.
+    """Probes the upstream and describes it to entries and control.
 
     Attributes:
-        upstream_state: The upstream's state as last seen.
-        life: The upstream's life as last seen; 0 for none.
-        ordering: Whether an order is being carried out.
-        draining: Whether this sidecar itself refuses new work.
-        info: What a model engine announced last.
+        upstream_state: State of the upstream at the last probe.
+        life: Number of the upstream's process at the last probe; 0 if it was
+            down.
+        ordering: Whether an order is being executed.
+        draining: Whether this sidecar was asked to refuse new work.
+        info: The latest properties of a model engine.
+        free_memory: Free tokens of the engine's cache at the last probe.
     """
 
     def __init__(
@@ -108,7 +114,7 @@
         self.announced: member_messages.Announcement | None = None
 
     def probe(self) -> None:
-        """Looks at the upstream and tells control when it changed."""
+        """Probes the upstream and announces a changed state."""
         before = self.state()
         self.life = self.read_life()
         if not self.life:
@@ -116,18 +122,21 @@
         else:
             self.upstream_state = self.info.state if self.is_model else READY
         if self.state() != before:
-            logger.info("The upstream is {} now", self.state())
+            logger.info("The upstream's state is now {}", self.state())
             self.directory.announce()
 
     def read_life(self) -> int:
-        """Returns the upstream's life, or 0 when it is gone."""
+        """Returns the number of the upstream's process; 0 if it is down.
+
+        A plain service has the number 1.
+        """
         if not self.is_model:
             return int(self.upstream.alive())
         try:
             self.info = self.upstream.info()
             self.free_memory = self.upstream.load().free_memory
         except errors.StreamTimeout:
-            # Slow is not gone; its calls run against their own deadlines.
+            # A slow engine is not down; its calls have their own deadlines.
             return self.life
         except errors.MintcleatError:
             return 0
@@ -137,38 +146,45 @@
         return self.info.life
 
     def state(self) -> str:
-        """Returns the state that others hear of."""
+        """Returns the state that is announced."""
         if self.is_draining():
             return DRAINING
         return LOADING if self.ordering else self.upstream_state
 
     def is_draining(self) -> bool:
-        """Tells whether new work is refused here."""
+        """Returns whether this sidecar refuses new work to drain."""
         return self.draining or self.directory.is_draining(
             self.node.instance, self.options.failure_domain
         )
 
     def refusal(self, request: Any) -> errors.MintcleatError | None:
-        """Returns why new work is refused now, or None.
+        """Returns why a request is refused now; None if it is not.
 
         Args:
             request: A RunTurn or RunTool.
         """
         if request.service != self.options.service:
             return errors.UnknownService(
-                f"This sidecar serves {self.options.service}."
+                f"The request is for service {request.service}, but this"
+                f" sidecar serves {self.options.service}."
             )
         if self.is_draining():
-            return errors.Draining("This sidecar takes no new work.")
+            return errors.Draining("This sidecar is draining.")
         if self.directory.duplicate:
-            return errors.Draining("A newer process has this sidecar's name.")
+            return errors.Draining(
+                f"A newer process has the name {self.node.instance}."
+            )
         state = self.state()
         if state != "ready":
-            return errors.NoUpstream(f"The upstream here is {state}.")
+            return errors.NoUpstream(f"The upstream is {state}, not ready.")
         if self.directory.is_quarantined(request.digest):
-            return errors.Quarantined("Upstreams crashed on this request.")
+            return errors.Quarantined(
+                "The request is quarantined because upstreams crashed on it."
+            )
         if not self.directory.has_lease() and not self._serves_stale(request):
-            return errors.LeaseExpired("The configuration here is too old.")
+            return errors.LeaseExpired(
+                "The configuration lease of this sidecar has expired."
+            )
         return None
 
     def _serves_stale(self, request: Any) -> bool:
@@ -176,18 +192,21 @@
         return plain and self.directory.may_serve_stale()
 
     def begin_order(self) -> None:
-        """Keeps new work off while an order is carried out."""
+        """Refuses new work until `end_order`."""
         self.ordering = True
         self.directory.announce()
 
     def end_order(self) -> None:
-        """Looks at what the order has made of the upstream."""
+        """Probes the upstream after an order and announces its state."""
         self.ordering = False
         self.probe()
         self.directory.announce()
 
     def announcement(self) -> member_messages.Announcement:
-        """Describes the upstream; the counter grows with each change."""
+        """Returns the description of the upstream for control.
+
+        Its counter is incremented with each change.
+        """
         last = self.announced
         counter = last.counter if last else 0
         present = member_messages.Announcement(
@@ -212,7 +231,7 @@
         return present
 
     def load(self) -> call_messages.LoadReport:
-        """Returns a fresh load report."""
+        """Returns a load report of this moment."""
         load = self.admission.gate.load(self.timers.now())
         return call_messages.LoadReport(
             sidecar=self.node,
--- a/src/mintcleat/roles/sidecar/orders.py
+++ b/src/mintcleat/roles/sidecar/orders.py
@@ -1,7 +1,7 @@
-"""Orders to the engine beside a sidecar: what the receiver needs of it.
+"""Execution of orders on the engine of a sidecar.
 
-`orders.OrderReceiver` decides whether and when an order is carried out; this
-is how the sidecar holds its work meanwhile.
+`roles.orders.OrderReceiver` decides whether and when to execute an order. This
+module pauses the sidecar's admission meanwhile.
 """
 
 from collections.abc import Callable
@@ -19,10 +19,10 @@
 
 
 class OrderTarget:
-    """See `orders.Upstream`.
+    """Implements `roles.orders.Upstream` for the engine of a sidecar.
 
     Attributes:
-        under_way: Returns the attempts that wait or run here.
+        under_way: Returns the attempts that wait or run at the sidecar.
     """
 
     def __init__(
@@ -35,19 +35,19 @@
         self.monitor = monitor
         self.under_way = under_way
 
-    def pause_admission(self, held: bool) -> None:
-        """Refuses new work while an order is carried out, or takes it."""
-        if held:
+    def pause_admission(self, paused: bool) -> None:
+        """Refuses new work, or accepts it again."""
+        if paused:
             self.monitor.begin_order()
         else:
             self.monitor.end_order()
 
     def is_busy(self) -> bool:
-        """Tells whether calls are under way."""
+        """Returns whether calls wait or run."""
         return bool(self.under_way())
 
     def execute_order(self, number: int, action: str, model: str) -> None:
-        """Hands the order to the engine and waits for its end."""
+        """Sends the order to the engine and waits until it is done."""
         self.engine.order(number, action, model)
 
 
@@ -57,12 +57,11 @@
     timers: timers_port.Timers,
     directory: membership_port.Membership,
 ) -> orders.OrderReceiver:
-    """Returns the gate for orders to one engine.
+    """Returns the receiver of orders to the engine.
 
-    Not every engine checks fencing numbers, so the check is here. A new life
-    of a sidecar knows no number yet: before its first order it reads the
-    highest committed one, or an order that was overtaken while it was down
-    would still be carried out.
+    It checks fencing tokens, since not every engine does. A restarted sidecar
+    reads the highest committed token before its first order. Otherwise it
+    would execute an order that was superseded while it was down.
     """
 
     def read_fencing_token() -> int:
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -277,7 +277,7 @@
         """Executes an order on the upstream."""
         if not self.is_model:
             raise errors.BadRequest(
-                "Orders are for model engines; this upstream is a plain service."
+                "Only model engines take orders; this is a plain service."
             )
         self.orders.handle(exchange, request)
 
@@ -289,7 +289,7 @@
         """Starts or ends the draining of this sidecar."""
         if request.sidecar != self.node:
             raise errors.FencedOff(
-                f"The request is for {request.sidecar}, but this is {self.node}."
+                f"The request is for {request.sidecar}, this is {self.node}."
             )
         if request.drain:
             self.drain()
