--- a/testing/fakes/engine_faults.py
+++ b/testing/fakes/engine_faults.py
@@ -1,4 +1,4 @@
-"""A stand-in engine that fails on command."""
+"""An emulated model engine with fault injection."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -10,15 +10,15 @@
 
 
 class FaultyEngine(engine.Engine):
-    """An engine with faults to switch on.
+    """A model engine with fault injection.
 
     Attributes:
-        crash_on: Text of a message that kills the engine; empty for none.
-        restart_after: Seconds from a crash to the next life; 0 for never.
-        cuts: Streams that are still to be cut, each after `cut_at` tokens.
-        skips: Streams that are still to lose their second token.
+        crash_on: Text of a message that crashes the engine; empty for none.
+        restart_after: Seconds from a crash to a restart; 0 for no restart.
+        cuts: Number of streams still to interrupt, each after `cut_at` events.
+        skips: Number of streams still to lose their second event.
         hidden: Programs whose cache events are lost.
-        crashes: How often the engine has crashed.
+        crashes: Number of crashes so far.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
             eventlet.spawn_after(3 * step, self.crash)
 
     def crash(self) -> None:
-        """Dies as a process does: everything held and running is gone."""
+        """Loses all state and connections, as a crashed process would."""
         if self.batch.stopped:
             return
         self.crashes += 1
@@ -51,7 +51,7 @@
             eventlet.spawn_after(self.restart_after, self.restart)
 
     def restart(self) -> None:
-        """Comes back at the same address, empty."""
+        """Starts again at the same address with an empty cache."""
         self.begin_life(self.address)
 
     def events(self, after: int, wait: float) -> dict[str, Any]:
@@ -70,11 +70,13 @@
         self.skips -= skip
         for count, data in enumerate(super()._events(sequence, offset)):
             if cut and count >= self.cut_at:
-                raise ConnectionAbortedError("The stream is cut.")
+                raise ConnectionAbortedError(
+                    "The stream is interrupted by the test."
+                )
             if not (skip and count == 1):
                 yield data
 
 
 def slow(token_time: float = 0.01, **speed: Any) -> engine.EngineOptions:
-    """Returns options of an engine whose answers take a while."""
+    """Returns options of an engine with a time of `token_time` per token."""
     return engine.EngineOptions(speed=batch.Speed(token_time, **speed))
--- a/testing/fakes/service_faults.py
+++ b/testing/fakes/service_faults.py
@@ -1,4 +1,4 @@
-"""A stand-in service that fails on command."""
+"""An emulated plain service with fault injection."""
 
 from typing import Any
 
@@ -8,12 +8,12 @@
 
 
 class FaultyService(service.Service):
-    """A service with faults to switch on.
+    """A plain service with fault injection.
 
     Attributes:
-        hang: Whether requests run and never get an answer.
-        die_after_run: Whether the service dies once it has run a request.
-        crashes: How often the service has died.
+        hang: Whether requests are executed but not answered.
+        die_after_run: Whether the service crashes after executing a request.
+        crashes: Number of crashes so far.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
             self.crash()
 
     def crash(self) -> None:
-        """Dies as a process does."""
+        """Closes all connections, as the end of its process would."""
         self.crashes += 1
         self.stop()
 
     def restart(self, **_: Any) -> None:
-        """Comes back at the same address."""
+        """Starts again at the same address."""
         self.die_after_run = False
         self.begin_life(self.address)
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -1,4 +1,4 @@
-"""Fakes of the ports of a sidecar, and a rig of real parts on loopback."""
+"""Fakes of a sidecar's ports, and a sidecar with real streams on loopback."""
 
 from collections.abc import Callable
 from typing import Any
@@ -24,11 +24,12 @@
 
 
 class FakeControl:
-    """A program group that commits at once and remembers what it heard.
+    """A program group that commits every request and records it.
 
     Attributes:
-        open_programs: Programs that the group knows as open; None for all.
-        failure: Raised instead of an answer, while it is set.
+        requests: Requests in the order of their arrival.
+        open_programs: Programs that are open; None if all are.
+        failure: Error to raise for each request; None to reply.
     """
 
     def __init__(self) -> None:
@@ -58,7 +59,17 @@
 
 
 class FakeDirectory:
-    """A configuration that is always in lease, unless told otherwise."""
+    """Configuration, members and restrictions that a test sets.
+
+    Attributes:
+        value: The manifest.
+        lease: Whether the configuration lease is valid.
+        duplicate: Whether a newer process has the sidecar's name.
+        drained: Whether an operator drains the sidecar.
+        fencing_token: Highest committed fencing token.
+        asked: Requests to the config leader.
+        held: Event on which the replies wait; None for immediate replies.
+    """
 
     def __init__(self) -> None:
         self.value = manifest.Manifest()
@@ -111,7 +122,7 @@
 
 
 class Rig:
-    """One sidecar with real streams, beside a stand-in upstream."""
+    """One sidecar with real streams and an emulated upstream."""
 
     def __init__(
         self,
@@ -146,7 +157,7 @@
         self.upstream.stop()
 
     def sleep(self) -> None:
-        """Lets what was sent arrive."""
+        """Waits long enough for sent messages to arrive."""
         eventlet.sleep(0.03)
 
     def wait_until(self, probe: Callable[[], Any], limit: float = 5.0) -> Any:
@@ -157,7 +168,7 @@
         return self.client.open(self.server.address, message)
 
     def call(self, message: Any, timeout: float = 5.0) -> tuple[str, Any]:
-        """Returns the text of an answer and its last message."""
+        """Sends a request; returns the answer's text and the last message."""
         return read_answer(self.open(message), timeout)
 
 
@@ -168,11 +179,11 @@
         if found:
             return found
         eventlet.sleep(0.01)
-    raise AssertionError("It did not happen in time.")
+    raise AssertionError(f"The condition is still false after {limit:g} s.")
 
 
 def read_rest(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
-    """Reads the rest of an exchange that was read before."""
+    """Reads the rest of an answer, of which a part was read before."""
     text = ""
     while True:
         message = exchange.receive(timeout)
@@ -182,7 +193,7 @@
 
 
 def read_answer(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
-    """Reads an exchange to its end; chunks must lie end to end."""
+    """Reads an answer to its end and checks the offsets of its chunks."""
     text = ""
     while True:
         message = exchange.receive(timeout)
@@ -194,7 +205,7 @@
 
 
 def user(text: str) -> str:
-    """Returns the JSON text of a user message, as the engine writes it."""
+    """Returns the JSON text of a user message, as the engine encodes it."""
     return f'{{"role":"user","content":"{text}"}}'
 
 
--- a/testing/fakes/service_system.py
+++ b/testing/fakes/service_system.py
@@ -1,8 +1,8 @@
-"""A whole system of real roles in one process, killed at chosen steps.
+"""A complete system of real roles in one process, with crashes at given steps.
 
 Every role has its own streams and HTTP connections over loopback. Killing a
-role cuts all of them at once and lets nothing of it reach the outside again,
-which is all that the others can see of a process that dies.
+role closes all of them at once, and nothing that it does later reaches the
+other roles. To them this is the same as the end of a process.
 """
 
 from collections.abc import Callable
@@ -54,14 +54,14 @@
 
 
 class Reply(NamedTuple):
-    """What the caller got; status 0 when the connection broke."""
+    """The response to a caller; status 0 if the connection was lost."""
 
     status: int
     body: Any
 
     @property
     def outcome(self) -> str:
-        """The outcome that a refusal tells."""
+        """Outcome in the body of an error; empty for none."""
         known = isinstance(self.body, dict)
         return self.body.get("outcome", "") if known else ""
 
@@ -70,8 +70,8 @@
     """Control instances, two entries, and two upstreams of each service.
 
     Attributes:
-        armed: Step at which `victims` die, once.
-        fired: Whether it was reached.
+        armed: Step at which to kill `victims`, once.
+        fired: Whether that step was reached.
     """
 
     def __init__(self, folder: pathlib.Path, controls: int = 1) -> None:
@@ -100,20 +100,23 @@
             upstream.stop()
 
     def processes(self) -> list[assembly.Process]:
-        """Returns the processes that live."""
+        """Returns the running processes."""
         found = [*self.entries, *self.sidecars.values(), *self.controls]
         return [process for process in found if process is not None]
 
     # --- Killing --------------------------------------------------------------
 
     def arm(self, step: str, *victims: str) -> None:
-        """Lets the victims die when the next call reaches the step."""
+        """Kills the victims when the next call reaches the step."""
         self.armed = step
         self.victims = victims
         self.fired = False
 
     def reach(self, step: str, owner: str, sidecar: str) -> None:
-        """Kills the victims; ends the calling green thread if it is one's."""
+        """Kills the victims if `step` is armed.
+
+        If `owner` is one of them, also ends the calling green thread.
+        """
         if self.fired or step != self.armed:
             return
         self.fired = True
@@ -142,10 +145,9 @@
             eventlet.spawn_after(0.02, self._start_control, number)
 
     def _kill_leader(self) -> None:
-        """Kills the leader of the first group; a lone one starts again.
+        """Kills the leader of the first group.
 
-        Right after a restart a vote may be under way; the step then waits
-        for its end, since without a leader there is nobody to kill.
+        Waits for the end of an election that is in progress after a restart.
         """
         for _ in range(_LEADER_TRIES):
             for number, process in enumerate(self.controls):
@@ -153,10 +155,12 @@
                     self._kill_control(number, process)
                     return
             eventlet.sleep(0.01)
-        raise AssertionError("No control instance leads.")
+        raise AssertionError(
+            f"No control instance became leader of {_FIRST_GROUP}."
+        )
 
     def restore(self) -> None:
-        """Starts whatever is dead, and waits until everything is ready."""
+        """Restarts what was killed and waits until everything is ready."""
         for number, process in enumerate(self.controls):
             if process is None and len(self.controls) > 1:
                 self._start_control(number)
@@ -299,12 +303,12 @@
 
 
 def is_alive(upstream: Any) -> bool:
-    """Tells whether the upstream takes connections."""
+    """Returns whether the upstream accepts connections."""
     return upstream.server.listener.fd.fileno() >= 0
 
 
 def kill(process: assembly.Process) -> None:
-    """Cuts a process off from everything, as its death would."""
+    """Closes all connections of a process, as its end would."""
     streams = process.common.streams
     streams.stopped = True
     streams.listener.close()
@@ -333,12 +337,14 @@
 
 
 def refuse(address: str, message: Any) -> Any:
-    """Stands in for the dialling of a process that is dead."""
-    raise errors.StreamClosed("This process is dead.", outcome=errors.NOT_RUN)
+    """Replaces `open` of the streams of a killed process."""
+    raise errors.StreamClosed(
+        "This process was killed.", outcome=errors.NOT_RUN
+    )
 
 
 def hook(system: System, patch: Callable[[Any, str, Any], None]) -> None:
-    """Calls `system.reach` at every step of a call."""
+    """Patches the roles to call `system.reach` at every step of a call."""
     begin = attempts_module.Attempts.begin
     start = sidecar_execution.Executor.start
     add = sidecar_attempts.Attempt.add
--- a/testing/test_control_client.py
+++ b/testing/test_control_client.py
@@ -1,4 +1,4 @@
-"""The control client against scripted answers."""
+"""The control client with scripted replies."""
 
 from collections.abc import Callable
 import time
@@ -16,8 +16,8 @@
 from mintcleat.programs import placement
 from mintcleat.roles import control_client
 
-LOST = errors.StreamTimeout("No answer.")
-CUT = errors.StreamClosed("No way.", outcome=errors.NOT_RUN)
+TIMED_OUT = errors.StreamTimeout("No answer.")
+UNREACHABLE = errors.StreamClosed("Not connected.", outcome=errors.NOT_RUN)
 BEGIN = program_messages.BeginCall(
     "p",
     "farm",
@@ -35,7 +35,7 @@
 
 
 class ScriptedStreams:
-    """Answers each batch by a function of address and decoded requests."""
+    """Replies to each batch with a function of address and requests."""
 
     def __init__(self, script: Callable[[str, list[Any]], list[Any]]) -> None:
         self.script = script
@@ -73,23 +73,22 @@
             self.assertEqual(identities.Done(), reply)
         self.assertEqual(["a", "c", "c"], self.addresses())
 
-    def test_cut_off_leader_is_replaced_by_another_instance(self) -> None:
+    def test_unresponsive_instance_is_replaced_by_another_one(self) -> None:
         def script(address: str, requests: list[Any]) -> list[Any]:
             if address == "a":
-                raise LOST
+                raise TIMED_OUT
             return [identities.Done() for _ in requests]
 
         client = self.client(script)
         reply = client.ask("p", program_messages.CloseProgram("p"), 5.0)
         self.assertEqual(identities.Done(), reply)
 
-    def test_leader_that_stands_still_is_not_waited_for_twice(self) -> None:
-        """A leader's machine is frozen; the next one is elected 0.25 s later.
+    def test_hanging_leader_is_tried_once_per_election(self) -> None:
+        """A leader hangs, and the next one is elected 0.25 s later.
 
-        Until then all others name the frozen one. Callers waited for it, were
-        told to ask it again, and waited once more: turns were opened two
-        tries after the freeze, though a leader was there after little more
-        than one.
+        Until then the other instances redirect to the hanging leader. A caller
+        that followed them would wait for a second timeout, though there is a
+        new leader soon after the first one.
         """
         began = time.monotonic()
 
@@ -97,7 +96,7 @@
             elected = time.monotonic() - began > 0.25
             if address == "a":
                 eventlet.sleep(0.2)
-                raise LOST
+                raise TIMED_OUT
             if address == "c" and elected:
                 return [identities.Done() for _ in requests]
             leader = "c" if elected else "a"
@@ -108,14 +107,14 @@
         client.leaders[placement.group_of("p", 4)] = "a"
         reply = client.ask("p", program_messages.CloseProgram("p"), 5.0)
         self.assertEqual(identities.Done(), reply)
-        # 0.42 s before.
+        # A second timeout would make it 0.42 s.
         self.assertThat(time.monotonic() - began, matchers.LessThan(0.37))
         self.assertEqual(1, self.addresses().count("a"))
 
-    def test_silent_leader_is_asked_again_once_an_election_is_over(
+    def test_leader_that_resumes_is_tried_again_after_an_election_time(
         self,
     ) -> None:
-        """It stood still for a moment only, and leads on."""
+        """A leader hangs for a moment and keeps its leadership."""
         asked = []
 
         def script(address: str, requests: list[Any]) -> list[Any]:
@@ -123,7 +122,7 @@
                 return [errors.NotLeader("a").failure() for _ in requests]
             asked.append(address)
             if len(asked) == 1:
-                raise LOST
+                raise TIMED_OUT
             return [identities.Done() for _ in requests]
 
         client = self.client(script)
@@ -132,11 +131,11 @@
         self.assertEqual(identities.Done(), reply)
         self.assertEqual(2, len(asked))
 
-    def test_instance_without_its_service_yet_is_passed_over(self) -> None:
-        """A control instance restarts and is asked before it is ready.
+    def test_instance_without_a_handler_is_skipped(self) -> None:
+        """A control instance restarts and gets a request before it is ready.
 
-        Its streams refuse the kind of message. The caller sees nothing of
-        it: the request goes to the next instance.
+        It has no handler for batches yet. The request goes to the next
+        instance, and the caller gets no error.
         """
 
         def script(address: str, requests: list[Any]) -> list[Any]:
@@ -148,11 +147,11 @@
         reply = client.ask("p", program_messages.CloseProgram("p"), 5.0)
         self.assertEqual(identities.Done(), reply)
 
-    def test_nothing_delivered_is_a_true_not_run(self) -> None:
+    def test_undelivered_request_is_reported_as_not_run(self) -> None:
         def script(address: str, requests: list[Any]) -> list[Any]:
             if address == "b":
                 return [errors.NotLeader("").failure() for _ in requests]
-            raise CUT
+            raise UNREACHABLE
 
         client = self.client(script)
         error = self.assertRaises(
@@ -160,13 +159,13 @@
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
-    def test_one_lost_answer_makes_the_outcome_unknown(self) -> None:
-        """The first instance may have taken the request, then all are cut.
+    def test_one_lost_reply_makes_the_outcome_unknown(self) -> None:
+        """The first instance may have received the request; then all are down.
 
-        The request may be committed at any later time, so "not run" would
-        be a guess.
+        The request may still be committed later, so the outcome is not "not
+        run".
         """
-        for loss in (LOST, errors.ProposalLost("Lost.")):
+        for loss in (TIMED_OUT, errors.ProposalLost("Lost.")):
             tries = []
 
             def script(
@@ -177,7 +176,7 @@
             ) -> list[Any]:
                 tries.append(address)
                 if len(tries) > 1:
-                    raise CUT
+                    raise UNREACHABLE
                 if isinstance(loss, errors.ProposalLost):
                     return [loss.failure() for _ in requests]
                 raise loss
@@ -188,9 +187,9 @@
             )
             self.assertEqual(errors.UNKNOWN, error.outcome)
 
-    def test_read_without_an_answer_changed_nothing(self) -> None:
+    def test_unanswered_read_is_reported_as_not_run(self) -> None:
         def script(address: str, requests: list[Any]) -> list[Any]:
-            raise LOST
+            raise TIMED_OUT
 
         client = self.client(script)
         self.assertRaises(
@@ -206,7 +205,7 @@
     ) -> None:
         def script(address: str, requests: list[Any]) -> list[Any]:
             if len(self.streams.asked) % 3:
-                raise LOST
+                raise TIMED_OUT
             return [identities.Done() for _ in requests]
 
         client = self.client(script)
@@ -243,7 +242,7 @@
         )
         self.assertThat(len(self.streams.asked), matchers.LessThan(10))
 
-    def test_histories_share_no_batch(self) -> None:
+    def test_each_history_has_its_own_batch(self) -> None:
         def script(address: str, requests: list[Any]) -> list[Any]:
             return [identities.Done() for _ in requests]
 
@@ -254,7 +253,7 @@
         sizes = [len(requests) for _, requests in self.streams.asked]
         self.assertEqual([1] * 5, sizes)
 
-    def test_gone_programs_are_asked_for_group_by_group(self) -> None:
+    def test_ended_programs_are_requested_from_each_group(self) -> None:
         names = [f"p{number}" for number in range(40)]
         silent = placement.group_of("p0", 4)
 
@@ -263,7 +262,7 @@
             groups = {placement.group_of(n, 4) for n in request.programs}
             self.assertEqual(1, len(groups))
             if silent in groups:
-                raise CUT
+                raise UNREACHABLE
             return [program_messages.ClosedPrograms(request.programs)]
 
         client = self.client(script)
--- a/testing/test_follower.py
+++ b/testing/test_follower.py
@@ -1,4 +1,4 @@
-"""What nodes see when control instances are lost, cut off or behind."""
+"""Nodes while control instances are lost, unreachable or behind."""
 
 from testing.fakes import config_links
 import testtools
@@ -19,7 +19,9 @@
     def version(self, node: config_links.follower.Follower) -> str:
         return node.manifest().services["chat"].version
 
-    def test_nodes_behind_every_instance_apply_and_hold_a_lease(self) -> None:
+    def test_nodes_of_every_instance_apply_the_manifest_and_have_a_lease(
+        self,
+    ) -> None:
         self.cluster.push(1, 0, "1")
         nodes = [self.cluster.node(f"entry-{n}") for n in range(8)]
         self.timers.advance(2.0)
@@ -30,12 +32,12 @@
         self.timers.advance(20.0)
         self.assertTrue(all(node.has_lease() for node in nodes))
 
-    def test_push_on_the_other_side_waits_for_the_cut_off_leader(self) -> None:
-        """The leader and one node are cut off; a new leader takes a push.
+    def test_push_after_a_partition_waits_for_the_old_leases(self) -> None:
+        """A partition separates the leader and one node from the others.
 
-        The old leader's node goes on at revision 1 until its lease ends, and
-        only then does the other side accept revision 2. At no time do two
-        nodes act on different revisions; the old leader accepts no push.
+        The separated node acts on revision 1 until its lease expires, and only
+        then does the new leader accept revision 2. Two nodes never act on
+        different revisions, and the old leader accepts no push.
         """
         self.cluster.push(0, 0, "1")
         old = self.cluster.node("entry-old", control=["control-0"])
@@ -66,13 +68,13 @@
         self.assertEqual("2", self.version(old))
         self.assertTrue(old.has_lease())
 
-    def test_node_behind_a_cut_off_relay_moves_before_its_lease_ends(
+    def test_node_of_an_unreachable_relay_moves_before_its_lease_ends(
         self,
     ) -> None:
-        """One control instance is cut off alone, without a word.
+        """One control instance becomes unreachable.
 
-        Its nodes notice that nothing is renewed, move to another instance
-        within their lease, and no caller is refused.
+        Its nodes get no renewals and move to another instance before their
+        leases expire, so that no caller is refused.
         """
         self.cluster.push(0, 0, "1")
         nodes = [self.cluster.node(f"entry-{n}") for n in range(8)]
@@ -85,13 +87,13 @@
             self.assertTrue(all(node.has_lease() for node in nodes))
         self.assertNotIn("control-2", {n.stream.address for n in nodes})
 
-    def test_cut_off_relay_and_node_are_out_of_lease_in_four_seconds(
+    def test_unreachable_relay_and_node_lose_their_lease_in_four_seconds(
         self,
     ) -> None:
-        """A relay is cut off together with its node, then a push comes.
+        """A partition separates a relay and its node; then there is a push.
 
-        The relay may pass on only what is left of its own lease. Four
-        seconds after the push was accepted no node acts on the old revision.
+        The relay may grant only the rest of its own lease. Four seconds after
+        the push was accepted, no node acts on the old revision.
         """
         self.cluster.push(0, 0, "1")
         node = self.cluster.node("entry-1", control=["control-2"])
@@ -103,13 +105,13 @@
         self.timers.advance(1.0)
         self.assertFalse(node.has_lease())
 
-    def test_nodes_that_cannot_be_asked_are_not_taken_for_up_to_date(
+    def test_nodes_of_an_unreachable_relay_are_reported_as_missing(
         self,
     ) -> None:
-        """A relay with a node is cut off right before a push.
+        """A relay with a node becomes unreachable right before a push.
 
-        The operator who asks for the status is told that the relay's nodes
-        are not known, until their leases have ended.
+        The status lists the relay as missing until the leases of its nodes
+        have expired.
         """
         self.cluster.push(0, 0, "1")
         self.cluster.node("entry-1", control=["control-2"])
@@ -125,7 +127,7 @@
         self.assertEqual([2], [n.revision for n in answer.nodes if n.lease > 0])
 
     def test_lower_revision_is_neither_applied_nor_renewed(self) -> None:
-        """An update of revision 1 reaches a node that applied 2."""
+        """A node that applied revision 2 gets an update of revision 1."""
         self.cluster.push(0, 0, "1")
         self.cluster.push(0, 1, "2")
         node = self.cluster.node("entry-1")
@@ -136,11 +138,11 @@
         self.assertEqual((2, before), (node.revision(), node.lease.expires))
         self.assertEqual("2", self.version(node))
 
-    def test_silent_leader_costs_no_node_its_lease(self) -> None:
-        """The leader falls silent and another one is elected 2.3 s later.
+    def test_nodes_keep_their_lease_when_the_leader_hangs(self) -> None:
+        """The leader hangs and another one is elected 2.3 s later.
 
-        Nodes of all three instances keep a lease all the time, so callers
-        see nothing of it.
+        The nodes of all three instances have a lease all the time, so that no
+        caller is refused.
         """
         self.cluster.push(0, 0, "1")
         nodes = [self.cluster.node(f"entry-{n}") for n in range(8)]
@@ -163,9 +165,9 @@
     def test_restarted_node_never_goes_back_to_an_older_revision(self) -> None:
         """A node that applied revision 2 restarts at an instance with 1.
 
-        That instance was cut off before the push. It cannot ask the leader,
-        so it hands out nothing; the node stays without lease and refuses,
-        until it reaches an instance that can ask.
+        That instance was unreachable during the push. It cannot reach the
+        leader, so it sends no revision. The node has no lease until it reaches
+        another instance.
         """
         self.cluster.push(0, 0, "1")
         self.timers.advance(1.0)
@@ -185,7 +187,7 @@
         self.assertTrue(node.has_lease())
 
     def test_node_500_revisions_behind_gets_one_update(self) -> None:
-        """A node is cut off while 500 pushes pass it by."""
+        """A node is unreachable during 500 pushes."""
         text = config_links.manifest_text("0", customers=200)
         leader = self.cluster.control[0]
         leader.ask(
@@ -214,11 +216,12 @@
         self.assertEqual(1, len(updates))
         self.assertEqual(["services/chat"], list(updates[0].sections))
 
-    def test_delayed_grant_does_not_stretch_the_lease(self) -> None:
-        """A grant is held up on the way for 3 of its 4 seconds.
+    def test_delayed_grant_does_not_extend_the_lease(self) -> None:
+        """A grant of 4 s arrives after 3 s.
 
-        Counted from its arrival it would let the node act for 3 s after the
-        granter gave the lease up; counted from the request it does not.
+        If the lease ran from the arrival of the grant, the node would act on
+        it for 3 s after the granter considers it expired. It runs from the
+        time of the request instead.
         """
         held = lease.Lease()
         held.renew(10.0, 4.0)
@@ -227,10 +230,10 @@
         self.assertEqual(1.0, held.left(13.0))
 
     def test_unreadable_update_is_not_applied_and_not_renewed(self) -> None:
-        """A newer release's manifest reaches an older node.
+        """A node of an older release gets a manifest of a newer one.
 
-        The node keeps its manifest and refuses new work truthfully once its
-        lease ends; it does not run on half of a manifest.
+        The node keeps its manifest and refuses new work once its lease
+        expires. It never applies a part of a manifest.
         """
         self.cluster.push(0, 0, "1")
         node = self.cluster.node("entry-1")
@@ -248,7 +251,7 @@
         self.assertEqual((1, before), (node.revision(), node.lease.expires))
         self.assertEqual("1", self.version(node))
 
-    def test_lost_instances_nodes_spread_over_the_others(self) -> None:
+    def test_nodes_of_a_lost_instance_spread_over_the_others(self) -> None:
         addresses = ["a", "b", "c", "d"]
         counts = dict.fromkeys(addresses[:3], 0)
         for number in range(900):
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar between real streams and the stand-ins."""
+"""Calls through a sidecar with real streams to emulated upstreams."""
 
 import testtools
 from testtools import matchers
@@ -14,7 +14,7 @@
 from mintcleat.standins import service
 
 
-def right_answer(prompt: list[str], limit: int = 16) -> str:
+def expected_answer(prompt: list[str], limit: int = 16) -> str:
     return "".join(batch.answer_tokens(prompt, limit))
 
 
@@ -25,10 +25,10 @@
         self.rig = service_rig.Rig(self.engine)
         self.addCleanup(self.rig.stop)
 
-    def test_whole_answer_is_committed_before_the_end_frame(self) -> None:
+    def test_whole_answer_is_committed_before_the_end_message(self) -> None:
         asked = service_rig.turn()
         text, end = self.rig.call(asked)
-        self.assertEqual(right_answer(asked.messages), text)
+        self.assertEqual(expected_answer(asked.messages), text)
         self.assertEqual(len(text), end.total)
         finished = self.rig.control.requests_of(program_messages.FinishCall)
         self.assertEqual([end.message.encode()], [f.answer for f in finished])
@@ -46,7 +46,7 @@
         )
         text, end = self.rig.call(second)
         prompt = [*first.messages, answer, *second.messages]
-        self.assertEqual(right_answer(prompt), text)
+        self.assertEqual(expected_answer(prompt), text)
         self.assertThat(end.usage.cached_tokens, matchers.GreaterThan(0))
 
     def test_missing_history_is_asked_for_and_checked(self) -> None:
@@ -57,9 +57,9 @@
         self.assertEqual(call_messages.NeedHistory(0), need)
         history = [identities.Turn(1, added, digest)]
         text, _ = self.rig.call(asked._replace(history=history))
-        self.assertEqual(right_answer([*added, *asked.messages]), text)
+        self.assertEqual(expected_answer([*added, *asked.messages]), text)
 
-    def test_history_of_another_program_is_refused(self) -> None:
+    def test_history_with_a_wrong_digest_is_refused(self) -> None:
         history = [identities.Turn(1, [service_rig.user("x")], b"w" * 16)]
         asked = service_rig.turn(
             base_turn=1, base_digest=b"w" * 16, history=history
@@ -73,7 +73,7 @@
         first = self.rig.open(asked)
         first.receive(5.0)
         text, _ = self.rig.call(asked)
-        self.assertEqual(right_answer(asked.messages), text)
+        self.assertEqual(expected_answer(asked.messages), text)
         self.assertThat(self.engine.runs, matchers.HasLength(1))
 
     def test_attach_gets_the_answer_from_its_start(self) -> None:
@@ -81,14 +81,13 @@
         self.rig.open(asked).receive(5.0)
         attach = call_messages.AttachAttempt("p", "", "k1", 1, service_rig.NODE)
         text, _ = self.rig.call(attach)
-        self.assertEqual(right_answer(asked.messages), text)
+        self.assertEqual(expected_answer(asked.messages), text)
 
     def test_sealed_attempt_never_runs(self) -> None:
-        """A frame comes late.
+        """A request arrives after its attempt was sealed.
 
-        The entry lost its connection and sealed the attempt; then the frame
-        that it had sent before arrives. The caller was told "not run", so
-        the engine must not see it.
+        The entry lost its connection, sealed the attempt and reported "not
+        run" to the caller. Then the request arrives that it had sent before.
         """
         seal = call_messages.SealAttempt("p", "", "k1", 1, service_rig.NODE)
         _, sealed = self.rig.call(seal)
@@ -100,7 +99,7 @@
     def test_call_without_program_is_not_committed(self) -> None:
         asked = service_rig.turn(program="", attempt=0)
         text, _ = self.rig.call(asked)
-        self.assertEqual(right_answer(asked.messages), text)
+        self.assertEqual(expected_answer(asked.messages), text)
         self.assertEqual([], self.rig.control.requests)
 
 
@@ -118,18 +117,20 @@
         self.assertEqual(first.body, second.body)
         self.assertEqual({("p-k1", "/book"): 1}, dict(self.service.runs))
 
-    def test_other_incarnation_tells_that_it_cannot_know(self) -> None:
-        """The sidecar restarted between the grant and the run.
+    def test_attempt_of_an_earlier_incarnation_has_an_unknown_outcome(
+        self,
+    ) -> None:
+        """The sidecar restarted between the grant and the request.
 
-        What its former life did with the attempt is gone, so neither "not
-        run" nor a second run would be right.
+        The former incarnation may have run the attempt, so neither "not run"
+        nor a second run would be correct.
         """
         old = identities.Incarnation("side-1", 0)
         _, end = self.rig.call(service_rig.tool(sidecar=old))
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
         self.assertEqual({}, dict(self.service.runs))
 
-    def test_dead_service_is_a_true_not_run(self) -> None:
+    def test_unreachable_service_is_reported_as_not_run(self) -> None:
         self.service.stop()
         _, end = self.rig.call(service_rig.tool())
         self.assertEqual(errors.NOT_RUN, end.failure.outcome)
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -1,4 +1,4 @@
-"""Upstreams and control that fail while a sidecar runs calls."""
+"""Failures of upstreams and control while a sidecar runs calls."""
 
 import eventlet
 from eventlet import event
@@ -25,11 +25,11 @@
         self.rig = service_rig.Rig(self.engine)
         self.addCleanup(self.rig.stop)
 
-    def test_cut_stream_is_resumed_where_it_broke(self) -> None:
-        """The engine's connection breaks twice in the middle of an answer.
+    def test_lost_stream_is_resumed_at_its_offset(self) -> None:
+        """The connection to the engine is lost twice during an answer.
 
-        The engine goes on generating; the caller gets every token once, and
-        the engine has run the call once.
+        The engine continues to generate. The caller gets every token once, and
+        the engine runs the call once.
         """
         self.engine.cuts = 2
         asked = service_rig.turn()
@@ -39,11 +39,11 @@
         self.assertEqual(len(expected), end.total)
         self.assertThat(self.engine.runs, matchers.HasLength(1))
 
-    def test_answer_that_lost_a_piece_is_not_passed_as_whole(self) -> None:
-        """A token is lost between engine and sidecar, without a sign.
+    def test_incomplete_answer_is_not_reported_as_finished(self) -> None:
+        """A token is lost between the engine and the sidecar.
 
-        The stream ends as usual; only the engine's count of characters
-        tells. The caller must not get the answer as a whole one.
+        The stream ends as usual. Only the length that the engine reports shows
+        the loss.
         """
         self.engine.skips = 1
         _, end = self.rig.call(service_rig.turn())
@@ -52,12 +52,12 @@
             [], self.rig.control.requests_of(program_messages.FinishCall)
         )
 
-    def test_crash_is_reported_before_any_caller_hears(self) -> None:
-        """A request kills its engine while another one stands beside it.
+    def test_crash_is_reported_before_callers_get_the_error(self) -> None:
+        """A request crashes its engine while another one is running.
 
-        Both were in flight, so both are suspects. Neither caller hears of
-        the crash before the report is committed: a resend would be run
-        elsewhere without suspicion.
+        Both were in flight, so both are suspects. Callers get the error only
+        after the report is committed. Otherwise a retry would run elsewhere
+        before the request is known as a suspect.
         """
         self.engine.crash_on = "poison"
         self.rig.directory.held = event.Event()
@@ -84,10 +84,10 @@
             _, end = service_rig.read_rest(exchange)
             self.assertEqual(errors.UNKNOWN, end.failure.outcome)
 
-    def test_cut_connection_alone_is_no_crash(self) -> None:
-        """The stream breaks and can't be resumed, but the engine lives.
+    def test_lost_connection_alone_is_not_reported_as_a_crash(self) -> None:
+        """The stream is lost and can't be resumed, but the engine is up.
 
-        The request must not become a suspect for a fault of the network.
+        A network fault must not make the request a suspect.
         """
         self.engine.options = self.engine.options._replace(resume=False)
         self.engine.cuts = 1
@@ -95,7 +95,7 @@
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
         self.assertEqual([], self.rig.directory.asked)
 
-    def test_broken_non_idempotent_call_is_settled_as_unknown(self) -> None:
+    def test_failed_non_idempotent_call_is_settled_as_unknown(self) -> None:
         self.engine.crash_on = "asks"
         _, end = self.rig.call(service_rig.turn(idempotent=False))
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
@@ -110,8 +110,8 @@
     def test_end_waits_for_the_commit(self) -> None:
         """Control has no leader when the engine has finished.
 
-        The answer is whole, but until it is recorded a resend could make
-        another one; the end frame waits and the report is repeated.
+        Until the answer is committed, a resent call could produce another one.
+        The end message is delayed and the commit is retried.
         """
         self.rig.control.failure = errors.OutcomeUnknown("No leader.")
         exchange = self.rig.open(service_rig.turn())
@@ -128,10 +128,10 @@
     def test_refused_commit_does_not_claim_that_the_call_did_not_run(
         self,
     ) -> None:
-        """The program is closed while the engine answers.
+        """The program is closed while the engine generates the answer.
 
-        The group refuses the answer with its usual "not run", which is about
-        the commit. The engine has run the call, and the caller is told so.
+        The group refuses the commit with outcome "not run", which is about the
+        commit only. The caller must learn that the call ran.
         """
         self.rig.control.failure = errors.ProgramClosed("Closed.")
         _, end = self.rig.call(service_rig.turn())
@@ -139,10 +139,10 @@
         self.assertEqual(errors.RAN, end.failure.outcome)
 
     def test_suspect_waits_while_another_suspect_runs(self) -> None:
-        """Two suspects come together.
+        """Two suspects arrive at the same time.
 
-        Side by side a further crash would tell nothing; one after the other
-        it convicts one of them.
+        They run one after the other, so that a further crash shows which one
+        is the cause.
         """
         digests = [b"1" * 16, b"2" * 16]
         self.rig.directory.suspects.update(digests)
@@ -174,11 +174,11 @@
         )
         return self.rig.client.ask(self.rig.server.address, order, 5.0)
 
-    def test_old_order_stops_at_the_sidecar(self) -> None:
-        """A deposed leader's order comes late; the engine checks nothing.
+    def test_superseded_order_is_rejected_by_the_sidecar(self) -> None:
+        """An earlier leader's order arrives late at a restarted sidecar.
 
-        The sidecar is new and has seen no order, so it reads the highest
-        number first and drops what lies below.
+        The engine does not check fencing tokens. The sidecar has seen no order
+        yet, so it reads the highest committed token first.
         """
         self.rig.directory.fencing_token = 9
         self.assertRaises(errors.FencedOff, self.order, 8)
@@ -186,17 +186,17 @@
         self.order(9)
         self.assertThat(self.engine.orders, matchers.HasLength(1))
 
-    def test_repeated_order_is_carried_out_once(self) -> None:
+    def test_repeated_order_is_executed_once(self) -> None:
         self.order(3)
         self.order(3)
         self.assertThat(self.engine.orders, matchers.HasLength(1))
         self.assertEqual("model-2", self.rig.sidecar.announcement().model)
 
-    def test_copy_of_an_order_under_way_is_not_carried_out_again(self) -> None:
-        """A load takes long and its leader is lost; the next one resends it.
+    def test_copy_of_a_running_order_is_not_executed_again(self) -> None:
+        """A leader is lost during a long load; the next one resends the order.
 
-        The copy comes while the first is being carried out. Both leaders
-        are told that it is done, and the engine saw one order.
+        The copy arrives while the order is being executed. Both leaders get
+        the result, and the engine gets one order.
         """
         execute_order = self.rig.sidecar.orders.upstream.execute_order
 
@@ -221,11 +221,11 @@
     def assert_ran_once(self) -> None:
         self.assertEqual({("p-k1", "/book"): 1}, dict(self.service.runs))
 
-    def test_hung_tool_ends_at_its_deadline_with_unknown(self) -> None:
-        """The service books the part and never answers.
+    def test_hanging_tool_call_ends_at_its_deadline_as_unknown(self) -> None:
+        """The service executes the request and never answers.
 
-        The caller gets a typed end; a resend does not book again, because
-        the attempt is known and its outcome recorded.
+        The caller gets an error at the deadline. A resent call does not run
+        again, since the attempt is known and its outcome committed.
         """
         self.service.hang = True
         asked = service_rig.tool(deadline=0.1)
@@ -239,7 +239,9 @@
         self.assertEqual(errors.UNKNOWN, again.failure.outcome)
         self.assert_ran_once()
 
-    def test_service_that_dies_after_the_run_is_unknown(self) -> None:
+    def test_service_crash_during_a_call_leaves_the_outcome_unknown(
+        self,
+    ) -> None:
         self.service.die_after_run = True
         _, end = self.rig.call(service_rig.tool())
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
@@ -247,7 +249,7 @@
         (report,) = self.rig.directory.asked
         self.assertIsInstance(report, member_messages.ReportCrash)
 
-    def test_stale_configuration_serves_only_what_may_be_repeated(
+    def test_without_a_lease_only_idempotent_calls_are_served(
         self,
     ) -> None:
         directory = self.rig.directory
@@ -259,7 +261,9 @@
         _, end = self.rig.call(service_rig.tool())
         self.assertEqual("lease_expired", end.failure.kind)
 
-    def test_dead_service_is_announced_and_comes_back(self) -> None:
+    def test_service_is_announced_as_down_and_as_ready_after_a_restart(
+        self,
+    ) -> None:
         self.service.crash()
         self.rig.sidecar.monitor.probe()
         self.assertEqual("down", self.rig.sidecar.announcement().state)
--- a/testing/test_sidecar_memory.py
+++ b/testing/test_sidecar_memory.py
@@ -1,4 +1,4 @@
-"""Engine memory: the ledger, renewal, release."""
+"""The engine's prefix cache: ledger, renewal and eviction."""
 
 import hypothesis
 from hypothesis import strategies
@@ -21,18 +21,18 @@
         self.rig = service_rig.Rig(self.engine)
         self.addCleanup(self.rig.stop)
 
-    def held(self) -> int:
+    def cached_tokens(self) -> int:
         return self.engine.cache.used
 
-    def assert_freed(self) -> None:
-        self.rig.wait_until(lambda: not self.held())
+    def assert_cache_becomes_empty(self) -> None:
+        self.rig.wait_until(lambda: not self.cached_tokens())
         self.assertEqual({}, dict(self.engine.cache.totals))
 
-    def test_closed_program_is_released(self) -> None:
+    def test_closed_program_is_evicted(self) -> None:
         self.rig.call(service_rig.turn())
-        self.assertThat(self.held(), matchers.GreaterThan(0))
+        self.assertThat(self.cached_tokens(), matchers.GreaterThan(0))
         self.rig.control.open_programs = set()
-        self.assert_freed()
+        self.assert_cache_becomes_empty()
 
     def test_open_program_is_kept(self) -> None:
         self.rig.control.open_programs = {"p"}
@@ -40,25 +40,25 @@
         self.rig.call(service_rig.turn("p"))
         self.rig.wait_until(lambda: set(self.engine.cache.totals) == {"p"})
 
-    def test_program_of_a_lost_event_is_released(self) -> None:
-        """The engine holds a program that the sidecar never heard of.
+    def test_program_of_a_lost_event_is_evicted(self) -> None:
+        """The cache holds a program whose events the sidecar did not get.
 
-        Its events are lost, as after a restart of the sidecar. The gap in
-        the numbers makes the ledger unsure, and the listing finds it.
+        This happens after a restart of the sidecar. The gap in the sequence
+        numbers makes the ledger unsure, and the listing includes the program.
         """
         self.engine.hidden.add("hidden")
         self.engine.cache.store("hidden", [service_rig.user("x" * 100)])
         self.engine.cache.store("seen", [service_rig.user("y" * 100)])
         self.rig.control.open_programs = set()
-        self.assert_freed()
+        self.assert_cache_becomes_empty()
 
-    def test_program_closed_while_it_runs_is_stopped_and_released(
+    def test_program_closed_during_a_turn_is_cancelled_and_evicted(
         self,
     ) -> None:
-        """A program is closed while the engine works on its turn.
+        """A program is closed while the engine runs its turn.
 
-        Nobody will read the answer: the engine stops, and what it has
-        cached for the program is freed.
+        The turn is cancelled, since its answer is no longer needed, and the
+        program is evicted from the cache.
         """
         long = service_rig.turn(parameters='{"max_tokens":100000}')
         exchange = self.rig.open(long)
@@ -67,13 +67,13 @@
         self.engine.cache.store("p", long.messages)
         _, end = service_rig.read_rest(exchange)
         self.assertEqual("program_closed", end.failure.kind)
-        self.assert_freed()
+        self.assert_cache_becomes_empty()
 
-    def test_new_life_releases_what_the_last_one_left(self) -> None:
-        """A sidecar dies without a stop and its successor starts.
+    def test_restarted_sidecar_evicts_programs_closed_meanwhile(self) -> None:
+        """A sidecar crashes, and programs are closed before it restarts.
 
-        The programs were closed in between, so no group names them any
-        more; what the engine lists and no group knows goes.
+        No group knows these programs any more. The new process finds them in
+        the engine's listing.
         """
         self.rig.call(service_rig.turn())
         self.rig.sidecar.options = self.rig.sidecar.options._replace(
@@ -84,16 +84,18 @@
             self.engine, node=identities.Incarnation("side-1", 2)
         )
         self.addCleanup(later.stop)
-        self.assertThat(self.held(), matchers.GreaterThan(0))
+        self.assertThat(self.cached_tokens(), matchers.GreaterThan(0))
         later.control.open_programs = set()
-        self.assert_freed()
+        self.assert_cache_becomes_empty()
 
-    def test_planned_stop_releases_everything(self) -> None:
+    def test_planned_stop_evicts_everything(self) -> None:
         self.rig.call(service_rig.turn())
         self.assertEqual(0, self.rig.sidecar.stop(1.0))
-        self.assertEqual(0, self.held())
+        self.assertEqual(0, self.cached_tokens())
 
-    def test_restarted_engine_is_followed_from_its_start(self) -> None:
+    def test_events_of_a_restarted_engine_are_followed_from_its_start(
+        self,
+    ) -> None:
         self.rig.call(service_rig.turn())
         memory = self.rig.sidecar.cache_manager
         self.rig.wait_until(lambda: memory.ledger.seq)
@@ -103,8 +105,8 @@
         self.rig.wait_until(lambda: set(memory.ledger.tokens) == {"q"})
 
 
-# Program, tokens, whether the event arrives, whether a batch ends there.
-# Most arrive and few batches end, so that gaps lie inside of batches too.
+# Program, tokens, whether the event arrives, whether a batch ends with it. Most
+# events arrive and few batches end, so that gaps occur within batches too.
 EVENTS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from("abc"),
@@ -153,12 +155,12 @@
 
 
 class PressureTest(testtools.TestCase):
-    def test_full_memory_puts_out_what_comes_back_last(self) -> None:
-        """More programs than the engine's memory holds.
+    def test_full_cache_evicts_programs_that_return_last(self) -> None:
+        """The programs exceed the engine's cache.
 
-        The sidecar frees paused caches itself before the engine, which
-        knows nothing of pauses, evicts what is needed next; a program that
-        was put out still gets its right answer.
+        The sidecar evicts paused programs before the engine, which knows
+        nothing of pauses, evicts those that are needed next. An evicted
+        program still gets a correct answer.
         """
         options = engine_faults.slow(0.001)._replace(memory=600)
         engine = engine_faults.FaultyEngine(options)
@@ -174,7 +176,7 @@
         self.assertThat(memory.ledger.total(), matchers.LessThan(541))
         self.assertThat(engine.cache.used, matchers.LessThan(601))
 
-    def test_shortened_cache_keeps_its_beginning(self) -> None:
+    def test_truncated_prefix_keeps_its_beginning(self) -> None:
         blocks = cache.PrefixCache(1000)
         said = [service_rig.user(f"{n}" * 100) for n in range(4)]
         blocks.store("p", said)
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -1,4 +1,4 @@
-"""Waiting, sealing, deadlines, cancelling and draining at the sidecar."""
+"""Queueing, sealing, deadlines, cancellation and draining at a sidecar."""
 
 import testtools
 from testtools import matchers
@@ -12,12 +12,12 @@
 from mintcleat.domain import program_messages
 from mintcleat.standins import batch
 
-# An answer that only a cancel ends within a test.
+# Parameters of an answer that does not end within a test unless cancelled.
 LONG = '{"max_tokens":100000}'
 
 
 class QueueTest(testtools.TestCase):
-    """The engine takes one call at a time."""
+    """The engine runs one call at a time."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -27,22 +27,22 @@
         self.addCleanup(self.rig.stop)
 
     def occupy(self) -> object:
-        """Starts a call that holds the one slot."""
+        """Starts a call that occupies the only slot."""
         exchange = self.rig.open(service_rig.turn("first"))
         exchange.receive(5.0)
         return exchange
 
-    def test_waiting_call_runs_when_its_turn_comes(self) -> None:
+    def test_queued_call_runs_when_the_slot_is_free(self) -> None:
         self.occupy()
         text, end = self.rig.call(service_rig.turn("second"))
         self.assertIsInstance(end, call_messages.AttemptFinished)
         self.assertEqual(len(text), end.total)
 
     def test_history_dropped_while_waiting_is_still_answered(self) -> None:
-        """A call waits with its history; meanwhile the history is dropped.
+        """The stored history of a queued call is dropped for other programs.
 
-        Other programs need the room. The engine must get the conversation
-        as it was checked at the arrival, not what is left of it.
+        The engine must get the conversation as it was checked when the call
+        arrived.
         """
         added = [service_rig.user("old"), batch.answer_message("yes")]
         digest = digests.chain(b"", added)
@@ -62,10 +62,10 @@
         self.assertEqual("".join(batch.answer_tokens(whole, 16)), text)
 
     def test_sealed_while_waiting_never_runs(self) -> None:
-        """An entry gives up on a call that still waits.
+        """An entry seals a call that is still queued.
 
-        The sidecar says `never`, so the entry may tell "not run" or run the
-        call elsewhere; the call must then not start when the slot is free.
+        After the reply `never`, the entry may report "not run" or run the call
+        elsewhere, so the call must not start when the slot is free.
         """
         first = self.occupy()
         waiting = self.rig.open(service_rig.turn("second"))
@@ -83,10 +83,10 @@
         self.assertEqual(["first", "third"], ran)
 
     def test_sealed_between_admission_and_start_never_runs(self) -> None:
-        """The seal comes in the instant after the slot became free.
+        """The seal arrives right after the slot became free.
 
-        The gate has let the call go, but its green thread has not run yet.
-        The seal answers `never`, so the call must not start any more.
+        The call is admitted, but its green thread has not resumed yet. The
+        reply to the seal is `never`, so the call must not start.
         """
         first = self.occupy()
         waiting = self.rig.open(service_rig.turn("second"))
@@ -111,7 +111,9 @@
         ran = [run.program for run in self.engine.runs]
         self.assertEqual(["first", "third"], ran)
 
-    def test_deadline_that_the_queue_would_miss_is_a_true_not_run(self) -> None:
+    def test_call_that_would_miss_its_deadline_is_refused_as_not_run(
+        self,
+    ) -> None:
         self.occupy()
         _, end = self.rig.call(service_rig.turn("late", deadline=0.02))
         self.assertEqual("deadline_unmet", end.failure.kind)
@@ -119,11 +121,11 @@
         self.assertEqual("never", self.rig.sidecar.attempts.state("late", 1))
         self.assertThat(self.engine.runs, matchers.HasLength(1))
 
-    def test_drain_hands_back_what_waits_and_finishes_what_runs(self) -> None:
-        """A planned stop begins while one call runs and one waits.
+    def test_drain_refuses_queued_calls_and_finishes_running_ones(self) -> None:
+        """A planned stop begins while one call runs and one is queued.
 
-        The waiting one is refused at once, so that its entry can place it
-        elsewhere; the running one gets its whole answer.
+        The queued call is refused at once, so that its entry can place it
+        elsewhere. The running call gets its whole answer.
         """
         first = self.occupy()
         waiting = self.rig.open(service_rig.turn("second"))
@@ -137,11 +139,11 @@
 
 
 class LimitTest(testtools.TestCase):
-    def test_one_token_answers_do_not_close_the_gate(self) -> None:
-        """A probe asks for a single token, then normal calls follow.
+    def test_one_token_answers_do_not_lower_the_concurrency_limit(self) -> None:
+        """A probe requests a single token, then normal calls follow.
 
-        A single token has no pace. Taken for one, it would make every
-        normal answer look slow, and the limit would fall to one call.
+        Counted as a sample of the pace, a single token would make every normal
+        answer look slow, and the limit would fall to one call.
         """
         options = engine_faults.slow(0.002, slots=8)
         rig = service_rig.Rig(engine_faults.FaultyEngine(options))
@@ -163,7 +165,9 @@
         (sequence,) = self.engine.sequences.values()
         return sequence.reason
 
-    def test_call_without_program_stops_with_its_caller(self) -> None:
+    def test_call_without_program_is_cancelled_when_its_caller_leaves(
+        self,
+    ) -> None:
         asked = service_rig.turn("", attempt=0, parameters=LONG)
         exchange = self.rig.open(asked)
         exchange.receive(5.0)
@@ -171,11 +175,11 @@
         self.rig.wait_until(self.reason)
         self.assertEqual("cancelled", self.reason())
 
-    def test_committed_call_goes_on_without_its_entry(self) -> None:
-        """The entry dies while the engine streams.
+    def test_call_of_a_program_continues_without_its_entry(self) -> None:
+        """The entry crashes while the engine generates.
 
-        Its caller will send the call again through another entry, so the
-        answer must be finished and recorded.
+        The caller will send the call again through another entry, so the
+        answer must be completed and committed.
         """
         exchange = self.rig.open(service_rig.turn())
         exchange.receive(5.0)
@@ -185,7 +189,7 @@
         )
         self.assertThat(finished, matchers.HasLength(1))
 
-    def test_cancelled_attempt_stops_at_the_engine(self) -> None:
+    def test_cancelled_attempt_is_cancelled_at_the_engine(self) -> None:
         exchange = self.rig.open(service_rig.turn(parameters=LONG))
         exchange.receive(5.0)
         exchange.send(call_messages.CancelAttempt("p", 1))
@@ -210,7 +214,7 @@
         self.assertEqual(errors.UNKNOWN, end.failure.outcome)
         self.assertEqual("cancelled", self.reason())
 
-    def test_stop_limit_tells_the_cut_calls_that_the_outcome_is_unknown(
+    def test_calls_cut_off_by_a_stop_have_an_unknown_outcome(
         self,
     ) -> None:
         exchange = self.rig.open(service_rig.turn(parameters=LONG))
@@ -233,10 +237,10 @@
         self.assertEqual(errors.NOT_RUN, end.failure.outcome)
 
     def test_refused_attempt_is_sealed_for_every_later_copy(self) -> None:
-        """A refusal, then a late copy of the same frame.
+        """A copy of a refused request arrives after the reason has passed.
 
-        The entry tells its caller "not run" on the refusal. When the reason
-        has passed and the copy comes, the sidecar must still not run it.
+        On the refusal the entry reported "not run" to the caller, so the copy
+        must not run either.
         """
         self.rig.directory.lease = False
         self.assert_refused("lease_expired")
@@ -253,7 +257,7 @@
         self.rig.directory.quarantine.add(b"d" * 16)
         self.assert_refused("quarantined")
 
-    def test_drained_by_an_operator_refuses(self) -> None:
+    def test_sidecar_drained_by_an_operator_refuses(self) -> None:
         self.rig.directory.drained = True
         self.assert_refused("draining")
 
@@ -261,19 +265,19 @@
         self.rig.directory.duplicate = True
         self.assert_refused("draining")
 
-    def test_parameters_that_are_no_json_are_refused(self) -> None:
+    def test_parameters_that_are_not_json_are_refused(self) -> None:
         _, end = self.rig.call(service_rig.turn(parameters="{"))
         self.assertEqual("bad_request", end.failure.kind)
 
-    def test_dead_engine_refuses(self) -> None:
+    def test_sidecar_of_a_crashed_engine_refuses(self) -> None:
         self.engine.crash()
         self.assert_refused("no_upstream")
 
-    def test_forgotten_attempt_is_unknown_and_not_never(self) -> None:
-        """An entry asks about an attempt long after it ran.
+    def test_dropped_attempt_is_unknown_and_not_never(self) -> None:
+        """An entry seals an attempt long after it ran.
 
-        The sidecar has dropped its state to bound its memory. Saying `never`
-        would let a booking be made twice.
+        The sidecar has dropped its state to bound its memory. If it replied
+        `never`, the call would run twice.
         """
         self.rig.call(service_rig.turn(attempt=7))
         table = self.rig.sidecar.attempts
