--- a/src/mintcleat/roles/control_client.py
+++ b/src/mintcleat/roles/control_client.py
@@ -23,8 +23,8 @@
 # takes some hundred milliseconds, and more frequent requests only delay it.
 MIN_BACKOFF = 0.02
 MAX_BACKOFF = 0.1
-# Seconds during which an instance that did not answer is tried last. This is
-# about the time of a failover; after it, the instance may be back.
+# Seconds for which an instance that did not answer is tried last. This is about
+# the time of a failover, after which it may be available again.
 UNRESPONSIVE_SECONDS = 2.0
 # Encoding and decoding a message blocks the event loop. These limits keep that
 # below a few milliseconds.
--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -220,10 +220,10 @@
             self.gate.learn(self.read_fencing_token())
         self.gate.admit(order.fencing_token)
         with self.lock:
-            self._carry_out(order)
+            self._execute(order)
         exchange.send(identities.Done(order.model))
 
-    def _carry_out(self, order: config_messages.Order) -> None:
+    def _execute(self, order: config_messages.Order) -> None:
         # Checked again: while this order waited for the lock, a newer one may
         # have arrived, or a copy of this one may have been executed.
         if not self.gate.admit(order.fencing_token):
@@ -248,6 +248,7 @@
         while self.upstream.is_busy():
             if self.timers.now() >= deadline:
                 raise errors.Draining(
-                    f"Calls still ran {IDLE_TIMEOUT:g} s after the order came."
+                    f"Calls still ran after {IDLE_TIMEOUT:g} s; the order was"
+                    " not executed."
                 )
             self.timers.sleep(IDLE_POLL_SECONDS)
--- a/src/mintcleat/roles/sidecar/crashes.py
+++ b/src/mintcleat/roles/sidecar/crashes.py
@@ -46,7 +46,7 @@
 class CrashReporter:
     """Tracks requests in flight and reports each crash to control.
 
-    A caller gets the error of a lost call only after the crash is reported.
+    A caller gets the error of a lost call only after a try to report the crash.
     Otherwise its retry could crash a second upstream while the request is not
     yet a suspect, among other requests, and that crash would not show which
     request was the cause.
@@ -54,8 +54,8 @@
     Attributes:
         monitor: Probes the upstream.
         in_flight: Requests at the upstream by request id.
-        local_suspects: Suspects of this upstream's own crashes, while
-            control cannot be told or has not yet distributed them.
+        local_suspects: Suspects of this upstream's crashes that control has
+            not yet accepted or distributed.
     """
 
     def __init__(
@@ -94,7 +94,8 @@
     def connection_lost(self, request_id: str) -> None:
         """Handles the lost connection of a request.
 
-        If the upstream has crashed, blocks until a report was sent.
+        After a crash of the upstream, blocks until the report is accepted or
+        the first try to send it has failed; further tries do not block.
         """
         digests = self._take_crashed(request_id)
         if digests:
@@ -116,6 +117,7 @@
         if self.monitor.read_life() == lost.life:
             self.end(request_id)
             return []
+        # Checked again, since another call may report while the probe blocks.
         if request_id not in self.in_flight:
             return []
         concurrent = {
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -24,7 +24,7 @@
 _ASK_TIMEOUT = 5.0
 # Length of a program id that an entry generated.
 _RENEWAL_BYTES = 36
-# Seconds for which the engine may hold a request for events.
+# Long-poll timeout of a request for cache events.
 _EVENT_WAIT = 1.0
 # Seconds between two requests for cache events. Without a pause there would be
 # a request per turn; the delay does no harm, since the engine's events are late
--- a/src/mintcleat/roles/sidecar/monitor.py
+++ b/src/mintcleat/roles/sidecar/monitor.py
@@ -77,7 +77,7 @@
         upstream_state: State of the upstream at the last probe.
         life: Number of the upstream's process at the last probe; 0 if it was
             down.
-        ordering: Whether an order is being executed.
+        executing_order: Whether an order is being executed.
         draining: Whether this sidecar was asked to refuse new work.
         info: The latest properties of a model engine.
         free_memory: Free tokens of the engine's cache at the last probe.
@@ -106,7 +106,7 @@
         self.is_model = options.kind == "model"
         self.upstream_state = LOADING
         self.life = 0
-        self.ordering = False
+        self.executing_order = False
         self.draining = False
         self.info = _UNKNOWN_ENGINE
         self.free_memory = 0
@@ -149,7 +149,7 @@
         """Returns the state that is announced."""
         if self.is_draining():
             return DRAINING
-        return LOADING if self.ordering else self.upstream_state
+        return LOADING if self.executing_order else self.upstream_state
 
     def is_draining(self) -> bool:
         """Returns whether this sidecar refuses new work to drain."""
@@ -193,12 +193,12 @@
 
     def begin_order(self) -> None:
         """Refuses new work until `end_order`."""
-        self.ordering = True
+        self.executing_order = True
         self.directory.announce()
 
     def end_order(self) -> None:
         """Probes the upstream after an order and announces its state."""
-        self.ordering = False
+        self.executing_order = False
         self.probe()
         self.directory.announce()
 
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -433,7 +433,7 @@
         match self.attempts.state(scope, number):
             case sidecar_attempts.NEVER:
                 failure = errors.Draining(
-                    "The attempt was sealed before it ran."
+                    "The attempt was refused or sealed here."
                 )
                 return call_messages.AttemptRefused(
                     number, failure.failure(), self.load()
@@ -446,7 +446,7 @@
                 )
             case _:
                 failure = errors.OutcomeUnknown(
-                    "The call may have run; its state is no longer kept here."
+                    "The call may have run; its outcome is unknown here."
                 )
         return call_messages.AttemptFailed(number, failure.failure())
 
--- a/testing/fakes/engine_faults.py
+++ b/testing/fakes/engine_faults.py
@@ -1,4 +1,4 @@
-"""An emulated model engine with fault injection."""
+"""The model engine of `standins` with fault injection."""
 
 from collections.abc import Iterator
 from typing import Any
--- a/testing/fakes/service_faults.py
+++ b/testing/fakes/service_faults.py
@@ -1,4 +1,4 @@
-"""An emulated plain service with fault injection."""
+"""The plain service of `standins` with fault injection."""
 
 from typing import Any
 
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -122,7 +122,7 @@
 
 
 class Rig:
-    """One sidecar with real streams and an emulated upstream."""
+    """One sidecar with real streams and an upstream of `standins`."""
 
     def __init__(
         self,
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -1,4 +1,4 @@
-"""Calls through a sidecar with real streams to emulated upstreams."""
+"""Calls through a sidecar over real streams to the upstreams of `standins`."""
 
 import testtools
 from testtools import matchers
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -200,8 +200,8 @@
     def test_deadline_ends_a_running_call(self) -> None:
         """The engine generates far longer than the caller's deadline.
 
-        The caller gets a typed end in time, the engine stops, and nobody is
-        told that the call did not run.
+        The caller gets an error in time whose outcome is not "not run", and
+        the call is cancelled at the engine.
         """
         exchange = self.rig.open(
             service_rig.turn(parameters=LONG, deadline=30.0)
