--- a/src/mintcleat/roles/control_client.py
+++ b/src/mintcleat/roles/control_client.py
@@ -1,4 +1,4 @@
-"""Asks program groups: finds leaders, follows redirects, retries."""
+"""Client of the program groups: finds leaders, batches and retries requests."""
 
 import math
 import secrets
@@ -16,37 +16,45 @@
 from mintcleat.programs import commands
 from mintcleat.programs import placement
 
-# A leader behind a silent partition never answers; after this long the next
-# control instance is asked. Above the service's own wait for a commit.
-TRY_SECONDS = 2.0
-# Pauses between rounds in which no instance knew a leader: an election takes
-# some hundred milliseconds, and asking faster only delays it.
-FIRST_PAUSE = 0.02
-LAST_PAUSE = 0.1
-# For so long an instance that did not answer is asked last. About the time
-# of a failover; after it, the instance may be back.
-SILENT_SECONDS = 2.0
-# One message holds the loop of both sides while it is coded; these keep that
+# Seconds after which the next control instance is tried. A leader that is cut
+# off never answers. Longer than the service itself waits for a commit.
+TRY_TIMEOUT = 2.0
+# Seconds between two rounds in which no instance knew a leader. An election
+# takes some hundred milliseconds, and more frequent requests only delay it.
+MIN_BACKOFF = 0.02
+MAX_BACKOFF = 0.1
+# Seconds for which an instance that did not answer is tried last. This is about
+# the time of a failover, after which it may be available again.
+UNRESPONSIVE_SECONDS = 2.0
+# Encoding and decoding a message blocks the event loop. These limits keep that
 # below a few milliseconds.
 MAX_BATCH_ITEMS = 256
 MAX_BATCH_BYTES = 1024 * 1024
-# Batches under way to one leader and group. Two let one be coded while the
-# other waits for its sync; more would only make the batches smaller.
+# Concurrent batches to one leader and group. With two, one is encoded while the
+# other waits for the disk; more would only make the batches smaller.
 MAX_IN_FLIGHT = 2
 
 
-class Pending(NamedTuple):
-    """A request that waits for its reply; equal only to itself."""
+class PendingRequest(NamedTuple):
+    """An encoded request that waits for its reply.
+
+    Each `reply` is a new event, so no two requests are equal.
+    """
 
     item: bytes
     reply: event.Event
 
 
-class Line:
-    """Requests to one leader and group, coalesced into batches.
+class BatchChannel:
+    """Sends requests to one leader and group in batches.
+
+    An idle channel sends a request at once. Requests that arrive while batches
+    are in flight share the next one, so batches grow with the load and no
+    timer is needed.
 
-    A request on a free line goes at once; those that come while batches are
-    under way share the next one, so load makes batches, not a timer.
+    Attributes:
+        waiting: Requests that were not sent yet.
+        in_flight: Number of green threads that send batches.
     """
 
     def __init__(
@@ -54,24 +62,24 @@
         stream_service: streams.Streams,
         timer_service: timers.Timers,
         address: str,
-        try_seconds: float = TRY_SECONDS,
+        try_timeout: float = TRY_TIMEOUT,
     ) -> None:
-        self.try_seconds = try_seconds
+        self.try_timeout = try_timeout
         self.streams = stream_service
         self.timers = timer_service
         self.address = address
-        self.waiting: list[Pending] = []
+        self.waiting: list[PendingRequest] = []
         self.in_flight = 0
 
     def ask(self, message: Any, timeout: float) -> Any:
         """Returns the reply, which may be a Failure.
 
         Raises:
-            errors.StreamClosed: The line failed; `not_run` when the request
-                was never sent.
-            errors.StreamTimeout: No reply in time; `not_run` likewise.
+            errors.StreamClosed: The connection failed. The outcome is
+                `not_run` if the request was not sent.
+            errors.StreamTimeout: No reply in time, with the same outcomes.
         """
-        pending = Pending(codec.encode(message), event.Event())
+        pending = PendingRequest(codec.encode(message), event.Event())
         self.waiting.append(pending)
         self._start()
         reply = pending.reply.wait(timeout)
@@ -85,29 +93,29 @@
             outcome=errors.NOT_RUN if is_unsent else errors.UNKNOWN,
         )
 
-    def ask_alone(self, message: Any) -> Any:
-        """Returns the reply to a request that shares no batch.
+    def ask_unbatched(self, message: Any) -> Any:
+        """Returns the reply to a request that is sent in its own batch.
 
-        Made for histories: hundreds of them in one reply would be over the
-        size of a message, and all their callers would be refused.
+        This is for histories: hundreds of them in one reply would exceed the
+        maximum message size, and all requests of the batch would fail.
         """
-        pending = Pending(codec.encode(message), event.Event())
+        pending = PendingRequest(codec.encode(message), event.Event())
         self._send([pending])
         return pending.reply.wait()
 
     def _start(self) -> None:
         if self.in_flight < MAX_IN_FLIGHT:
             self.in_flight += 1
-            self.timers.spawn(self._drain)
+            self.timers.spawn(self._send_batches)
 
-    def _drain(self) -> None:
+    def _send_batches(self) -> None:
         try:
             while self.waiting:
-                self._send(self._take())
+                self._send(self._take_batch())
         finally:
             self.in_flight -= 1
 
-    def _take(self) -> list[Pending]:
+    def _take_batch(self) -> list[PendingRequest]:
         size = 0
         count = 0
         for pending in self.waiting[:MAX_BATCH_ITEMS]:
@@ -119,10 +127,10 @@
         del self.waiting[:count]
         return taken
 
-    def _send(self, batch: list[Pending]) -> None:
+    def _send(self, batch: list[PendingRequest]) -> None:
         request = identities.Batch([pending.item for pending in batch])
         try:
-            reply = self.streams.ask(self.address, request, self.try_seconds)
+            reply = self.streams.ask(self.address, request, self.try_timeout)
             replies = [codec.decode(item) for item in reply.items]
             if len(replies) != len(batch):
                 raise errors.StreamClosed(
@@ -131,19 +139,17 @@
                 )
         except errors.MintcleatError as error:
             for pending in batch:
-                pending.reply.send_exception(self._line_failure(error))
+                pending.reply.send_exception(self._retryable(error))
             self._fail_waiting()
             return
         for pending, item in zip(batch, replies, strict=True):
             pending.reply.send(item)
 
-    def _line_failure(
-        self, error: errors.MintcleatError
-    ) -> errors.MintcleatError:
-        """Returns the failure of a whole batch as one to retry elsewhere.
+    def _retryable(self, error: errors.MintcleatError) -> errors.MintcleatError:
+        """Converts the failure of a batch to an error that is retried.
 
-        An instance that is starting or stopping has no handler yet, or no
-        longer; its refusal is not the group's.
+        An instance that starts or stops has no handler for batches. Its error
+        is not the group's answer to the requests.
         """
         if isinstance(error, (errors.StreamTimeout, errors.TooLarge)):
             return error
@@ -152,28 +158,32 @@
         )
 
     def _fail_waiting(self) -> None:
-        """Sends the requests behind a failed batch elsewhere at once.
+        """Fails the waiting requests, so that other instances are tried.
 
-        Each would otherwise wait out one try after another on a leader that
-        is cut off, and run out of time there.
+        Otherwise they would be sent to the same unreachable leader, wait for
+        one timeout after another and miss their deadlines.
         """
         waiting, self.waiting = self.waiting, []
         for pending in waiting:
             pending.reply.send_exception(
                 errors.StreamClosed(
-                    f"{self.address} does not answer.", outcome=errors.NOT_RUN
+                    f"{self.address} did not answer an earlier request.",
+                    outcome=errors.NOT_RUN,
                 )
             )
 
 
 class ControlClient:
-    """Sends program group requests to whichever instance leads the group.
+    """Sends requests to the leaders of the program groups.
+
+    Implements `ports.control.Control`.
 
     Attributes:
         addresses: Stream addresses of the control instances.
-        groups: How many program groups there are.
-        leaders: The last known leader's address by group.
-        silent: Instances that did not answer, and when that was noted.
+        groups: Number of program groups.
+        leaders: Address of the last known leader by group.
+        channels: Channels by group and address.
+        unresponsive: When an instance last failed to answer, by address.
     """
 
     def __init__(
@@ -182,33 +192,35 @@
         timer_service: timers.Timers,
         control_addresses: list[str],
         groups: int,
-        try_seconds: float = TRY_SECONDS,
+        try_timeout: float = TRY_TIMEOUT,
     ) -> None:
-        self.try_seconds = try_seconds
+        self.try_timeout = try_timeout
         self.streams = stream_service
         self.timers = timer_service
         self.addresses = control_addresses
         self.groups = groups
         self.leaders: dict[str, str] = {}
-        self.lines: dict[tuple[str, str], Line] = {}
-        self.silent: dict[str, float] = {}
+        self.channels: dict[tuple[str, str], BatchChannel] = {}
+        self.unresponsive: dict[str, float] = {}
 
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
         """Returns the group's reply to a request.
 
-        A lost answer is asked for again, which is safe: every request may be
-        repeated. A BeginCall gets a nonce, so that its copies are known as
-        one.
+        A request without a reply is sent again, which is safe, since every
+        request is idempotent. A BeginCall gets a nonce, by which the group
+        recognises its copies.
 
         Args:
-            scope: Program id, or `placement.call_scope` of a call without.
+            scope: Program id, or `placement.call_scope` of a call without a
+                program.
             message: A program group request.
-            timeout: Seconds to go on trying.
+            timeout: Seconds for the whole exchange, retries included.
 
         Raises:
-            errors.ControlUnavailable: Nothing can have been proposed.
+            errors.ControlUnavailable: No leader answered in time, and the
+                request has not been committed.
             errors.OutcomeUnknown: The request may have been committed.
-            errors.MintcleatError: The group's own refusal.
+            errors.MintcleatError: The group refused the request.
         """
         if (
             isinstance(message, program_messages.BeginCall)
@@ -230,9 +242,9 @@
         programs: list[str],
         timeout: float,
     ) -> list[str]:
-        """Returns which programs are gone, for the release of their memory.
+        """Returns those of the programs that are closed, expired or unknown.
 
-        A group that cannot be asked reports nothing; ask again later.
+        Programs of a group that does not answer are left out.
         """
         by_group: dict[str, list[str]] = {}
         for program in programs:
@@ -249,17 +261,17 @@
         return found
 
     def _ask_group(self, group: str, message: Any, timeout: float) -> Any:
-        """Tries instance after instance until one answers or time is up."""
+        """Tries one instance after another until one answers or time is up."""
         deadline = self.timers.now() + timeout
         may_be_proposed = False
-        pause = FIRST_PAUSE
+        backoff = MIN_BACKOFF
         tried: list[str] = []
         while self.timers.now() < deadline:
             address = self._pick(group, tried)
             if not address:
                 tried.clear()
-                self.timers.sleep(pause)
-                pause = min(pause * 2, LAST_PAUSE)
+                self.timers.sleep(backoff)
+                backoff = min(backoff * 2, MAX_BACKOFF)
                 continue
             tried.append(address)
             try:
@@ -269,7 +281,7 @@
                 self._redirect(group, address, error.leader)
             except (errors.StreamClosed, errors.StreamTimeout) as error:
                 self._redirect(group, address, "")
-                self._note_silent(address)
+                self._mark_unresponsive(address)
                 may_be_proposed |= error.outcome != errors.NOT_RUN
             except (errors.ProposalLost, errors.StorageFailed):
                 self._redirect(group, address, "")
@@ -284,64 +296,80 @@
         )
 
     def _try(self, group: str, address: str, message: Any, left: float) -> Any:
-        line = self.lines.get((group, address))
-        if line is None:
-            line = Line(self.streams, self.timers, address, self.try_seconds)
-            self.lines[group, address] = line
+        channel = self.channels.get((group, address))
+        if channel is None:
+            channel = BatchChannel(
+                self.streams, self.timers, address, self.try_timeout
+            )
+            self.channels[group, address] = channel
         if isinstance(message, program_messages.FetchHistory):
-            reply = line.ask_alone(message)
+            reply = channel.ask_unbatched(message)
         else:
-            reply = line.ask(message, min(left, self.try_seconds))
+            reply = channel.ask(message, min(left, self.try_timeout))
         if isinstance(reply, errors.Failure):
             raise errors.from_failure(reply)
         self.leaders[group] = address
         return reply
 
     def _pick(self, group: str, tried: list[str]) -> str:
-        """Returns the known leader, or the next instance not tried yet.
+        """Returns the known leader, or the next instance to try.
 
-        Instances that did not answer lately come last, and those that have
-        just kept a caller waiting not at all: each try of one that is cut off
-        costs another `try_seconds`.
+        Instances that recently did not answer come last. Those that have just
+        timed out are left out, since each try of an unreachable instance costs
+        another `try_timeout`.
 
         Returns:
-            An address; empty when this round is over.
+            An address; empty if all instances were tried in this round.
         """
         leader = self.leaders.get(group)
         if leader:
             return leader
-        asked = [one for one in self.addresses if not self._is_doubted(one)]
-        asked = asked or self.addresses
-        left = [one for one in asked if one not in tried]
+        candidates = [
+            one for one in self.addresses if not self._timed_out_just_now(one)
+        ]
+        candidates = candidates or self.addresses
+        left = [one for one in candidates if one not in tried]
         if not left:
             return ""
-        return min(left, key=lambda one: self._is_silent(one, SILENT_SECONDS))
+        return min(
+            left,
+            key=lambda one: self._is_unresponsive(one, UNRESPONSIVE_SECONDS),
+        )
 
-    def _is_doubted(self, address: str) -> bool:
-        """Tells whether an instance did not answer just now.
+    def _timed_out_just_now(self, address: str) -> bool:
+        """Returns whether an instance has just failed to answer.
 
-        The others take a leader that stands still for the leader until the
-        next one is elected. Sent back to it by their word, a caller waits
-        once more, and past the election.
+        If a leader hangs, the other instances redirect to it until the next
+        leader is elected. A caller that followed such a redirect would wait
+        for another timeout, beyond the end of the election.
         """
-        return self._is_silent(address, self.try_seconds)
+        return self._is_unresponsive(address, self.try_timeout)
 
-    def _is_silent(self, address: str, seconds: float) -> bool:
-        noted = self.silent.get(address, -math.inf)
+    def _is_unresponsive(self, address: str, seconds: float) -> bool:
+        noted = self.unresponsive.get(address, -math.inf)
         return self.timers.now() < noted + seconds
 
-    def _note_silent(self, address: str) -> None:
+    def _mark_unresponsive(self, address: str) -> None:
         now = self.timers.now()
-        self.silent[address] = now
-        oldest = now - max(SILENT_SECONDS, self.try_seconds)
-        for known in [one for one, at in self.silent.items() if at < oldest]:
-            del self.silent[known]
+        self.unresponsive[address] = now
+        oldest = now - max(UNRESPONSIVE_SECONDS, self.try_timeout)
+        for known in [
+            one for one, at in self.unresponsive.items() if at < oldest
+        ]:
+            del self.unresponsive[known]
 
     def _redirect(self, group: str, address: str, leader: str) -> None:
-        """Learns from a failed try; a newer entry of the cache stays."""
+        """Updates the group's leader after a failed try of `address`.
+
+        A leader that another request has found meanwhile is kept.
+        """
         if self.leaders.get(group, address) != address:
             return
-        if leader and leader != address and not self._is_doubted(leader):
+        if (
+            leader
+            and leader != address
+            and not self._timed_out_just_now(leader)
+        ):
             self.leaders[group] = leader
         else:
             self.leaders.pop(group, None)
--- a/src/mintcleat/roles/sidecar/commit.py
+++ b/src/mintcleat/roles/sidecar/commit.py
@@ -1,4 +1,4 @@
-"""Reports what came of an attempt to its program's group, until committed."""
+"""Commit of the outcomes of attempts at the program's group."""
 
 from typing import Any
 
@@ -11,9 +11,9 @@
 from mintcleat.ports import timers as timers_port
 from mintcleat.roles.sidecar import attempts as sidecar_attempts
 
-_ASK_SECONDS = 5.0
-_FIRST_PAUSE = 0.05
-_LONGEST_PAUSE = 1.0
+_ASK_TIMEOUT = 5.0
+_MIN_BACKOFF = 0.05
+_MAX_BACKOFF = 1.0
 _TRANSIENT = (
     errors.ControlUnavailable,
     errors.LeaseExpired,
@@ -28,11 +28,14 @@
 )
 
 
-class Reporter:
-    """Sends FinishCall and SettleCall and repeats them.
+class OutcomeReporter:
+    """Sends FinishCall and SettleCall, repeatedly until they are committed.
 
-    The upstream has run by then, so giving up would lose an answer that
-    cannot be made again; the messages are idempotent, so repeating is safe.
+    The upstream has run the call by then, so giving up would lose an answer
+    that may not be reproducible. The messages are idempotent.
+
+    Attributes:
+        stopped: Whether to give up after the next transient error.
     """
 
     def __init__(
@@ -52,17 +55,17 @@
         answer: bytes,
         usage: identities.Usage,
     ) -> None:
-        """Records a whole answer; returns once it is committed.
+        """Commits a complete answer; blocks until it is committed.
 
         Raises:
-            errors.MintcleatError: The group refuses it for good.
+            errors.MintcleatError: The group rejected it permanently.
         """
-        asked = attempt.message
+        request = attempt.message
         finish = program_messages.FinishCall(
-            asked.program,
-            asked.customer,
-            asked.key,
-            asked.attempt,
+            request.program,
+            request.customer,
+            request.key,
+            request.attempt,
             self.node,
             answer,
             usage,
@@ -70,7 +73,7 @@
         try:
             self._commit(attempt.scope, finish)
         except errors.MintcleatError as error:
-            # A refusal says "not run" of the commit; the call itself ran.
+            # The group's "not run" is about the commit; the call itself ran.
             if error.outcome == errors.NOT_RUN:
                 error.outcome = errors.RAN
             raise
@@ -81,29 +84,33 @@
         outcome: str,
         failure: errors.Failure,
     ) -> None:
-        """Records an end without an answer; returns once it is committed."""
-        asked = attempt.message
+        """Commits an end without an answer; blocks until committed."""
+        request = attempt.message
         self._commit(
             attempt.scope,
             program_messages.SettleCall(
-                asked.program,
-                asked.customer,
-                asked.key,
-                asked.attempt,
+                request.program,
+                request.customer,
+                request.key,
+                request.attempt,
                 outcome,
                 failure,
             ),
         )
 
     def _commit(self, scope: str, message: Any) -> None:
-        pause = _FIRST_PAUSE
+        backoff = _MIN_BACKOFF
         while True:
             try:
-                self.control.ask(scope, message, _ASK_SECONDS)
+                self.control.ask(scope, message, _ASK_TIMEOUT)
                 return
             except _TRANSIENT as error:
                 if self.stopped:
                     raise
-                logger.info("{} is not committed yet: {}", scope, error.detail)
-            self.timers.sleep(pause)
-            pause = min(_LONGEST_PAUSE, pause * 2)
+                logger.info(
+                    "An outcome of {} is not committed yet: {}",
+                    scope,
+                    error.detail,
+                )
+            self.timers.sleep(backoff)
+            backoff = min(_MAX_BACKOFF, backoff * 2)
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -1,4 +1,7 @@
-"""Keeps the engine's memory free of programs that nobody continues."""
+"""Management of the engine's prefix cache.
+
+Evicts the prefixes of ended programs and, under pressure, of paused ones.
+"""
 
 import collections
 from collections.abc import Callable
@@ -13,28 +16,34 @@
 from mintcleat.ports import control as control_port
 from mintcleat.ports import timers as timers_port
 from mintcleat.ports import upstream as upstream_port
-from mintcleat.roles.sidecar import gate as sidecar_gate
+from mintcleat.roles.sidecar import admission as sidecar_admission
 from mintcleat.roles.sidecar import ledger as sidecar_ledger
 
-# Programs asked about in one message to a program group.
+# Programs in one RenewResidency request.
 _RENEW_BATCH = 512
-_ASK_SECONDS = 5.0
-# One program's id in a renewal, as entries make ids.
+_ASK_TIMEOUT = 5.0
+# Length of a program id that an entry generated.
 _RENEWAL_BYTES = 36
+# Long-poll timeout of a request for cache events.
 _EVENT_WAIT = 1.0
-# Each turn makes events. Asked for one by one they cost a request a turn; a
-# ledger that is this much behind costs nothing, for the engine's own events
-# come late in any case.
+# Seconds between two requests for cache events. Without a pause there would be
+# a request per turn; the delay does no harm, since the engine's events are late
+# in any case.
 _EVENT_PAUSE = 0.2
 _RETRY_SECONDS = 0.5
-# Caches are put out from this part of the engine's memory on, down to the
-# other, so that the engine need not evict what is about to be used.
-_PRESSURE_HIGH = 0.9
-_PRESSURE_LOW = 0.8
+# Paused programs are evicted when the cache is filled to the first fraction,
+# until it is down to the second. Otherwise the engine would evict prefixes
+# that are about to be used, since it knows nothing of pauses.
+_EVICTION_START = 0.9
+_EVICTION_TARGET = 0.8
 
 
 class Exports:
-    """Exported caches, the oldest dropped first; `limit` in bytes."""
+    """Exported prefixes by program; the oldest is dropped first.
+
+    Attributes:
+        limit: Maximum total size in bytes.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -44,7 +53,7 @@
         self.size = 0
 
     def put(self, program: str, blob: bytes) -> None:
-        """Keeps an export."""
+        """Adds an export and drops the oldest ones above the limit."""
         self.pop(program)
         self.blobs[program] = blob
         self.size += len(blob)
@@ -52,22 +61,24 @@
             self.pop(next(iter(self.blobs)))
 
     def pop(self, program: str) -> bytes | None:
-        """Takes an export out."""
+        """Removes and returns an export; None if there is none."""
         blob = self.blobs.pop(program, None)
         if blob is not None:
             self.size -= len(blob)
         return blob
 
 
-# Programs whose life is remembered, at about 200 bytes each.
-_LIVES_KEPT = 20_000
+# Programs whose usage is kept, at about 200 bytes each.
+_MAX_USAGES = 20_000
 
 
-class Life(NamedTuple):
-    """What a program had when its last turn here ended.
+class ProgramUsage(NamedTuple):
+    """Totals of a program at the end of its last turn here.
 
     Attributes:
-        tokens: Tokens served to the whole (root) program.
+        agent: Name of the agent; empty if unknown.
+        tokens: Tokens served to the root program so far.
+        turns: Turns of this program so far.
     """
 
     agent: str
@@ -75,11 +86,16 @@
     turns: int
 
 
-class Memory:
-    """The ledger of one engine, its renewal and the cache retention.
+class CacheManager:
+    """Tracks and evicts the cached prefixes of one engine.
 
     Attributes:
-        on_gone: Called with each program that its group gave up.
+        on_program_ended: Called with each program that its group no longer
+            has.
+        ledger: Cached tokens by program, as known here.
+        paused_caches: Decides which paused programs to evict.
+        exports: Prefixes that were exported from the cache.
+        usages: Totals of the programs that ran here, the latest last.
     """
 
     def __init__(
@@ -89,33 +105,37 @@
         control: control_port.Control,
         timers: timers_port.Timers,
         *,
-        admission: sidecar_gate.Admission,
+        admission: sidecar_admission.Admission,
         export_bytes: int,
-        on_gone: Callable[[str], None],
+        on_program_ended: Callable[[str], None],
     ) -> None:
         self.node = node
         self.engine = engine
         self.control = control
         self.timers = timers
         self.admission = admission
-        self.on_gone = on_gone
+        self.on_program_ended = on_program_ended
         self.ledger = sidecar_ledger.Ledger()
         self.paused_caches = cache_retention.PausedCaches(
             cache_retention.Options(memory=0)
         )
         self.exports = Exports(export_bytes)
-        self.lives: collections.OrderedDict[str, Life] = (
+        self.usages: collections.OrderedDict[str, ProgramUsage] = (
             collections.OrderedDict()
         )
         self.stopped = False
 
-    def start(self, renew_seconds: float) -> None:
-        """Begins to follow the engine and to renew residency."""
-        self.timers.spawn(self._follow_forever)
-        self.timers.spawn(self._renew_forever, renew_seconds)
+    def start(self, renew_interval: float) -> None:
+        """Starts to follow cache events and to renew residency.
+
+        Args:
+            renew_interval: Seconds between two renewals, at least.
+        """
+        self.timers.spawn(self._follow_events_forever)
+        self.timers.spawn(self._renew_forever, renew_interval)
 
     def resize(self, info: upstream_port.EngineInfo) -> None:
-        """Takes the size that the engine announces."""
+        """Adopts the cache size that the engine announces."""
         rate = (
             self.paused_caches.options.prefill_rate * 8
             if info.kv_export
@@ -125,21 +145,21 @@
             memory=info.memory, export_rate=rate
         )
 
-    def held(self, program: str) -> int:
-        """Returns the tokens that the engine holds for a program."""
+    def resident_tokens(self, program: str) -> int:
+        """Returns the cached tokens of a program."""
         return self.ledger.tokens.get(program, 0)
 
     def called(self, program: str) -> int:
-        """Notes that a program's next turn waits; returns what is cached."""
+        """Records a queued turn of a program; returns its cached tokens."""
         self.paused_caches.called(program, self.timers.now())
-        return self.held(program)
+        return self.resident_tokens(program)
 
     def refused(self, program: str) -> None:
-        """Notes that the turn is not run here."""
+        """Records that the queued turn of a program is not run here."""
         self.paused_caches.refused(program, self.timers.now())
 
-    def resume(self, program: str) -> None:
-        """Prepares the engine for a program's turn that starts now."""
+    def prepare(self, program: str) -> None:
+        """Restores an exported prefix before a program's turn starts."""
         self.paused_caches.started(program)
         blob = self.exports.pop(program)
         if blob is None:
@@ -147,84 +167,96 @@
         try:
             self.engine.import_cache(blob)
         except errors.MintcleatError as error:
-            # The engine rebuilds the prefix instead; only time is lost.
-            logger.info("No import for {}: {}", program, error.detail)
+            # The engine computes the prefix again, which only takes time.
+            logger.info(
+                "Could not import the prefix of {}: {}", program, error.detail
+            )
 
     def pause(self, program: str, agent: str, tokens: int) -> None:
-        """Decides what becomes of a cache while the program's tool runs."""
+        """Decides whether to keep a prefix while the program's tool runs.
+
+        Args:
+            program: The program; empty for none.
+            agent: Name of its agent.
+            tokens: Tokens of the conversation so far.
+        """
         if not program:
             return
-        self.ledger.ran(program, tokens)
+        self.ledger.record_turn(program, tokens)
         now = self.timers.now()
-        self._act(self.paused_caches.paused(program, agent, tokens, now))
+        self._execute(self.paused_caches.paused(program, agent, tokens, now))
         memory = self.paused_caches.options.memory
         used = self.ledger.total()
-        if memory and used > _PRESSURE_HIGH * memory:
-            needed = int(used - _PRESSURE_LOW * memory)
+        if memory and used > _EVICTION_START * memory:
+            needed = int(used - _EVICTION_TARGET * memory)
             for action in self.paused_caches.victims(needed, now):
-                self._act(action)
+                self._execute(action)
         self.admission.protect(self.paused_caches.expected_soon(now))
 
-    def note(self, program: str, life: Life) -> None:
-        """Keeps what a program had, for the estimator once it is gone."""
-        self.lives[program] = life
-        self.lives.move_to_end(program)
-        if len(self.lives) > _LIVES_KEPT:
-            self.lives.popitem(last=False)
+    def record_usage(self, program: str, usage: ProgramUsage) -> None:
+        """Keeps a program's totals for the estimator until it ends."""
+        self.usages[program] = usage
+        self.usages.move_to_end(program)
+        if len(self.usages) > _MAX_USAGES:
+            self.usages.popitem(last=False)
 
     def _learn(self, program: str) -> None:
-        life = self.lives.pop(program, None)
-        if life is not None and life.agent:
-            self.admission.learn(life.agent, life.tokens, life.turns)
+        usage = self.usages.pop(program, None)
+        if usage is not None and usage.agent:
+            self.admission.learn(usage.agent, usage.tokens, usage.turns)
 
     def sweep(self) -> None:
-        """Puts out what has been paused for too long."""
+        """Evicts programs that have been paused for too long."""
         now = self.timers.now()
         for action in self.paused_caches.sweep(now):
-            self._act(action)
-            self.admission.left([action.program])
+            self._execute(action)
+            self.admission.remove_programs([action.program])
         self.admission.protect(self.paused_caches.expected_soon(now))
 
     def renew(self) -> None:
-        """Asks which programs are gone and releases them."""
+        """Asks the groups which programs have ended and evicts these."""
         programs = list(self.ledger.tokens)
         for start in range(0, len(programs), _RENEW_BATCH):
             batch = programs[start : start + _RENEW_BATCH]
-            gone = self.control.ended_programs(self.node, batch, _ASK_SECONDS)
-            for program in gone:
+            ended = self.control.ended_programs(self.node, batch, _ASK_TIMEOUT)
+            for program in ended:
                 self.paused_caches.program_ended(program)
                 self.exports.pop(program)
-                self.on_gone(program)
+                self.on_program_ended(program)
                 self._learn(program)
-            # Only a program that is gone leaves the working set. One whose
-            # cache was evicted under pressure comes back; counted as gone it
-            # made room for newcomers, and the engine took in too many.
-            self.admission.left(gone)
-            # A turn that ends after this fills the cache again; the ledger
-            # hears of it, and the next renewal releases it.
-            self.release(gone)
+            # Only ended programs leave the working set. A program that was
+            # evicted under pressure comes back; if it left the working set,
+            # too many new programs would be admitted.
+            self.admission.remove_programs(ended)
+            # A turn that ends later fills the cache again. The ledger records
+            # it, and the next renewal evicts it.
+            self.release(ended)
 
     def release(self, programs: list[str]) -> None:
-        """Frees programs; what fails stays in the ledger for the next time."""
+        """Evicts programs; after a failure the next renewal tries again."""
         if not programs:
             return
         try:
             self.engine.release(programs)
         except errors.MintcleatError as error:
-            logger.warning("Memory is not released: {}", error.detail)
+            logger.warning(
+                "Could not evict programs from the cache: {}", error.detail
+            )
             return
         self.ledger.released(programs)
 
     def release_all(self) -> None:
-        """Frees everything, for a planned stop."""
+        """Evicts all programs before a planned stop."""
         self.stopped = True
         try:
             self.ledger.mend(self.engine.cache_listing())
         except errors.MintcleatError as error:
-            logger.info("No listing at the stop: {}", error.detail)
+            logger.info(
+                "Could not list the cache at the stop: {}", error.detail
+            )
         self.release(list(self.ledger.tokens))
 
-    def _act(self, action: cache_retention.Action) -> None:
+    def _execute(self, action: cache_retention.Action) -> None:
         match action:
             case cache_retention.Export(program):
                 self._export(program)
@@ -232,40 +264,44 @@
             case cache_retention.Drop(program, 0):
                 self.release([program])
             case cache_retention.Drop(program, keep):
-                self._shorten(program, keep)
+                self._truncate(program, keep)
             case cache_retention.Hold():
                 return
 
-    def _shorten(self, program: str, keep: int) -> None:
+    def _truncate(self, program: str, keep: int) -> None:
         try:
             self.engine.truncate(program, keep)
         except errors.MintcleatError as error:
-            logger.info("{} is not shortened: {}", program, error.detail)
+            logger.info(
+                "Could not truncate the prefix of {}: {}", program, error.detail
+            )
             return
-        self.ledger.shortened(program, keep)
+        self.ledger.truncated(program, keep)
 
     def _export(self, program: str) -> None:
         try:
             self.exports.put(program, self.engine.export_cache(program))
         except errors.MintcleatError as error:
-            logger.info("No export of {}: {}", program, error.detail)
+            logger.info(
+                "Could not export the prefix of {}: {}", program, error.detail
+            )
 
-    def _follow_forever(self) -> None:
-        """Takes in events as they come, and listings where they are lacking."""
+    def _follow_events_forever(self) -> None:
+        """Applies cache events, and a listing whenever events are missing."""
         while not self.stopped:
             try:
-                self._follow()
+                self._follow_events()
             except errors.MintcleatError:
                 self.ledger.unsure = True
                 self.timers.sleep(_RETRY_SECONDS)
 
-    def _follow(self) -> None:
+    def _follow_events(self) -> None:
         if self.ledger.unsure:
             self.ledger.mend(self.engine.cache_listing())
         events = self.engine.events(self.ledger.seq, _EVENT_WAIT)
         self.ledger.take(events)
-        # Late events may still come; a listing at each of them would cost
-        # more than the wait.
+        # Missing events may only be late. Waiting for them costs less than a
+        # listing each time.
         unsure = self.ledger.unsure
         self.timers.sleep(_RETRY_SECONDS if unsure else _EVENT_PAUSE)
 
@@ -282,4 +318,4 @@
                 self.sweep()
                 self.renew()
             except errors.MintcleatError as error:
-                logger.info("Residency is not renewed: {}", error.detail)
+                logger.info("Could not renew residency: {}", error.detail)
--- a/src/mintcleat/roles/sidecar/orders.py
+++ b/src/mintcleat/roles/sidecar/orders.py
@@ -1,7 +1,7 @@
-"""Orders to the engine beside a sidecar: what the receiver needs of it.
+"""Execution of orders on the engine of a sidecar.
 
-`orders.OrderReceiver` decides whether and when an order is carried out; this
-is how the sidecar holds its work meanwhile.
+`roles.orders.OrderReceiver` decides whether and when to execute an order. This
+module pauses the sidecar's admission meanwhile.
 """
 
 from collections.abc import Callable
@@ -13,60 +13,59 @@
 from mintcleat.ports import timers as timers_port
 from mintcleat.ports import upstream as upstream_port
 from mintcleat.roles import orders
-from mintcleat.roles.sidecar import presence as sidecar_presence
+from mintcleat.roles.sidecar import monitor as sidecar_monitor
 
-_READ_SECONDS = 5.0
+_READ_TIMEOUT = 5.0
 
 
-class Target:
-    """See `orders.Upstream`.
+class OrderTarget:
+    """Implements `roles.orders.Upstream` for the engine of a sidecar.
 
     Attributes:
-        under_way: Returns the attempts that wait or run here.
+        under_way: Returns the attempts that wait or run at the sidecar.
     """
 
     def __init__(
         self,
         engine: upstream_port.ModelEngine,
-        presence: sidecar_presence.Presence,
+        monitor: sidecar_monitor.UpstreamMonitor,
         under_way: Callable[[], list[Any]],
     ) -> None:
         self.engine = engine
-        self.presence = presence
+        self.monitor = monitor
         self.under_way = under_way
 
-    def hold_work(self, held: bool) -> None:
-        """Refuses new work while an order is carried out, or takes it."""
-        if held:
-            self.presence.order_begins()
+    def pause_admission(self, paused: bool) -> None:
+        """Refuses new work, or accepts it again."""
+        if paused:
+            self.monitor.begin_order()
         else:
-            self.presence.order_ends()
+            self.monitor.end_order()
 
     def is_busy(self) -> bool:
-        """Tells whether calls are under way."""
+        """Returns whether calls wait or run."""
         return bool(self.under_way())
 
-    def carry_out(self, number: int, action: str, model: str) -> None:
-        """Hands the order to the engine and waits for its end."""
+    def execute_order(self, number: int, action: str, model: str) -> None:
+        """Sends the order to the engine and waits until it is done."""
         self.engine.order(number, action, model)
 
 
-def receiver(
+def new_receiver(
     node: identities.Incarnation,
-    target: Target,
+    target: OrderTarget,
     timers: timers_port.Timers,
     directory: membership_port.Membership,
 ) -> orders.OrderReceiver:
-    """Returns the gate for orders to one engine.
+    """Returns the receiver of orders to the engine.
 
-    Not every engine checks fencing numbers, so the check is here. A new life
-    of a sidecar knows no number yet: before its first order it reads the
-    highest committed one, or an order that was overtaken while it was down
-    would still be carried out.
+    It checks fencing tokens, since not every engine does. A restarted sidecar
+    reads the highest committed token before its first order. Otherwise it
+    would execute an order that was superseded while it was down.
     """
 
     def read_fencing_token() -> int:
         read = config_messages.ReadFencingToken(node.instance)
-        return directory.ask(read, _READ_SECONDS).fencing_token
+        return directory.ask(read, _READ_TIMEOUT).fencing_token
 
     return orders.OrderReceiver(node, target, timers, read_fencing_token)
--- a/testing/fakes/service_rig.py
+++ b/testing/fakes/service_rig.py
@@ -1,4 +1,4 @@
-"""Fakes of the ports of a sidecar, and a rig of real parts on loopback."""
+"""Fakes of a sidecar's ports, and a sidecar with real streams on loopback."""
 
 from collections.abc import Callable
 from typing import Any
@@ -24,23 +24,24 @@
 
 
 class FakeControl:
-    """A program group that commits at once and remembers what it heard.
+    """A program group that commits every request and records it.
 
     Attributes:
-        open: Programs that the group knows as open; None for all.
-        fail: Raised instead of an answer, while it is set.
+        requests: Requests in the order of their arrival.
+        open_programs: Programs that are open; None if all are.
+        failure: Error to raise for each request; None to reply.
     """
 
     def __init__(self) -> None:
-        self.heard: list[Any] = []
+        self.requests: list[Any] = []
         self.groups = 1
-        self.open: set[str] | None = None
-        self.fail: Exception | None = None
+        self.open_programs: set[str] | None = None
+        self.failure: Exception | None = None
 
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
-        if self.fail is not None:
-            raise self.fail
-        self.heard.append(message)
+        if self.failure is not None:
+            raise self.failure
+        self.requests.append(message)
         return identities.Done()
 
     def ended_programs(
@@ -49,16 +50,26 @@
         programs: list[str],
         timeout: float,
     ) -> list[str]:
-        if self.open is None:
+        if self.open_programs is None:
             return []
-        return [name for name in programs if name not in self.open]
+        return [name for name in programs if name not in self.open_programs]
 
-    def of(self, kind: type) -> list[Any]:
-        return [item for item in self.heard if isinstance(item, kind)]
+    def requests_of(self, kind: type) -> list[Any]:
+        return [item for item in self.requests if isinstance(item, kind)]
 
 
 class FakeDirectory:
-    """A configuration that is always in lease, unless told otherwise."""
+    """Configuration, members and restrictions that a test sets.
+
+    Attributes:
+        value: The manifest.
+        lease: Whether the configuration lease is valid.
+        duplicate: Whether a newer process has the sidecar's name.
+        drained: Whether an operator drains the sidecar.
+        fencing_token: Highest committed fencing token.
+        asked: Requests to the config leader.
+        held: Event on which the replies wait; None for immediate replies.
+    """
 
     def __init__(self) -> None:
         self.value = manifest.Manifest()
@@ -111,7 +122,7 @@
 
 
 class Rig:
-    """One sidecar with real streams, beside a stand-in upstream."""
+    """One sidecar with real streams and an upstream of `standins`."""
 
     def __init__(
         self,
@@ -126,7 +137,7 @@
         self.server = streams.TcpStreams("127.0.0.1:0")
         self.client = streams.TcpStreams("127.0.0.1:0")
         kind = "plain" if plain else "model"
-        defaults = sidecar.SidecarOptions("svc", kind, renew_seconds=0.05)
+        defaults = sidecar.SidecarOptions("svc", kind, renew_interval=0.05)
         adapter = plain_http.HttpService if plain else engine_http.HttpEngine
         self.sidecar = sidecar.Sidecar(
             node,
@@ -146,33 +157,33 @@
         self.upstream.stop()
 
     def sleep(self) -> None:
-        """Lets what was sent arrive."""
+        """Waits long enough for sent messages to arrive."""
         eventlet.sleep(0.03)
 
-    def until(self, probe: Callable[[], Any], limit: float = 5.0) -> Any:
+    def wait_until(self, probe: Callable[[], Any], limit: float = 5.0) -> Any:
         """Waits until the probe returns something true, and returns it."""
-        return until(probe, limit)
+        return wait_until(probe, limit)
 
     def open(self, message: Any) -> Any:
         return self.client.open(self.server.address, message)
 
     def call(self, message: Any, timeout: float = 5.0) -> tuple[str, Any]:
-        """Returns the text of an answer and its last message."""
-        return drain(self.open(message), timeout)
+        """Sends a request; returns the answer's text and the last message."""
+        return read_answer(self.open(message), timeout)
 
 
-def until(probe: Callable[[], Any], limit: float = 5.0) -> Any:
+def wait_until(probe: Callable[[], Any], limit: float = 5.0) -> Any:
     """Waits until the probe returns something true, and returns it."""
     for _ in range(int(limit / 0.01)):
         found = probe()
         if found:
             return found
         eventlet.sleep(0.01)
-    raise AssertionError("It did not happen in time.")
+    raise AssertionError(f"The condition is still false after {limit:g} s.")
 
 
-def drain_rest(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
-    """Reads the rest of an exchange that was read before."""
+def read_rest(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
+    """Reads the rest of an answer, of which a part was read before."""
     text = ""
     while True:
         message = exchange.receive(timeout)
@@ -181,8 +192,8 @@
         text += message.text
 
 
-def drain(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
-    """Reads an exchange to its end; chunks must lie end to end."""
+def read_answer(exchange: Any, timeout: float = 5.0) -> tuple[str, Any]:
+    """Reads an answer to its end and checks the offsets of its chunks."""
     text = ""
     while True:
         message = exchange.receive(timeout)
@@ -194,7 +205,7 @@
 
 
 def user(text: str) -> str:
-    """Returns the JSON text of a user message, as the engine writes it."""
+    """Returns the JSON text of a user message, as the engine encodes it."""
     return f'{{"role":"user","content":"{text}"}}'
 
 
