--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        machine: machine_module.Machine,
+        machine: machine_module.MachineSettings,
         common: common_module.Common,
         events: event_ports.EventReporter,
         policy: policy_module.Policy = policy_module.DEFAULT,
@@ -90,7 +90,9 @@
         self.listener = http1_server.HttpListener(
             machine.callers, handler, self.gateway.limits, self.gateway.ready
         )
-        self.asked = http1_server.HttpListener(machine.ready, self._answer)
+        self.readiness_listener = http1_server.HttpListener(
+            machine.ready, self._answer
+        )
 
     def start(self) -> None:
         """Follows the configuration."""
@@ -131,7 +133,7 @@
                 )
             )
 
-    def reload(self, machine: machine_module.Machine) -> list[str]:
+    def reload(self, machine: machine_module.MachineSettings) -> list[str]:
         """Takes changed settings; returns the names of those that changed."""
         if machine.settings.control == self.follower.control_addresses:
             return []
@@ -188,7 +190,7 @@
 
     def __init__(
         self,
-        machine: machine_module.Machine,
+        machine: machine_module.MachineSettings,
         common: common_module.Common,
         events: event_ports.EventReporter,
     ) -> None:
@@ -218,7 +220,7 @@
                     control_events.LeaderChanged(status.group, *now)
                 )
 
-    def reload(self, machine: machine_module.Machine) -> list[str]:
+    def reload(self, machine: machine_module.MachineSettings) -> list[str]:
         """Learns changed members; the groups keep the ones that they have."""
         return []
 
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -121,7 +121,7 @@
 
     def _heartbeat(self, upstream: str, request: http1_server.Request) -> bytes:
         try:
-            registration = to_registration(upstream, request.body)
+            registration = parse_registration(upstream, request.body)
             return self._ask(member_messages.RegisterUpstream(registration))
         except (errors.BadRequest, errors.UnknownService) as error:
             self.events.emit(
@@ -132,7 +132,7 @@
             raise
 
     def _leave(self, upstream: str, body: bytes) -> bytes:
-        started = to_leaving(body)
+        started = parse_deregistration(body)
         return self._ask(member_messages.DeregisterUpstream(upstream, started))
 
     def _empty(self, label: str, start: bool) -> bytes:
@@ -146,7 +146,9 @@
         return msgspec.json.encode({"state": state})
 
 
-def to_registration(upstream: str, body: bytes) -> member_messages.Registration:
+def parse_registration(
+    upstream: str, body: bytes
+) -> member_messages.Registration:
     """Returns an upstream's heartbeat as a registration.
 
     Fields that are not known are left out: new ones may come at any time.
@@ -165,7 +167,7 @@
     return registrations.parse(upstream, named)
 
 
-def to_leaving(body: bytes) -> int:
+def parse_deregistration(body: bytes) -> int:
     """Returns the start of the life that leaves; 0 when it does not say.
 
     An upstream that leaves may send no body at all.
--- a/src/mintcleat/platform/machine.py
+++ b/src/mintcleat/platform/machine.py
@@ -52,7 +52,7 @@
 _STOP_MARGIN = 1.0
 
 
-class Machine(NamedTuple):
+class MachineSettings(NamedTuple):
     """What a process is told of its machine.
 
     Attributes:
@@ -88,7 +88,7 @@
     return pathlib.Path(path)
 
 
-def load(path: pathlib.Path, role: str) -> Machine:
+def load(path: pathlib.Path, role: str) -> MachineSettings:
     """Returns the settings in a file, for a role of the product.
 
     Raises:
@@ -109,7 +109,7 @@
         ) from None
 
 
-def translate(fields: dict[str, Any], role: str) -> Machine:
+def translate(fields: dict[str, Any], role: str) -> MachineSettings:
     """Returns decoded settings, for a role of the product.
 
     Raises:
@@ -134,7 +134,7 @@
         times=_times(bounds),
         control_role=_control_role(fields, others) if role == CONTROL else None,
     )
-    return Machine(
+    return MachineSettings(
         settings,
         listen.get("front", ""),
         listen.get("ready", ""),
--- a/testing/fakes/platform_system.py
+++ b/testing/fakes/platform_system.py
@@ -124,13 +124,15 @@
         self.entry = hosted.EntryPart(entry, self.entry_common, self.told)
         self.entry.start()
 
-    def _machine(self, role: str, control: list[str]) -> machine.Machine:
+    def _machine(
+        self, role: str, control: list[str]
+    ) -> machine.MachineSettings:
         part = None
         if role == "control":
             part = settings.Control(
                 data=str(self.folder / "data"), admin=ANY, label="store-1"
             )
-        return machine.Machine(
+        return machine.MachineSettings(
             settings.Settings(
                 instance=f"{role}-1",
                 failure_domain="z1",
@@ -153,7 +155,7 @@
             engine.stop()
         self.entry.follower.stop()
         self.entry.listener.stop()
-        self.entry.asked.stop()
+        self.entry.readiness_listener.stop()
         self.entry_common.streams.stop()
         self.control.listener.stop()
         self.control.part.stop()
--- a/testing/test_hosted.py
+++ b/testing/test_hosted.py
@@ -495,7 +495,7 @@
             lambda: found.append(self.system.call("POST", "/resumable/a", b"x"))
         )
         eventlet.sleep(0.1)
-        asked = self.system.entry.asked.address
+        asked = self.system.entry.readiness_listener.address
 
         def is_ready() -> int:
             fields = {"Host": "x"}
--- a/testing/test_registrations.py
+++ b/testing/test_registrations.py
@@ -27,7 +27,7 @@
 
 def read(**changed: Any) -> member_messages.Registration:
     body = {**VALID, **changed}
-    return control_api.to_registration("e1", json.dumps(body).encode())
+    return control_api.parse_registration("e1", json.dumps(body).encode())
 
 
 class HeartbeatTest(testtools.TestCase):
@@ -47,7 +47,7 @@
 
     def test_start_is_optional(self) -> None:
         body = {name: v for name, v in VALID.items() if name != "born"}
-        found = control_api.to_registration("e1", json.dumps(body).encode())
+        found = control_api.parse_registration("e1", json.dumps(body).encode())
         self.assertEqual(("e1", 0), (found.incarnation, found.started))
 
     def test_wrong_field_is_named(self) -> None:
@@ -83,7 +83,7 @@
             body = {key: v for key, v in VALID.items() if key != name}
             error = self.assertRaises(
                 errors.BadRequest,
-                control_api.to_registration,
+                control_api.parse_registration,
                 "e1",
                 json.dumps(body).encode(),
             )
@@ -96,14 +96,14 @@
         ]  # fmt: skip
         for body in bodies:
             self.assertRaises(
-                errors.BadRequest, control_api.to_registration, "e1", body
+                errors.BadRequest, control_api.parse_registration, "e1", body
             )
 
     def test_length_of_the_id_is_limited(self) -> None:
         body = json.dumps(VALID).encode()
         for name in ("", "x" * 300):
             self.assertRaises(
-                errors.BadRequest, control_api.to_registration, name, body
+                errors.BadRequest, control_api.parse_registration, name, body
             )
 
     @given(strategies.binary(max_size=300))
@@ -135,7 +135,7 @@
 
     def _read_or_refuse(self, body: bytes) -> None:
         try:
-            found = control_api.to_registration("e1", body)
+            found = control_api.parse_registration("e1", body)
         except errors.BadRequest:
             return
         self.assertIn(
@@ -147,10 +147,12 @@
 
 class LeavingTest(testtools.TestCase):
     def test_start_is_optional(self) -> None:
-        self.assertEqual(0, control_api.to_leaving(b""))
-        self.assertEqual(0, control_api.to_leaving(b"{}"))
-        self.assertEqual(5, control_api.to_leaving(b'{"born": 5}'))
+        self.assertEqual(0, control_api.parse_deregistration(b""))
+        self.assertEqual(0, control_api.parse_deregistration(b"{}"))
+        self.assertEqual(5, control_api.parse_deregistration(b'{"born": 5}'))
 
     def test_unreadable_body_is_refused(self) -> None:
         for body in (b"{", b"[]", b'{"born": "5"}', b'{"born": true}'):
-            self.assertRaises(errors.BadRequest, control_api.to_leaving, body)
+            self.assertRaises(
+                errors.BadRequest, control_api.parse_deregistration, body
+            )
