--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -70,7 +70,7 @@
         self.follower = common.follower("entry")
         self.client = common.client()
         self.follower.subscribe(self._learn_control)
-        self.http = upstreams.HttpUpstreams()
+        self.http = upstreams.HttpUpstreamClient()
         allowed = allowances.Allowances(
             self.client, common.timers, events, self.follower
         )
@@ -86,7 +86,7 @@
         self.revision = 0
         self.held_lease = False
         self.events = events
-        handler = callers.Callers(self.gateway).handle
+        handler = callers.CallerApi(self.gateway).handle
         self.listener = http1_server.HttpListener(
             machine.callers, handler, self.gateway.limits, self.gateway.ready
         )
--- a/src/mintcleat/platform/__init__.py
+++ b/src/mintcleat/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Translation between the users' platform and the product.
+"""Adapters between the hosting platform's protocols and mintcleat's types.
 
-The platform names, starts and reports on work in its own terms. This package
-turns them into the product's types and back, and does nothing else: it takes
-no decision, keeps no state that must survive and retries nothing. Nothing
-outside it knows the platform's names.
+The platform has names and formats of its own for settings, requests and
+upstreams. This package translates them and does nothing else: it makes no
+decisions, holds no durable state and retries nothing. The platform's names
+appear in no other package.
 """
--- a/src/mintcleat/platform/callers.py
+++ b/src/mintcleat/platform/callers.py
@@ -1,4 +1,4 @@
-"""The platform's callers: their requests in, answers out."""
+"""HTTP requests and responses in the format of the platform's callers."""
 
 from typing import Any
 from typing import Protocol
@@ -13,13 +13,13 @@
 
 REQUEST_ID = "x-request-id"
 DEADLINE = "x-deadline-milliseconds"
-LAST_EVENT = "last-event-id"
-KEY = "api-key"
-# What an upstream is told of whose request it is.
+LAST_EVENT_ID = "last-event-id"
+API_KEY = "api-key"
+# Sent to upstreams: the customer that made the request.
 CUSTOMER = "x-tenant"
 
-# Header fields that concern one connection only.
-CONNECTION_FIELDS = frozenset(
+# Hop-by-hop header fields, which are not forwarded.
+HOP_BY_HOP_FIELDS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -32,9 +32,9 @@
         "expect",
     }
 )
-# Fields that this system sets for upstreams. A caller that could set them
-# would reach an upstream's memory, or read from that of another request.
-_OWN_FIELDS = frozenset(
+# Header fields that only mintcleat sets for upstreams. A caller that could set
+# them could control an upstream's cache or read another request's cache entry.
+_RESERVED_FIELDS = frozenset(
     {
         "x-expect-instance",
         "x-request-urgency",
@@ -44,18 +44,18 @@
         "kv-from",
         "kv-fetch",
         DEADLINE,
-        LAST_EVENT,
-        KEY,
+        LAST_EVENT_ID,
+        API_KEY,
         CUSTOMER,
     }
 )
-_DROPPED = CONNECTION_FIELDS | _OWN_FIELDS
-# A status that callers take for "not run, and never will be".
-_NOT_RUN = 503
-_SPENT = 402
-_UNKNOWN = 502
-_LATE = 504
-_REFUSED_AS_IS = (
+_DROPPED_FIELDS = HOP_BY_HOP_FIELDS | _RESERVED_FIELDS
+# Callers take this status to mean that the request did not run and never will.
+_STATUS_NOT_RUN = 503
+_STATUS_BUDGET_EXHAUSTED = 402
+_STATUS_OTHER_ERROR = 502
+_STATUS_OUTCOME_UNKNOWN = 504
+_UNCHANGED_STATUS = (
     errors.BadRequest,
     errors.LimitReached,
     errors.Unauthorized,
@@ -66,16 +66,16 @@
 
 
 class Gateway(Protocol):
-    """The entry's way of a request."""
+    """Forwards the requests of an entry."""
 
     def handle(
         self, call: routed_calls.RoutedCall, reply: forwarding.CallerResponse
     ) -> None:
-        """Answers a request, or raises the refusal."""
+        """Responds to a request, or raises the error to respond with."""
 
 
-class Callers:
-    """Handles the requests of one listener."""
+class CallerApi:
+    """Handles the requests on the callers' listener."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
@@ -83,55 +83,59 @@
     def handle(
         self, request: http1_server.Request, reply: http1_server.Reply
     ) -> None:
-        """Answers one request; a broken answer closes the connection."""
-        identity = request.header(REQUEST_ID)
+        """Responds to one request.
+
+        An error after the response has started is not reported to the caller;
+        the connection is closed instead.
+        """
+        request_id = request.header(REQUEST_ID)
         try:
-            call = to_call(request)
-            self.gateway.handle(call, Answering(reply))
+            call = parse_call(request)
+            self.gateway.handle(call, HttpCallerResponse(reply))
         except errors.MintcleatError as error:
             if not reply.started:
-                refuse(reply, error, identity)
+                send_error(reply, error, request_id)
         except Exception:
             if not reply.started:
                 failure = errors.MintcleatError("This process has a fault.")
-                refuse(reply, failure, identity)
+                send_error(reply, failure, request_id)
             raise
 
 
-class Answering:
+class HttpCallerResponse:
     """See `ports.forwarding.CallerResponse`."""
 
     def __init__(self, reply: http1_server.Reply) -> None:
         self.reply = reply
 
     def send_whole(self, head: routed_calls.ResponseHead, body: bytes) -> None:
-        """Sends an upstream's whole answer."""
+        """Sends a complete response."""
         self.reply.send(head.status, list(head.headers), body, head.reason)
 
     def send_head(self, head: routed_calls.ResponseHead) -> None:
-        """Sends the head of an upstream's answer."""
+        """Sends the head of a response whose body follows by `write`."""
         self.reply.start(head.status, list(head.headers), head.reason)
 
     def write(self, data: bytes) -> None:
-        """Sends a piece of its body at once."""
+        """Sends a chunk of the body without delay."""
         self.reply.write(data)
 
     def end(self) -> None:
-        """Ends it as complete."""
+        """Marks the response as complete."""
         self.reply.end()
 
 
-def to_call(request: http1_server.Request) -> routed_calls.RoutedCall:
-    """Returns a request in the product's own terms.
+def parse_call(request: http1_server.Request) -> routed_calls.RoutedCall:
+    """Converts an HTTP request.
 
     Raises:
-        errors.BadRequest: A field that is needed is missing or unreadable.
+        errors.BadRequest: A required header field is missing or malformed.
     """
     header = request.header
     if not header(REQUEST_ID):
         raise errors.BadRequest("The request carries no id.")
-    named = {name.strip().lower() for name in header("connection").split(",")}
-    dropped = _DROPPED | named
+    listed = {name.strip().lower() for name in header("connection").split(",")}
+    dropped = _DROPPED_FIELDS | listed
     return routed_calls.RoutedCall(
         request=header(REQUEST_ID),
         method=request.method,
@@ -143,7 +147,7 @@
         body=request.body,
         deadline=_number(header(DEADLINE)) / 1000.0,
         affinity=header("x-affinity-key"),
-        last_event=header(LAST_EVENT),
+        last_event=header(LAST_EVENT_ID),
         program=routed_calls.ProgramContext(
             header("x-program-id"),
             header("x-session-id"),
@@ -153,13 +157,13 @@
         ),
         generation=_generation(header),
         key=keys.digest_from_fields(
-            [value for name, value in request.headers if name == KEY]
+            [value for name, value in request.headers if name == API_KEY]
         ),
     )
 
 
 def _generation(header: Any) -> routed_calls.Generation:
-    prompt, _, most = header("x-token-counts").partition(",")
+    prompt, _, max_tokens = header("x-token-counts").partition(",")
     parts = []
     for item in header("x-prompt-prefix").split(","):
         part, _, tokens = item.strip().partition(":")
@@ -168,7 +172,7 @@
     return routed_calls.Generation(
         header("x-model"),
         int(_number(prompt)),
-        int(_number(most)),
+        int(_number(max_tokens)),
         tuple(parts),
     )
 
@@ -185,17 +189,17 @@
     return value
 
 
-def refuse(
-    reply: http1_server.Reply, error: errors.MintcleatError, identity: str
+def send_error(
+    reply: http1_server.Reply, error: errors.MintcleatError, request_id: str
 ) -> None:
-    """Answers with a refusal of this system's own.
+    """Responds with an error of mintcleat itself.
 
-    It bears no upstream's mark, and its status says whether the request may
-    have run.
+    The response has no upstream's signature. Its status says whether the
+    request may have run.
     """
     headers = [("content-type", "application/json")]
-    if identity:
-        headers.append((REQUEST_ID, identity))
+    if request_id:
+        headers.append((REQUEST_ID, request_id))
     if error.retry_after:
         headers.append(("retry-after", f"{error.retry_after:.2f}"))
     body = msgspec.json.encode(
@@ -210,13 +214,13 @@
 
 
 def status_of(error: errors.MintcleatError) -> int:
-    """Returns the status of a refusal, as the platform's callers read it."""
-    if isinstance(error, _REFUSED_AS_IS):
+    """Returns the HTTP status of an error, as the platform defines them."""
+    if isinstance(error, _UNCHANGED_STATUS):
         return error.status
     if isinstance(error, errors.BudgetExhausted):
-        return _SPENT
+        return _STATUS_BUDGET_EXHAUSTED
     if error.outcome == errors.NOT_RUN:
-        return _NOT_RUN
+        return _STATUS_NOT_RUN
     if isinstance(error, errors.OutcomeUnknown):
-        return _LATE
-    return _UNKNOWN
+        return _STATUS_OUTCOME_UNKNOWN
+    return _STATUS_OTHER_ERROR
--- a/src/mintcleat/platform/plan.py
+++ b/src/mintcleat/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as a manifest of the product."""
+"""Converts the operators' configuration to a manifest."""
 
 from typing import Any
 
@@ -7,17 +7,18 @@
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 
-# The platform's kinds of requests: what may be sent again.
-_REPEATS = {"safe": "any", "unsafe": "never"}
+# Retry mode of a route by the platform's kind of request.
+_RETRY_MODES = {"safe": "any", "unsafe": "never"}
 _STREAM = "stream"
 _MODEL = "model"
 
 
 def version_of(body: bytes) -> int:
-    """Returns the version that a configuration carries.
+    """Returns the version of a configuration.
 
     Raises:
-        errors.InvalidManifest: It can't be read in full.
+        errors.InvalidManifest: The body is not a JSON object, or its version
+            is not a positive integer.
     """
     version = _decode(body).get("version")
     if not isinstance(version, int) or version < 1:
@@ -26,29 +27,29 @@
 
 
 def to_manifest(body: bytes, policies: dict[str, Any]) -> str:
-    """Returns the manifest, as JSON, that a configuration stands for.
+    """Converts a configuration to a manifest, as JSON.
 
-    Fields that are not known are left out: new ones may come at any time.
+    Unknown fields are ignored: the platform may add fields at any time.
 
     Args:
-        body: The configuration as it was sent.
-        policies: Those that the platform sets elsewhere.
+        body: The configuration as JSON.
+        policies: Policies that the platform sets outside the configuration.
 
     Raises:
-        errors.InvalidManifest: It can't be read in full, or a field that is
-            needed is missing or of another type.
+        errors.InvalidManifest: The body is not a JSON object, or a required
+            field is missing or of the wrong type.
     """
     fields = _decode(body)
     try:
         built = {
-            "services": _named(fields["services"], _service),
-            "routes": _named(fields["routes"], _route),
+            "services": _by_name(fields["services"], _service),
+            "routes": _by_name(fields["routes"], _route),
             "limits": _limits(fields.get("limits") or {}),
             "policies": {
                 **policies,
                 "stale_lease": "serve",
                 "require_keys": bool(fields.get("tenants")),
-                "customers": _named(fields.get("tenants") or [], _customer),
+                "customers": _by_name(fields.get("tenants") or [], _customer),
             },
         }
         return msgspec.json.encode(built).decode()
@@ -68,7 +69,7 @@
     return fields
 
 
-def _named(items: list[dict[str, Any]], build: Any) -> dict[str, Any]:
+def _by_name(items: list[dict[str, Any]], build: Any) -> dict[str, Any]:
     built: dict[str, Any] = {}
     for item in items:
         if item["name"] in built:
@@ -104,7 +105,7 @@
             for share in shares
         ],
         "stream": kind == _STREAM,
-        "repeat": "resume" if resumable else _REPEATS.get(kind, "never"),
+        "repeat": "resume" if resumable else _RETRY_MODES.get(kind, "never"),
         "timeout": item["timeoutMs"] / 1000.0,
         "priority": item.get("priority", 0),
         "attempts": max(1, item.get("attempts", 1)),
@@ -132,14 +133,14 @@
 
 
 def _limits(item: dict[str, Any]) -> dict[str, Any]:
-    known = manifest.Limits()
-    idle = item.get("idleTimeoutMs", known.idle_seconds * 1000)
+    defaults = manifest.Limits()
+    idle_timeout_ms = item.get("idleTimeoutMs", defaults.idle_seconds * 1000)
     return {
-        "header_bytes": item.get("maxHeaderBytes", known.header_bytes),
-        "body_bytes": item.get("maxBodyBytes", known.body_bytes),
+        "header_bytes": item.get("maxHeaderBytes", defaults.header_bytes),
+        "body_bytes": item.get("maxBodyBytes", defaults.body_bytes),
         "header_seconds": item.get(
-            "headerTimeoutMs", known.header_seconds * 1000
+            "headerTimeoutMs", defaults.header_seconds * 1000
         )
         / 1000.0,
-        "idle_seconds": idle / 1000.0,
+        "idle_seconds": idle_timeout_ms / 1000.0,
     }
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -1,4 +1,4 @@
-"""What the platform's operators and upstreams ask of control."""
+"""The HTTP API of control for the platform's operators and upstreams."""
 
 from typing import Any
 from typing import Protocol
@@ -13,16 +13,16 @@
 from mintcleat.domain import member_messages
 from mintcleat.domain import operator_messages
 from mintcleat.domain import registrations
-from mintcleat.platform import plan
+from mintcleat.platform import configuration
 from mintcleat.ports import events as event_ports
 
 _OPERATOR = "platform"
 _HEARTBEAT = "/v1/Instances.Heartbeat/"
 _LEAVE = "/v1/Instances.Leave/"
-_EMPTY = "/v1/Retire.Start/"
-_EMPTIED = "/v1/Retire.Get/"
+_EVACUATE_START = "/v1/Retire.Start/"
+_EVACUATE_STATUS = "/v1/Retire.Get/"
 _STARTED = "born"
-_FIELDS = {
+_FIELD_NAMES = {
     "service": "service",
     "address": "address",
     "zone": "failure_domain",
@@ -33,88 +33,90 @@
     "coldRemainingMs": "cold",
     _STARTED: "started",
 }
-# A heartbeat has some 300 bytes; one with many models a few thousand.
-_LARGEST_HEARTBEAT = 64 * 1024
-# Characters of a stranger's text that a log line repeats.
-_SHOWN = 160
+# A heartbeat has about 300 bytes, or a few thousand with many models.
+_MAX_HEARTBEAT_BYTES = 64 * 1024
+# Limit on unauthenticated text that is copied to a log line.
+_MAX_LOGGED_CHARS = 160
 
 
 class Config(Protocol):
     """The config service of this instance."""
 
     def ask(self, message: Any, timeout: float) -> Any:
-        """Answers a request, here or at the leader."""
+        """Responds to a request, or forwards it to the leader."""
 
 
 class ControlApi:
-    """Handles the requests of the control listener.
+    """Handles the requests on the control listener.
 
     Attributes:
-        seconds: Within which an answer, or a refusal, is given.
-        policies: What the platform sets apart from the configuration.
+        timeout: Seconds within which a response or an error is sent.
+        policies: Policies that the platform sets outside the configuration.
     """
 
     def __init__(
         self,
         config: Config,
-        seconds: float,
-        told: event_ports.EventReporter,
+        timeout: float,
+        event_reporter: event_ports.EventReporter,
         policies: dict[str, Any],
     ) -> None:
         self.config = config
         self.policies = policies
-        self.seconds = seconds
-        self.events = told
+        self.timeout = timeout
+        self.event_reporter = event_reporter
 
     def handle(
         self, request: http1_server.Request, reply: http1_server.Reply
     ) -> None:
-        """Answers one request."""
+        """Responds to one request."""
         try:
             status, body = 200, self._answer(request)
         except errors.MintcleatError as error:
-            status, body = _status_of(error), _problem(error)
+            status, body = _status_of(error), _error_body(error)
         reply.send(status, [("content-type", "application/json")], body)
 
     def _answer(self, request: http1_server.Request) -> bytes:
         path = request.target.partition("?")[0]
         match request.method, path:
             case "POST", "/v1/Configuration.Put":
-                return self._put(request)
+                return self._put_configuration(request)
             case "GET", "/v1/Configuration.Get":
-                return self._get()
+                return self._get_configuration()
             case "POST", text if text.startswith(_HEARTBEAT):
                 upstream = text.removeprefix(_HEARTBEAT)
                 return self._heartbeat(upstream, request)
             case "POST", text if text.startswith(_LEAVE):
                 upstream = text.removeprefix(_LEAVE)
-                return self._leave(upstream, request.body)
-            case "POST", text if text.startswith(_EMPTY):
-                return self._empty(text.removeprefix(_EMPTY), True)
-            case "GET", text if text.startswith(_EMPTIED):
-                return self._empty(text.removeprefix(_EMPTIED), False)
+                return self._deregister(upstream, request.body)
+            case "POST", text if text.startswith(_EVACUATE_START):
+                return self._evacuate(text.removeprefix(_EVACUATE_START), True)
+            case "GET", text if text.startswith(_EVACUATE_STATUS):
+                return self._evacuate(
+                    text.removeprefix(_EVACUATE_STATUS), False
+                )
         raise errors.UnknownRoute(f"No {request.method} {path} here.")
 
-    def _ask(self, message: Any) -> bytes:
-        self.config.ask(message, self.seconds)
+    def _submit(self, message: Any) -> bytes:
+        self.config.ask(message, self.timeout)
         return b"{}"
 
-    def _put(self, request: http1_server.Request) -> bytes:
+    def _put_configuration(self, request: http1_server.Request) -> bytes:
         body = request.body
-        return self._ask(
+        return self._submit(
             config_messages.PushManifest(
                 0,
                 xxhash.xxh3_128_hexdigest(body),
-                plan.to_manifest(body, self.policies),
+                configuration.to_manifest(body, self.policies),
                 _OPERATOR,
                 request.peer,
-                plan.version_of(body),
+                configuration.version_of(body),
                 body.decode(),
             )
         )
 
-    def _get(self) -> bytes:
-        view = self.config.ask(config_messages.ReadManifest(), self.seconds)
+    def _get_configuration(self) -> bytes:
+        view = self.config.ask(config_messages.ReadManifest(), self.timeout)
         if not view.version:
             raise errors.ControlUnavailable("No configuration was pushed yet.")
         return view.source.encode()
@@ -122,44 +124,50 @@
     def _heartbeat(self, upstream: str, request: http1_server.Request) -> bytes:
         try:
             registration = parse_registration(upstream, request.body)
-            return self._ask(member_messages.RegisterUpstream(registration))
+            return self._submit(member_messages.RegisterUpstream(registration))
         except (errors.BadRequest, errors.UnknownService) as error:
-            self.events.emit(
+            self.event_reporter.emit(
                 events.RegistrationRefused(
-                    upstream[:_SHOWN], request.peer, error.detail[:_SHOWN]
+                    upstream[:_MAX_LOGGED_CHARS],
+                    request.peer,
+                    error.detail[:_MAX_LOGGED_CHARS],
                 )
             )
             raise
 
-    def _leave(self, upstream: str, body: bytes) -> bytes:
+    def _deregister(self, upstream: str, body: bytes) -> bytes:
         started = parse_deregistration(body)
-        return self._ask(member_messages.DeregisterUpstream(upstream, started))
+        return self._submit(
+            member_messages.DeregisterUpstream(upstream, started)
+        )
 
-    def _empty(self, label: str, start: bool) -> bytes:
-        found = self.config.ask(
+    def _evacuate(self, label: str, start: bool) -> bytes:
+        status = self.config.ask(
             operator_messages.EvacuateControl(
                 label, start, _OPERATOR, _OPERATOR
             ),
-            self.seconds,
+            self.timeout,
         )
-        state = "done" if found.done else "running"
+        state = "done" if status.done else "running"
         return msgspec.json.encode({"state": state})
 
 
 def parse_registration(
     upstream: str, body: bytes
 ) -> member_messages.Registration:
-    """Returns an upstream's heartbeat as a registration.
+    """Converts the heartbeat of an upstream to a registration.
 
-    Fields that are not known are left out: new ones may come at any time.
+    Unknown fields are ignored: the platform may add fields at any time.
 
     Raises:
-        errors.BadRequest: It can't be read, or a field is missing, of another
-            type or out of range.
+        errors.BadRequest: The body is not a JSON object, or a field is
+            missing, of the wrong type or out of range.
     """
-    fields = _object(body)
+    fields = _decode_object(body)
     named = {
-        name: fields[wire] for wire, name in _FIELDS.items() if wire in fields
+        name: fields[wire]
+        for wire, name in _FIELD_NAMES.items()
+        if wire in fields
     }
     cold = named.get("cold")
     if type(cold) in (int, float):
@@ -168,14 +176,15 @@
 
 
 def parse_deregistration(body: bytes) -> int:
-    """Returns the start of the life that leaves; 0 when it does not say.
+    """Returns the start time of the upstream process that deregisters.
 
-    An upstream that leaves may send no body at all.
+    It is 0 if the body is empty or has no start time; both are allowed.
 
     Raises:
-        errors.BadRequest: There is a body that can't be read.
+        errors.BadRequest: The body is not a JSON object, or the start time is
+            not an integer in range.
     """
-    started = _object(body).get(_STARTED, 0) if body else 0
+    started = _decode_object(body).get(_STARTED, 0) if body else 0
     if (
         type(started) is not int
         or not 0 <= started <= registrations.MAX_INTEGER
@@ -184,8 +193,8 @@
     return started
 
 
-def _object(body: bytes) -> dict[str, Any]:
-    if len(body) > _LARGEST_HEARTBEAT:
+def _decode_object(body: bytes) -> dict[str, Any]:
+    if len(body) > _MAX_HEARTBEAT_BYTES:
         raise errors.BadRequest(f"No heartbeat: {len(body)} bytes.")
     try:
         fields = msgspec.json.decode(body)
@@ -197,7 +206,11 @@
 
 
 def _status_of(error: errors.MintcleatError) -> int:
-    """Returns a status; one that is not certain sends the caller elsewhere."""
+    """Returns the HTTP status of an error.
+
+    It is 503 if the request may have taken effect; the caller then asks
+    another control instance.
+    """
     if isinstance(error, errors.InvalidManifest):
         return 400
     if error.outcome == errors.NOT_RUN:
@@ -205,5 +218,5 @@
     return 503
 
 
-def _problem(error: errors.MintcleatError) -> bytes:
+def _error_body(error: errors.MintcleatError) -> bytes:
     return msgspec.json.encode({"kind": error.kind, "detail": error.detail})
--- a/src/mintcleat/platform/machine.py
+++ b/src/mintcleat/platform/machine.py
@@ -1,4 +1,7 @@
-"""The platform's settings file as settings of the product."""
+"""Reads the settings file that the platform writes on each machine.
+
+All times are in seconds unless a name says otherwise.
+"""
 
 import math
 import os
@@ -14,55 +17,59 @@
 ENTRY = "entry"
 CONTROL = "control"
 
-# Times for machines that count as in touch 3 s after a loss. Within that time
-# a lost leader is noticed (at most 0.7 s, twice the election timeout), the next
-# one elected and the leases of the old one over. Lost packets delay a heartbeat
-# by 0.2 s, so the election timeout must not be much shorter.
-_HEARTBEAT = 0.07
-_ELECTION = 0.35
+# The platform counts the remaining machines as connected 3 s after one is lost.
+# Within that time the loss of a leader is detected (at most 0.7 s, twice the
+# election timeout), a new leader is elected and the leases of the old one
+# expire. A lost packet delays a heartbeat by 0.2 s, so the election timeout
+# must not be much shorter.
+_HEARTBEAT_INTERVAL = 0.07
+_ELECTION_TIMEOUT = 0.35
 _MAX_LEASE = 1.2
-# Of the time within which a key that was taken away must stop working, the
-# part after which an entry that hears nothing takes none any more. The rest
-# is for clocks that run apart and for a process that is held up.
-_KEY_SHARE = 0.85
-_RENEW = 0.3
-_RELAY_RENEW = 0.15
+# Fraction of the platform's bound on key revocation after which an entry that
+# hears nothing from control rejects all keys. The rest allows for clock drift
+# and for stalls of the process.
+_KEY_REVOCATION_FRACTION = 0.85
+_RENEW_INTERVAL = 0.3
+_RELAY_RENEW_INTERVAL = 0.15
 _MOVE_AFTER = 0.6
-# A replaced machine counts as lost until 4 s after its successor has started,
-# and then another loss may follow; so much shorter is the wait for a machine
-# that is silent.
+# A replaced machine counts as failed until 4 s after its successor has started;
+# another failure may follow right after that. The silence after which a member
+# is replaced is therefore much shorter than 4 s.
 _REPLACE_AFTER = 2.0
-_STREAM_HEARTBEAT = 0.3
-_STREAM_SILENCE = 1.2
-_STREAM_CONNECT = 0.5
-_CONTROL_TRY = 0.4
-# Operators and upstreams ask another instance after one second.
+_STREAM_HEARTBEAT_INTERVAL = 0.3
+_STREAM_SILENCE_TIMEOUT = 1.2
+_STREAM_CONNECT_TIMEOUT = 0.5
+_CONTROL_TRY_TIMEOUT = 0.4
+# Operators and upstreams turn to another control instance after 1 s.
 _ANSWER_SECONDS = 0.85
-_POLICIES = {
+_POLICY_BOUNDS = {
     "limit_window": "quotaWindowS",
     "limit_overage": "quotaOverage",
     "limit_slack": "quotaSlack",
 }
-# Named in the deploy file too, as the port of each role's metrics.
+# Must match the metrics port in the deploy file.
 _METRICS_PORT = 9464
-# One group of program records: a few hundred commits a second are far from
-# what one carries, and each further one costs heartbeats and memory.
+# The load is a few hundred commits per second, far below the capacity of one
+# group of program records. Each further group costs heartbeats and memory.
 _PROGRAM_GROUPS = 1
-# Of the time between SIGTERM and SIGKILL, what is left for the last answers.
+# Part of the time between SIGTERM and SIGKILL that is kept for the last
+# responses.
 _STOP_MARGIN = 1.0
 
 
 class MachineSettings(NamedTuple):
-    """What a process is told of its machine.
+    """The settings of a process on a machine of the platform.
 
     Attributes:
-        settings: For the product's parts.
-        callers: `IP:PORT` for the callers' requests; empty for none.
-        ready: `IP:PORT` for the question whether this process takes work.
-        control: `IP:PORT` for operators and upstreams; empty for none.
-        answer_seconds: Within which operators and upstreams hear, or ask
-            elsewhere.
-        policies: Policies of the manifest that the platform sets here.
+        settings: Settings that do not depend on the platform.
+        callers: `IP:PORT` of the callers' listener; empty for none.
+        ready: `IP:PORT` of the readiness listener; empty for none.
+        control: `IP:PORT` of the listener for operators and upstreams; empty
+            for none.
+        answer_seconds: Time within which a request to the control listener
+            gets a response or an error.
+        policies: Policies of the manifest that the platform sets here and not
+            in the configuration.
     """
 
     settings: settings_module.Settings
@@ -74,10 +81,10 @@
 
 
 def settings_path() -> pathlib.Path:
-    """Returns where the platform put the settings file.
+    """Returns the path of the settings file from the environment.
 
     Raises:
-        errors.InvalidSettings: It did not say.
+        errors.InvalidSettings: The environment variable is not set.
     """
     path = os.environ.get(PATH_VARIABLE)
     if not path:
@@ -89,10 +96,15 @@
 
 
 def load(path: pathlib.Path, role: str) -> MachineSettings:
-    """Returns the settings in a file, for a role of the product.
+    """Reads the settings file for a role.
+
+    Args:
+        path: The settings file.
+        role: `ENTRY` or `CONTROL`.
 
     Raises:
-        errors.InvalidSettings: The file can't be read or lacks a field.
+        errors.InvalidSettings: The file can't be read, is not TOML or lacks a
+            field.
     """
     try:
         fields = tomllib.loads(path.read_text())
@@ -110,29 +122,33 @@
 
 
 def translate(fields: dict[str, Any], role: str) -> MachineSettings:
-    """Returns decoded settings, for a role of the product.
+    """Converts the decoded settings file for a role.
 
     Raises:
-        KeyError: A field that is needed is missing.
+        KeyError: A required field is missing.
     """
     first_port = fields["internalPortRange"][0]
     listen = fields["listen"]
     bounds = fields.get("bounds", {})
     grace = float(bounds.get("graceS", 8))
-    own = f"{fields['ip']}:{first_port}"
-    others = [f"{_host(seed)}:{first_port}" for seed in fields["seeds"]]
+    own_address = f"{fields['ip']}:{first_port}"
+    control_addresses = [
+        f"{_host(seed)}:{first_port}" for seed in fields["seeds"]
+    ]
     settings = settings_module.Settings(
         instance=fields["ip"],
         failure_domain=fields["zone"],
         region=fields.get("region", ""),
-        listen=own,
+        listen=own_address,
         roles=[role],
-        control=others,
+        control=control_addresses,
         program_groups=_PROGRAM_GROUPS,
         stop_seconds=grace - _STOP_MARGIN,
         metrics=f"{fields['ip']}:{_METRICS_PORT}",
         times=_times(bounds),
-        control_role=_control_role(fields, others) if role == CONTROL else None,
+        control_role=_control_role(fields, control_addresses)
+        if role == CONTROL
+        else None,
     )
     return MachineSettings(
         settings,
@@ -142,7 +158,7 @@
         _ANSWER_SECONDS,
         {
             name: bounds[bound]
-            for name, bound in _POLICIES.items()
+            for name, bound in _POLICY_BOUNDS.items()
             if bound in bounds
         },
     )
@@ -154,43 +170,46 @@
 
 def _times(bounds: dict[str, Any]) -> settings_module.Times:
     return settings_module.Times(
-        heartbeat=_HEARTBEAT,
-        election=_ELECTION,
+        heartbeat=_HEARTBEAT_INTERVAL,
+        election=_ELECTION_TIMEOUT,
         max_lease=_MAX_LEASE,
-        renew=_RENEW,
-        relay_renew=_RELAY_RENEW,
+        renew=_RENEW_INTERVAL,
+        relay_renew=_RELAY_RENEW_INTERVAL,
         move_after=_MOVE_AFTER,
         replace_after=_REPLACE_AFTER,
         balance_after=0.0,
-        stream_heartbeat=_STREAM_HEARTBEAT,
-        stream_silence=_STREAM_SILENCE,
-        stream_connect=_STREAM_CONNECT,
-        control_try=_CONTROL_TRY,
+        stream_heartbeat=_STREAM_HEARTBEAT_INTERVAL,
+        stream_silence=_STREAM_SILENCE_TIMEOUT,
+        stream_connect=_STREAM_CONNECT_TIMEOUT,
+        control_try=_CONTROL_TRY_TIMEOUT,
         key_grace=_key_grace(bounds),
     )
 
 
 def _key_grace(bounds: dict[str, Any]) -> float:
-    """Returns for how long keys outlive the lease on the configuration.
+    """Returns how long keys are accepted after the configuration lease expires.
 
-    Where the platform sets no strict bound, an entry that is cut off may
-    serve on with the keys that it knows.
+    Without a strict bound on key revocation, an entry that is cut off from
+    control accepts the keys it knows indefinitely.
     """
     if not bounds.get("strictRevocation"):
         return math.inf
-    return max(0.0, _KEY_SHARE * bounds["revokeMs"] / 1000.0 - _MAX_LEASE)
+    return max(
+        0.0, _KEY_REVOCATION_FRACTION * bounds["revokeMs"] / 1000.0 - _MAX_LEASE
+    )
 
 
 def _control_role(
     fields: dict[str, Any], seeds: list[str]
 ) -> settings_module.Control:
-    """Returns the control role; members are known by their addresses alone.
+    """Returns the settings of the control role.
 
-    The names of the platform's machines are known for the own machine only,
-    so an instance is called by its address, and the name is its label.
+    The settings file has the name of its own machine only and the addresses
+    of all. Instances are therefore identified by address, and the name is the
+    instance's label.
     """
     ports = fields["internalPortRange"]
-    losses = fields.get("faultTolerance", {}).get("machines", 1)
+    tolerated_failures = fields.get("faultTolerance", {}).get("machines", 1)
     return settings_module.Control(
         data=fields["dataDirectory"],
         admin=f"{fields['ip']}:{ports[0] + 1}",
@@ -199,6 +218,6 @@
         ],
         founder=bool(fields.get("bootstrap")),
         label=fields["nodeName"],
-        group_size=2 * max(1, losses) + 1,
+        group_size=2 * max(1, tolerated_failures) + 1,
         keeps_inodes=False,
     )
--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""The platform's upstreams: requests out, answers in."""
+"""An HTTP client for the platform's upstreams."""
 
 from collections.abc import Iterator
 import contextlib
@@ -13,14 +13,14 @@
 _EXPECT_UPSTREAM = "x-expect-instance"
 _URGENCY = "x-request-urgency"
 _SIGNATURE = "x-response-signature"
-_NOT_RUN = "x-not-executed"
+_NOT_EXECUTED = "x-not-executed"
 _WRONG_UPSTREAM = 421
 _SUCCESS = range(200, 300)
-# Answers to earlier requests that are read over before the right one.
-_MAX_PASSED_OVER = 3
+# Limit of responses to earlier requests that are skipped on a connection.
+_MAX_SKIPPED_RESPONSES = 3
 
 
-class HttpUpstreams:
+class HttpUpstreamClient:
     """See `ports.forwarding.UpstreamClient`."""
 
     def __init__(self) -> None:
@@ -31,8 +31,8 @@
         upstream: member_messages.Registration,
         call: routed_calls.RoutedCall,
         request: routed_calls.UpstreamRequest,
-    ) -> "HttpAnswer":
-        """Sends a request and returns the answer once its head has come."""
+    ) -> "HttpUpstreamResponse":
+        """Sends a request and returns once the response's head has arrived."""
         connection = self.pool.take(upstream.incarnation, upstream.address)
         try:
             connection.send(
@@ -41,22 +41,22 @@
                 _headers(upstream, call, request),
                 request.body,
             )
-            head = _answer_to(connection, call.request)
-            return HttpAnswer(self.pool, upstream, connection, head)
+            head = _read_head(connection, call.request)
+            return HttpUpstreamResponse(self.pool, upstream, connection, head)
         except BaseException:
             connection.close()
             raise
 
     def forget(self, incarnation: str) -> None:
-        """Drops the idle connections of a life of an upstream that is over."""
+        """Closes the idle connections to an upstream process that has ended."""
         self.pool.forget(incarnation)
 
 
-class HttpAnswer:
+class HttpUpstreamResponse:
     """See `ports.forwarding.UpstreamResponse`.
 
     Attributes:
-        head: Start of the answer.
+        head: Status and headers of the response.
     """
 
     def __init__(
@@ -75,8 +75,8 @@
         ]
         self.fields = dict(fields)
         status = response.status_code
-        self._check(status)
-        kind = self.fields.get("content-type", "")
+        self._validate(status)
+        content_type = self.fields.get("content-type", "")
         length = self.fields.get("content-length", "")
         self.head = routed_calls.ResponseHead(
             status,
@@ -84,18 +84,18 @@
             tuple(
                 field
                 for field in fields
-                if field[0] not in callers.CONNECTION_FIELDS
+                if field[0] not in callers.HOP_BY_HOP_FIELDS
             ),
             int(length) if length.isdigit() else None,
-            status in _SUCCESS and kind.startswith("text/event-stream"),
+            status in _SUCCESS and content_type.startswith("text/event-stream"),
         )
 
     def body(self) -> bytes:
-        """Returns the whole body."""
+        """Reads and returns the whole body."""
         return b"".join(self.chunks())
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body as it comes; ends only at its whole end."""
+        """Yields the body as it arrives and returns at its end."""
         connection = self.connection
         while True:
             data = connection.data()
@@ -103,29 +103,31 @@
                 break
             yield data
         self.connection = None
-        if connection.finish(_keep_alive(self.fields.get("keep-alive", ""))):
+        if connection.finish(
+            _keep_alive_seconds(self.fields.get("keep-alive", ""))
+        ):
             self.pool.give(self.upstream.incarnation, connection)
         else:
             connection.close()
 
     def close(self) -> None:
-        """Gives up what has not come."""
+        """Discards the rest of the body; the upstream cancels the request."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
-    def _check(self, status: int) -> None:
-        """Refuses what is no answer of the upstream that was asked.
+    def _validate(self, status: int) -> None:
+        """Rejects a response that is not the addressed upstream's.
 
         Raises:
-            errors.NoUpstream: The request surely did not run.
-            errors.StreamClosed: Nothing can be said of it.
+            errors.NoUpstream: The request did not run.
+            errors.StreamClosed: The request may have run.
         """
         if status == _WRONG_UPSTREAM:
             raise errors.WrongUpstream(
                 f"{self.upstream.address} is another upstream by now."
             )
-        if _NOT_RUN in self.fields:
+        if _NOT_EXECUTED in self.fields:
             with contextlib.suppress(errors.StreamClosed):
                 self.body()
             raise errors.UpstreamBusy(
@@ -151,20 +153,20 @@
     if call.customer:
         headers.append((callers.CUSTOMER, call.customer))
     if request.last_event:
-        headers.append((callers.LAST_EVENT, request.last_event))
+        headers.append((callers.LAST_EVENT_ID, request.last_event))
     return headers
 
 
-def _answer_to(connection: http1_client.Connection, request: str) -> Any:
-    """Returns the head of the answer to a request.
+def _read_head(connection: http1_client.Connection, request: str) -> Any:
+    """Returns the head of the response to a request.
 
-    An upstream may answer an earlier request of this connection once more;
-    the id that it repeats tells which request an answer belongs to.
+    An upstream may respond again to an earlier request on the connection.
+    Responses are matched to requests by the request id that they echo.
     """
-    for _ in range(_MAX_PASSED_OVER):
+    for _ in range(_MAX_SKIPPED_RESPONSES):
         head = connection.head()
-        found = dict(head.headers).get(callers.REQUEST_ID.encode())
-        if found is None or found.decode("latin-1") == request:
+        echoed_id = dict(head.headers).get(callers.REQUEST_ID.encode())
+        if echoed_id is None or echoed_id.decode("latin-1") == request:
             return head
         connection.pass_over()
     raise errors.StreamClosed(
@@ -172,8 +174,8 @@
     )
 
 
-def _keep_alive(value: str) -> float:
-    """Returns the seconds for which an idle connection is kept."""
+def _keep_alive_seconds(value: str) -> float:
+    """Returns the idle timeout of a Keep-Alive header in seconds; 0 if none."""
     for item in value.split(","):
         name, _, number = item.strip().partition("=")
         if name.lower() == "timeout" and number.isdigit():
