--- a/src/mintcleat/main/assembly.py
+++ b/src/mintcleat/main/assembly.py
@@ -1,4 +1,4 @@
-"""The composition root: builds a process's parts from its settings."""
+"""The composition root: builds the roles of a process from its settings."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -19,30 +19,30 @@
 from mintcleat.roles.entry import placement as placement_module
 from mintcleat.roles.sidecar import sidecar as sidecar_module
 
-_LINGER_SECONDS = 0.1
+_FLUSH_SECONDS = 0.1
 _POLL_SECONDS = 0.02
 
 
 class Part(Protocol):
-    """One role in a process."""
+    """The components of one role in a process."""
 
     def start(self) -> None:
-        """Begins to serve."""
+        """Starts to serve."""
 
     def drain(self) -> None:
-        """Begins a planned stop; what is under way goes on."""
+        """Begins a graceful stop; requests in flight continue."""
 
-    def under_way(self) -> int:
-        """Returns how many requests a stop would cut now."""
+    def in_flight(self) -> int:
+        """Returns how many requests `stop` would interrupt now."""
 
     def stop(self) -> None:
-        """Ends at once."""
+        """Stops at once."""
 
     def addresses(self) -> dict[str, str]:
-        """Returns what the ready line tells of this role."""
+        """Returns this role's addresses in the ready line, by name."""
 
-    def gauge(self) -> None:
-        """Writes the gauges of this role, for a scrape."""
+    def update_gauges(self) -> None:
+        """Sets the gauges of this role before a metrics scrape."""
 
 
 class EntryPart:
@@ -68,51 +68,51 @@
         )
         app = caller_http.CallerApp(self.entry, common.metrics)
         self.server = wsgi.HttpServer(common.settings.entry.http, app)
-        self.noticed = True
+        self.notice_elapsed = True
 
     def start(self) -> None:
-        """Follows the configuration and watches the upstreams."""
+        """Starts to follow the configuration and to track the upstreams."""
         self.follower.start()
         self.placement.start()
 
     def drain(self) -> None:
-        """Tells the balancer first, and only then refuses new work.
+        """Fails /readyz first and refuses new requests after a delay.
 
-        The balancer learns from /readyz, by polling. Requests that it still
-        sends in the meantime are served: refusing them would cut them.
+        The load balancer polls /readyz. Until it has seen the change it still
+        sends requests, which are served.
         """
         self.entry.leaving = True
-        self.noticed = False
+        self.notice_elapsed = False
         notice = self.common.settings.entry.notice_seconds
         self.common.timers.after(notice, self._refuse_new)
 
     def _refuse_new(self) -> None:
         self.entry.draining = True
-        self.noticed = True
+        self.notice_elapsed = True
 
-    def under_way(self) -> int:
-        """Returns the requests that are being answered."""
-        return self.server.active + (0 if self.noticed else 1)
+    def in_flight(self) -> int:
+        """Returns the requests in flight, at least 1 during the notice."""
+        return self.server.active + (0 if self.notice_elapsed else 1)
 
     def stop(self) -> None:
-        """Closes the listener."""
+        """Closes the listener and stops to follow the configuration."""
         self.server.stop()
         self.placement.stop()
         self.follower.stop()
 
     def addresses(self) -> dict[str, str]:
-        """Returns the callers' address."""
+        """Returns the address of the callers' listener."""
         return {"http": self.server.address}
 
-    def gauge(self) -> None:
-        """Writes the entry's gauges."""
+    def update_gauges(self) -> None:
+        """Sets the entry's gauges."""
         metrics = self.common.metrics
         metrics.gauge("running_calls", self.entry.running)
         metrics.gauge("config_revision", self.follower.revision())
 
 
 class SidecarPart:
-    """The sidecar role."""
+    """The sidecar role with its upstream's adapter."""
 
     def __init__(self, common: common_module.Common) -> None:
         self.common = common
@@ -140,34 +140,34 @@
         )
 
     def announce(self) -> member_messages.Announcement:
-        """Returns the upstream's announcement."""
+        """Returns the current announcement of the upstream."""
         return self.sidecar.announcement()
 
     def start(self) -> None:
-        """Serves and announces the upstream."""
+        """Starts to serve and to announce the upstream."""
         self.sidecar.start()
         self.follower.start()
 
     def drain(self) -> None:
-        """Refuses new work; entries hear of it by announcement and report."""
+        """Refuses new calls; announcements and load reports say so."""
         self.sidecar.drain()
         self.follower.announce()
 
-    def under_way(self) -> int:
-        """Returns the calls that wait or run."""
+    def in_flight(self) -> int:
+        """Returns the calls that are queued or running."""
         return len(self.sidecar.under_way())
 
     def stop(self) -> None:
-        """Ends what is left, with a true outcome."""
+        """Ends the remaining calls, each with its correct outcome."""
         self.sidecar.stop(0.0)
         self.follower.stop()
 
     def addresses(self) -> dict[str, str]:
-        """Returns nothing beside the streams' address."""
+        """Returns no addresses: the sidecar has no listener of its own."""
         return {}
 
-    def gauge(self) -> None:
-        """Writes the sidecar's gauges."""
+    def update_gauges(self) -> None:
+        """Sets the sidecar's gauges."""
         load = self.sidecar.load()
         metrics = self.common.metrics
         metrics.gauge("running_calls", load.running)
@@ -178,20 +178,22 @@
 
 
 class Process:
-    """One process with the roles of its settings."""
+    """One process with the roles that its settings name."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self.settings = settings
         self.common = common_module.Common(settings)
-        # Control first: the other roles of the same process need it.
-        order = ("control", "sidecar", "entry")
+        # Control is first: the other roles of the process depend on it.
+        start_order = ("control", "sidecar", "entry")
         self.parts = [
-            self._part(role) for role in order if role in settings.roles
+            self._part(role) for role in start_order if role in settings.roles
         ]
-        self.scrape: wsgi.HttpServer | None = None
+        self.metrics_server: wsgi.HttpServer | None = None
         if settings.metrics:
-            app = metrics_http.MetricsApp(self.common.metrics, self._gauge)
-            self.scrape = wsgi.HttpServer(settings.metrics, app)
+            app = metrics_http.MetricsApp(
+                self.common.metrics, self._update_gauges
+            )
+            self.metrics_server = wsgi.HttpServer(settings.metrics, app)
 
     def _part(self, role: str) -> Part:
         match role:
@@ -208,53 +210,62 @@
             part.start()
         logger.info("Started as {}", self.common.node)
 
-    def _gauge(self) -> None:
+    def _update_gauges(self) -> None:
         for part in self.parts:
-            part.gauge()
+            part.update_gauges()
 
     def ready_line(self) -> str:
-        """Returns the line that tells the addresses."""
-        found = {"streams": self.common.streams.address}
-        if self.scrape is not None:
-            found["metrics"] = self.scrape.address
+        """Returns the line with the addresses that is printed once started."""
+        addresses = {"streams": self.common.streams.address}
+        if self.metrics_server is not None:
+            addresses["metrics"] = self.metrics_server.address
         for part in self.parts:
-            found.update(part.addresses())
-        pairs = " ".join(f"{name}={at}" for name, at in found.items())
+            addresses.update(part.addresses())
+        pairs = " ".join(
+            f"{name}={address}" for name, address in addresses.items()
+        )
         return f"ready {self.settings.instance} {pairs}"
 
     def failure(self) -> errors.MintcleatError | None:
-        """Returns why the process can't go on, if it can't.
+        """Returns the error that makes the process unusable, if any.
 
-        A control replica whose disk failed stops by itself; a supervisor
-        can only restart or replace what has ended.
+        A control replica stops when its disk fails. The process must then exit,
+        because a supervisor restarts or replaces only processes that have.
         """
         for part in self.parts:
             if isinstance(part, control_part.ControlPart):
                 return part.failure()
         return None
 
-    def stop(self, impatient: Callable[[], bool]) -> int:
-        """Stops every role, callers' side first; returns what was cut."""
+    def stop(self, is_forced: Callable[[], bool]) -> int:
+        """Stops every role, in reverse order of their start.
+
+        Args:
+            is_forced: Returns whether to stop without waiting any longer.
+
+        Returns:
+            The number of requests that were interrupted.
+        """
         deadline = self.common.timers.now() + self.settings.stop_seconds
-        cut = 0
+        interrupted = 0
         for part in reversed(self.parts):
             part.drain()
-            self._wait(part, deadline, impatient)
-            cut += part.under_way()
+            self._wait(part, deadline, is_forced)
+            interrupted += part.in_flight()
             part.stop()
-        if self.scrape is not None:
-            self.scrape.stop()
-        # The last frames and replies are on their way to the sockets.
-        self.common.timers.sleep(_LINGER_SECONDS)
+        if self.metrics_server is not None:
+            self.metrics_server.stop()
+        # Lets the last frames and responses reach the sockets.
+        self.common.timers.sleep(_FLUSH_SECONDS)
         self.common.streams.stop()
-        return cut
+        return interrupted
 
     def _wait(
-        self, part: Part, deadline: float, impatient: Callable[[], bool]
+        self, part: Part, deadline: float, is_forced: Callable[[], bool]
     ) -> None:
-        """Waits for a part; a second signal ends the waiting."""
+        """Waits until a part has no requests in flight."""
         timers = self.common.timers
-        while part.under_way() and timers.now() < deadline:
-            if impatient():
+        while part.in_flight() and timers.now() < deadline:
+            if is_forced():
                 return
             timers.sleep(_POLL_SECONDS)
--- a/src/mintcleat/main/common.py
+++ b/src/mintcleat/main/common.py
@@ -1,4 +1,4 @@
-"""What all roles of one process share."""
+"""The components that all roles of one process share."""
 
 from collections.abc import Callable
 import time
@@ -16,7 +16,7 @@
 
 
 class Common:
-    """What all roles of a process share."""
+    """The components that all roles of one process share."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self.settings = settings
@@ -34,7 +34,7 @@
         self.metrics = metrics_module.PrometheusMetrics()
 
     def client(self) -> control_client.ControlClient:
-        """Returns a client of the program groups."""
+        """Returns a new client of the program groups."""
         return control_client.ControlClient(
             self.streams,
             self.timers,
@@ -60,7 +60,12 @@
         role: str,
         announcer: Callable[[], member_messages.Announcement] | None = None,
     ) -> follower_module.Follower:
-        """Returns the node's view of the configuration."""
+        """Returns a new follower of the configuration.
+
+        Args:
+            role: The role that it is for.
+            announcer: Returns the announcement of a sidecar's upstream.
+        """
         return follower_module.Follower(
             self.node,
             role,
--- a/src/mintcleat/main/control_part.py
+++ b/src/mintcleat/main/control_part.py
@@ -1,4 +1,4 @@
-"""The control role: the replicated logs and what runs on them."""
+"""The control role: the replicated logs and the services that use them."""
 
 import pathlib
 
@@ -23,7 +23,7 @@
 from mintcleat.roles.control.programs import service as program_service
 from mintcleat.roles.control.replication import replication
 
-_HAND_OVER_SECONDS = 2.0
+_LEADERSHIP_TRANSFER_SECONDS = 2.0
 
 
 class ControlPart:
@@ -108,52 +108,52 @@
         self.admin = wsgi.HttpServer(settings.control_role.admin, app)
 
     def start(self) -> None:
-        """Recovers from disk and takes part."""
+        """Recovers from disk and joins the groups."""
         self.log.start()
         self.config.start()
         self.planner.start()
 
     def failure(self) -> errors.MintcleatError | None:
-        """Returns why the replica stopped by itself, if it has."""
+        """Returns the error that stopped the replica, if any."""
         return self.log.failure()
 
     def drain(self) -> None:
-        """Hands every leadership over, so that no caller waits for a vote."""
-        self.log.transfer_leadership(_HAND_OVER_SECONDS)
+        """Transfers every leadership, so that callers wait for no election."""
+        self.log.transfer_leadership(_LEADERSHIP_TRANSFER_SECONDS)
 
-    def under_way(self) -> int:
-        """Returns 0: requests of other roles are repeated elsewhere."""
+    def in_flight(self) -> int:
+        """Returns 0: other roles retry their requests at another instance."""
         return 0
 
     def stop(self) -> None:
-        """Syncs and closes."""
+        """Stops the admin listener, the services and the logs."""
         self.admin.stop()
         self.config.stop()
         self.log.stop()
 
     def addresses(self) -> dict[str, str]:
-        """Returns the operators' address."""
+        """Returns the address of the admin listener."""
         return {"admin": self.admin.address}
 
-    def gauge(self) -> None:
-        """Writes the control role's gauges."""
-        leads = sum(self.log.leads(group) for group in self.log.groups())
-        self.common.metrics.gauge("led_groups", leads)
+    def update_gauges(self) -> None:
+        """Sets the control role's gauges."""
+        led_groups = sum(self.log.leads(group) for group in self.log.groups())
+        self.common.metrics.gauge("led_groups", led_groups)
         revision = self.config.machine.document.revision
         self.common.metrics.gauge("config_revision", revision)
 
     def policies(self) -> manifest_module.Policies:
-        """Returns the policies in force as this instance knows them."""
+        """Returns the policies of the revision that this instance applied."""
         return self.config.machine.document.manifest().policies
 
     def _histories(self, group: str) -> histories.FileHistoryStore:
         return histories.FileHistoryStore(self.folder / "histories" / group)
 
     def _control_addresses(self) -> list[str]:
-        """Returns every control instance's address, this one included.
+        """Returns the addresses of all control instances, this one included.
 
-        A single local instance listens on any free port, so its settings
-        can't name its own address.
+        A single instance may listen on any free port, in which case its
+        settings can't have its address.
         """
         own = self.common.streams.address
         if len(self.common.settings.control) == 1:
@@ -178,14 +178,17 @@
         settings = self.common.settings
         listed = [
             replication.Member(
-                one.instance, one.address, one.failure_domain, one.region
+                member.instance,
+                member.address,
+                member.failure_domain,
+                member.region,
             )
-            for one in settings.control_role.members
+            for member in settings.control_role.members
         ]
-        alone = replication.Member(
+        own = replication.Member(
             settings.instance,
             self.common.streams.address,
             settings.failure_domain,
             settings.region,
         )
-        return listed or [alone]
+        return listed or [own]
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -1,9 +1,12 @@
-"""Runs one role on a machine of the platform.
+"""Runs one role on a machine of the hosting platform.
 
-Its command line is `python -m mintcleat.main.hosted ROLE [POLICY]`; the second
-word names a file that switches off mechanisms of an entry, for experiments.
-The composition root for machines whose settings, callers, upstreams and
-operators speak the platform's protocol; `assembly` is the one for our own.
+    python -m mintcleat.main.hosted ROLE [POLICY]
+
+POLICY is a file that disables mechanisms of an entry, for experiments.
+
+This is the composition root for machines whose settings, callers, upstreams
+and operators use the platform's protocols. `assembly` is the one for
+mintcleat's own protocols.
 """
 
 from collections.abc import Callable
@@ -39,25 +42,25 @@
 _EXIT_SETTINGS = 2
 _EXIT_FAILED = 4
 _POLL_SECONDS = 0.05
-_RELOAD_SECONDS = 1.0
-# The platform asks once a second and believes the second refusal, so after
-# this time it sends nobody here any more.
-_NOTICE_SECONDS = 2.6
-_STALE_SECONDS = 1.0
-_HAND_OVER_SECONDS = 1.5
-_LINGER_SECONDS = 0.1
-# How often a change of leader or lease is looked for, to be told.
-_WATCH_SECONDS = 0.1
-# A start or a snapshot takes some tenths of a second, and more memory than
-# the time between.
-_MEMORY_SECONDS = 0.2
+_SETTINGS_CHECK_SECONDS = 1.0
+# The platform checks readiness once a second and stops sending requests after
+# two failed checks, so none arrive any more after this time.
+_DRAIN_NOTICE_SECONDS = 2.6
+_CLOSE_STALE_SECONDS = 1.0
+_LEADERSHIP_TRANSFER_SECONDS = 1.5
+_FLUSH_SECONDS = 0.1
+# Interval of the checks for a changed leader or lease, which is reported.
+_STATUS_CHECK_SECONDS = 0.1
+# Short enough to sample memory during a start or a snapshot, which take some
+# tenths of a second and have the peaks.
+_MEMORY_CHECK_SECONDS = 0.2
 _MEMORY_STEP_MB = 8.0
-# Often enough to see a stall of half a second, seldom enough to cost nothing.
-_LOOP_SECONDS = 0.5
+# Short enough to measure a stall of half a second, at negligible cost.
+_LOOP_CHECK_SECONDS = 0.5
 
 
 class EntryPart:
-    """The entry role: callers' requests, and whether it takes them."""
+    """The entry role with its listeners for callers and readiness checks."""
 
     def __init__(
         self,
@@ -69,7 +72,7 @@
         self.common = common
         self.follower = common.follower("entry")
         self.client = common.client()
-        self.follower.subscribe(self._learn_control)
+        self.follower.subscribe(self._apply_configuration)
         self.http = upstreams.HttpUpstreamClient()
         allowed = allowances.Allowances(
             self.client, common.timers, events, self.follower
@@ -84,41 +87,43 @@
             policy,
         )
         self.revision = 0
-        self.held_lease = False
+        self.had_lease = False
         self.events = events
         handler = callers.CallerApi(self.gateway).handle
         self.listener = http1_server.HttpListener(
             machine.callers, handler, self.gateway.limits, self.gateway.ready
         )
         self.readiness_listener = http1_server.HttpListener(
-            machine.ready, self._answer
+            machine.ready, self._answer_readiness
         )
 
     def start(self) -> None:
-        """Follows the configuration."""
+        """Starts to follow the configuration."""
         self.follower.start()
-        self.common.timers.every(_STALE_SECONDS, self.http.pool.close_stale)
-        self.common.timers.every(_WATCH_SECONDS, self._watch_control)
+        self.common.timers.every(
+            _CLOSE_STALE_SECONDS, self.http.pool.close_stale
+        )
+        self.common.timers.every(_STATUS_CHECK_SECONDS, self._watch_lease)
 
-    def _watch_control(self) -> None:
-        """Tells when the lease on the configuration is lost or back."""
-        held = self.follower.has_lease()
-        if held == self.held_lease:
+    def _watch_lease(self) -> None:
+        """Reports when the lease on the configuration is lost or regained."""
+        has_lease = self.follower.has_lease()
+        if has_lease == self.had_lease:
             return
-        self.held_lease = held
+        self.had_lease = has_lease
         address = self.follower.stream.address or "no control instance"
         kind = event_types.DependencyRegained
-        if not held:
+        if not has_lease:
             kind = event_types.DependencyLost
         self.events.emit(kind("configuration lease", address))
 
-    def _answer(
+    def _answer_readiness(
         self, request: http1_server.Request, reply: http1_server.Reply
     ) -> None:
         status = 200 if self.gateway.ready() else 503
         reply.send(status, [("content-type", "text/plain")], b"\n")
 
-    def _learn_control(self) -> None:
+    def _apply_configuration(self) -> None:
         self.client.addresses = self.follower.addresses()
         follower = self.follower
         if follower.revision() != self.revision:
@@ -134,13 +139,13 @@
             )
 
     def reload(self, machine: machine_module.MachineSettings) -> list[str]:
-        """Takes changed settings; returns the names of those that changed."""
+        """Applies new settings; returns the names of those that changed."""
         if machine.settings.control == self.follower.control_addresses:
             return []
         self.follower.control_addresses = list(machine.settings.control)
         return ["control"]
 
-    def gauge(self) -> None:
+    def update_gauges(self) -> None:
         """Writes the gauges of this role."""
         metrics = self.common.metrics
         metrics.gauge("running_calls", self.listener.active)
@@ -148,45 +153,49 @@
         metrics.gauge("lease_left_seconds", self.follower.lease_left())
         for (
             upstream,
-            waits,
+            pending,
         ) in self.gateway.loads.silence_detector.pending_requests.items():
-            running = len(waits)
+            running = len(pending)
             metrics.gauge("upstream_running_calls", running, upstream=upstream)
 
-    def held(self) -> dict[str, int]:
-        """Returns what may grow with the load, by name."""
+    def sizes(self) -> dict[str, int]:
+        """Returns the sizes of what grows with the load, by name."""
         return {
             "requests": self.listener.active,
             "connections": len(self.listener.connections),
             "chain_bytes": self.gateway.turns.chains.size,
         }
 
-    def under_way(self) -> int:
-        """Returns the requests that have no answer yet."""
+    def in_flight(self) -> int:
+        """Returns the number of requests without a response."""
         return self.listener.active
 
     def failure(self) -> errors.MintcleatError | None:
-        """Returns None: an entry goes on without any other process."""
+        """Returns None: an entry continues without any other process."""
         return None
 
     def stop(self, until: float) -> int:
-        """Answers what is under way; returns the requests that were cut.
+        """Drains the requests in flight, until a time at most.
+
+        The platform sends requests until its readiness checks have failed;
+        these are served. Meanwhile connections are closed after their
+        responses.
 
-        Callers are sent here until the platform has noticed; they are
-        served. Connections close after their answers meanwhile.
+        Returns:
+            The number of requests that were interrupted.
         """
         timers = self.common.timers
         self.gateway.draining = True
-        timers.sleep(_NOTICE_SECONDS)
+        timers.sleep(_DRAIN_NOTICE_SECONDS)
         self.listener.close_idle()
         while self.listener.connections and timers.now() < until:
             timers.sleep(_POLL_SECONDS)
         self.follower.stop()
-        return self.under_way()
+        return self.in_flight()
 
 
 class ControlPart:
-    """The control role: the replicated logs, operators and upstreams."""
+    """The control role with its listener for operators and upstreams."""
 
     def __init__(
         self,
@@ -194,7 +203,7 @@
         common: common_module.Common,
         events: event_ports.EventReporter,
     ) -> None:
-        # Imported here: an entry has no use for the logs and their disk.
+        # Imported here because an entry doesn't need the logs and their disk.
         from mintcleat.main import control_part
 
         self.common = common
@@ -207,27 +216,27 @@
         self.listener = http1_server.HttpListener(machine.control, api.handle)
 
     def start(self) -> None:
-        """Recovers from disk and takes part."""
+        """Recovers from disk and joins the groups."""
         self.part.start()
-        self.common.timers.every(_WATCH_SECONDS, self._watch_leaders)
+        self.common.timers.every(_STATUS_CHECK_SECONDS, self._watch_leaders)
 
     def _watch_leaders(self) -> None:
         for status in self.part.log.status():
-            now = status.leader, status.term, status.role
-            if self.leaders.get(status.group) != now:
-                self.leaders[status.group] = now
+            leader = status.leader, status.term, status.role
+            if self.leaders.get(status.group) != leader:
+                self.leaders[status.group] = leader
                 self.events.emit(
-                    control_events.LeaderChanged(status.group, *now)
+                    control_events.LeaderChanged(status.group, *leader)
                 )
 
     def reload(self, machine: machine_module.MachineSettings) -> list[str]:
-        """Learns changed members; the groups keep the ones that they have."""
+        """Ignores new settings: the groups keep their members."""
         return []
 
-    def gauge(self) -> None:
+    def update_gauges(self) -> None:
         """Writes the gauges of this role."""
         metrics = self.common.metrics
-        self.part.gauge()
+        self.part.update_gauges()
         for status in self.part.log.status():
             group = status.group
             metrics.gauge(
@@ -238,39 +247,39 @@
                 "leader_lease_seconds", status.lease_left, group=group
             )
 
-    def held(self) -> dict[str, int]:
-        """Returns what may grow with the load, by name."""
+    def sizes(self) -> dict[str, int]:
+        """Returns the sizes of what grows with the load, by name."""
         return self.part.log.held()
 
-    def under_way(self) -> int:
-        """Returns the operators' and upstreams' calls without an answer."""
+    def in_flight(self) -> int:
+        """Returns the number of requests without a response."""
         return self.listener.active
 
     def failure(self) -> errors.MintcleatError | None:
-        """Returns why the replica stopped by itself, if it has."""
+        """Returns the error that stopped the replica, if any."""
         return self.part.failure()
 
     def stop(self, until: float) -> int:
-        """Hands every leadership over and ends."""
-        self.part.log.transfer_leadership(_HAND_OVER_SECONDS)
+        """Transfers every leadership and stops; returns 0."""
+        self.part.log.transfer_leadership(_LEADERSHIP_TRANSFER_SECONDS)
         self.listener.close_idle()
         self.part.stop()
         return 0
 
 
 class Process:
-    """One role, from its settings to its end."""
+    """A process that runs one role."""
 
     def __init__(
         self, role: str, path: pathlib.Path, policy: policy_module.Policy
     ) -> None:
         self.role = role
         self.path = path
-        self.began = time.monotonic()
-        self.stops = 0
-        self.reloads = 0
-        self.changed_at = _changed_at(path)
-        self.next_look = 0.0
+        self.started_at = time.monotonic()
+        self.stop_signals = 0
+        self.reload_signals = 0
+        self.modified_at = _modified_at(path)
+        self.next_check = 0.0
         self.machine = machine_module.load(path, role)
         settings = self.machine.settings
         self.log = event_log.EventLog(settings.instance)
@@ -282,12 +291,14 @@
             machine_module.CONTROL: ControlPart,
         }
         self.part = parts[role](self.machine, self.common, self.events)
-        self.scrape = http1_server.HttpListener(settings.metrics, self._scrape)
-        signal.signal(signal.SIGTERM, self._take_stop)
-        signal.signal(signal.SIGHUP, self._take_reload)
+        self.metrics_listener = http1_server.HttpListener(
+            settings.metrics, self._scrape
+        )
+        signal.signal(signal.SIGTERM, self._count_stop)
+        signal.signal(signal.SIGHUP, self._count_reload)
 
     def run(self) -> int:
-        """Runs until a request to stop; returns the exit code."""
+        """Runs until SIGTERM or a failure; returns the exit code."""
         self.part.start()
         self.common.timers.spawn(self._watch_loop)
         self.common.timers.spawn(self._watch_memory)
@@ -297,10 +308,10 @@
                 self.role,
                 instance,
                 self.common.streams.address,
-                round(time.monotonic() - self.began, 3),
+                round(time.monotonic() - self.started_at, 3),
             )
         )
-        while not self.stops and self.part.failure() is None:
+        while not self.stop_signals and self.part.failure() is None:
             eventlet.sleep(_POLL_SECONDS)
             self._reload_if_changed()
         if self.part.failure() is not None:
@@ -312,68 +323,70 @@
     def _scrape(
         self, request: http1_server.Request, reply: http1_server.Reply
     ) -> None:
-        self.part.gauge()
+        self.part.update_gauges()
         body, kind = self.common.metrics.render()
         reply.send(200, [("content-type", kind)], body)
 
     def _watch_loop(self) -> None:
-        """Measures how late the loop runs what is due."""
+        """Measures how late the event loop runs a timer."""
         timers = self.common.timers
-        while not self.stops:
-            due = timers.now() + _LOOP_SECONDS
-            timers.sleep(_LOOP_SECONDS)
+        while not self.stop_signals:
+            due = timers.now() + _LOOP_CHECK_SECONDS
+            timers.sleep(_LOOP_CHECK_SECONDS)
             late = max(0.0, timers.now() - due)
             self.common.metrics.observe("loop_lag_seconds", late)
 
     def _watch_memory(self) -> None:
-        """Tells what is held whenever the process takes more memory."""
-        told = 0.0
-        while not self.stops:
-            peak = process_memory.peak_mb()
-            if peak >= told + _MEMORY_STEP_MB:
-                told = peak
-                held = self.part.held() | self.common.streams.held_bytes()
-                self.events.emit(event_types.MemoryGrown(round(peak, 1), held))
-            self.common.timers.sleep(_MEMORY_SECONDS)
+        """Reports what uses memory whenever the peak has grown by a step."""
+        reported_mb = 0.0
+        while not self.stop_signals:
+            peak_mb = process_memory.peak_mb()
+            if peak_mb >= reported_mb + _MEMORY_STEP_MB:
+                reported_mb = peak_mb
+                sizes = self.part.sizes() | self.common.streams.held_bytes()
+                self.events.emit(
+                    event_types.MemoryGrown(round(peak_mb, 1), sizes)
+                )
+            self.common.timers.sleep(_MEMORY_CHECK_SECONDS)
 
     def _stop(self) -> int:
-        under_way = self.part.under_way()
-        self.events.emit(event_types.ProcessStopping(self.role, under_way))
+        in_flight = self.part.in_flight()
+        self.events.emit(event_types.ProcessStopping(self.role, in_flight))
         until = self.common.timers.now() + self.machine.settings.stop_seconds
-        cut = self.part.stop(until)
-        self.events.emit(event_types.ProcessStopped(self.role, cut))
-        eventlet.sleep(_LINGER_SECONDS)
+        interrupted = self.part.stop(until)
+        self.events.emit(event_types.ProcessStopped(self.role, interrupted))
+        eventlet.sleep(_FLUSH_SECONDS)
         self.log.close()
         return 0
 
     def _reload_if_changed(self) -> None:
-        """Reads the settings again when they changed, with or without HUP."""
-        if not self.reloads and time.monotonic() < self.next_look:
+        """Reloads the settings after SIGHUP, or when the file has changed."""
+        if not self.reload_signals and time.monotonic() < self.next_check:
             return
-        self.next_look = time.monotonic() + _RELOAD_SECONDS
-        changed_at = _changed_at(self.path)
-        asked, self.reloads = self.reloads, 0
-        if not asked and changed_at == self.changed_at:
+        self.next_check = time.monotonic() + _SETTINGS_CHECK_SECONDS
+        modified_at = _modified_at(self.path)
+        requested, self.reload_signals = self.reload_signals, 0
+        if not requested and modified_at == self.modified_at:
             return
-        self.changed_at = changed_at
+        self.modified_at = modified_at
         try:
             machine = machine_module.load(self.path, self.role)
         except errors.MintcleatError as error:
-            # A file that is being written; the next look finds it whole.
-            logger.warning("Settings not taken: {}", error.detail)
-            self.changed_at = 0
+            # The file may be half written; the next check reads it again.
+            logger.warning("Settings were not reloaded: {}", error.detail)
+            self.modified_at = 0
             return
         changed = self.part.reload(machine)
         self.events.emit(event_types.SettingsReloaded(changed))
 
-    def _take_stop(self, number: int, frame: Any) -> None:
-        self.stops += 1
+    def _count_stop(self, number: int, frame: Any) -> None:
+        self.stop_signals += 1
 
-    def _take_reload(self, number: int, frame: Any) -> None:
-        self.reloads += 1
+    def _count_reload(self, number: int, frame: Any) -> None:
+        self.reload_signals += 1
 
 
-def _changed_at(path: pathlib.Path) -> int:
+def _modified_at(path: pathlib.Path) -> int:
     try:
         return path.stat().st_mtime_ns
     except OSError:
@@ -381,7 +394,7 @@
 
 
 def main() -> None:
-    """Runs the role that the command line names."""
+    """Runs the role that the command line names and exits with its code."""
     warnings.filterwarnings("ignore", category=DeprecationWarning)
     logger.remove()
     logger.add(sys.stderr, level="INFO", format="{time:HH:mm:ss.SSS} {message}")
--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -271,7 +271,9 @@
         path = "/v1/services/dispatch/book"
         self.send("POST", path, {"a": 1}, key="k")
         process = self.system.others[-1]
-        app = metrics_http.MetricsApp(process.common.metrics, process._gauge)
+        app = metrics_http.MetricsApp(
+            process.common.metrics, process._update_gauges
+        )
         heads: list[str] = []
         environ = {"PATH_INFO": "/metrics"}
         text = b"".join(app(environ, lambda line, _: heads.append(line)))
