--- a/src/mintcleat/main/local.py
+++ b/src/mintcleat/main/local.py
@@ -1,4 +1,4 @@
-"""All roles on loopback in one process, for a first run and for tests."""
+"""All roles on loopback in one process, for first runs and for tests."""
 
 from collections.abc import Callable
 import pathlib
@@ -10,98 +10,114 @@
 from mintcleat.standins import engine
 from mintcleat.standins import service
 
-_ANY = "127.0.0.1:0"
-_DOMAINS = ("local-a", "local-b")
-_GROUPS = 4
+_ANY_PORT = "127.0.0.1:0"
+_FAILURE_DOMAINS = ("local-a", "local-b")
+_PROGRAM_GROUPS = 4
 
 
 class Local:
     """One control, one entry, two engines and one service with sidecars.
 
-    Each role has its own streams, as it would in a process of its own.
+    Each role has its own streams, as in separate processes.
     """
 
     def __init__(self, http: str, admin: str, data: pathlib.Path) -> None:
         self.data = data
-        self.engines = [engine.Engine(_ANY), engine.Engine(_ANY)]
-        self.service = service.Service(_ANY)
-        self.control = assembly.Process(self._control(admin))
-        self.others = [
-            assembly.Process(self._sidecar(number, upstream, "triage", "model"))
+        self.engines = [engine.Engine(_ANY_PORT), engine.Engine(_ANY_PORT)]
+        self.service = service.Service(_ANY_PORT)
+        self.control = assembly.Process(self._control_settings(admin))
+        self.sidecars = [
+            assembly.Process(
+                self._sidecar_settings(number, upstream, "triage", "model")
+            )
             for number, upstream in enumerate(self.engines, start=1)
         ]
-        self.others.append(
+        self.sidecars.append(
             assembly.Process(
-                self._sidecar(3, self.service, "dispatch", "plain")
+                self._sidecar_settings(3, self.service, "dispatch", "plain")
             )
         )
-        self.entry = assembly.Process(self._entry(http))
+        self.entry = assembly.Process(self._entry_settings(http))
 
     def start(self) -> None:
-        """Starts control first; the others follow its configuration."""
+        """Starts all roles and waits until the entry is ready.
+
+        Control is first, because the others follow its configuration.
+        """
         self.control.start()
-        local_manifest.ensure(self.control)
-        for process in (*self.others, self.entry):
+        local_manifest.push_initial(self.control)
+        for process in (*self.sidecars, self.entry):
             process.start()
         self._wait_until_ready()
 
     def ready_line(self) -> str:
-        """Returns the line that tells the addresses."""
+        """Returns the line with the addresses that is printed once started."""
         entry = self.entry.parts[0].addresses()["http"]
         admin = self.control.parts[0].addresses()["admin"]
         return f"ready local http={entry} admin={admin} data={self.data}"
 
     def failure(self) -> errors.MintcleatError | None:
-        """Returns why the control role can't go on, if it can't."""
+        """Returns the error that stopped the control role, if any."""
         return self.control.failure()
 
-    def stop(self, impatient: Callable[[], bool]) -> int:
-        """Stops callers' side first; returns what was cut."""
-        cut = 0
-        for process in (self.entry, *self.others, self.control):
-            cut += process.stop(impatient)
+    def stop(self, is_forced: Callable[[], bool]) -> int:
+        """Stops all roles, the entry first and control last.
+
+        Args:
+            is_forced: Returns whether to stop without waiting any longer.
+
+        Returns:
+            The number of requests that were interrupted.
+        """
+        interrupted = 0
+        for process in (self.entry, *self.sidecars, self.control):
+            interrupted += process.stop(is_forced)
         for upstream in (*self.engines, self.service):
             upstream.stop()
-        return cut
+        return interrupted
 
     def _wait_until_ready(self) -> None:
-        """Waits until the entry has its lease and has heard of upstreams."""
+        """Waits until the entry has its lease and knows all engines."""
         part = self.entry.parts[0]
         timers = self.entry.common.timers
         deadline = timers.now() + 10.0
         while timers.now() < deadline:
-            heard = part.follower.members("triage")
-            if part.entry.ready() and len(heard) == len(self.engines):
+            engines = part.follower.members("triage")
+            if part.entry.ready() and len(engines) == len(self.engines):
                 return
             timers.sleep(0.05)
 
-    def _base(self, name: str, role: str, domain: str) -> dict[str, object]:
+    def _common_settings(
+        self, name: str, role: str, domain: str
+    ) -> dict[str, object]:
         return {
             "instance": name,
             "failure_domain": domain,
-            "listen": _ANY,
+            "listen": _ANY_PORT,
             "roles": [role],
-            "program_groups": _GROUPS,
+            "program_groups": _PROGRAM_GROUPS,
             "stop_seconds": 30.0,
         }
 
-    def _control(self, admin: str) -> settings_module.Settings:
-        # The streams' port is not known before it is bound; the control
-        # part takes its own address as the only member's.
-        value = self._base("control-1", "control", _DOMAINS[0])
-        value["control"] = [_ANY]
+    def _control_settings(self, admin: str) -> settings_module.Settings:
+        # The port of the streams is unknown until it is bound. With a single
+        # address, `ControlPart` uses its own in place of it.
+        value = self._common_settings(
+            "control-1", "control", _FAILURE_DOMAINS[0]
+        )
+        value["control"] = [_ANY_PORT]
         value["control_role"] = {"data": str(self.data), "admin": admin}
         return settings_module.parse(value)
 
-    def _sidecar(
+    def _sidecar_settings(
         self,
         number: int,
         upstream: engine.Engine | service.Service,
         name: str,
         kind: str,
     ) -> settings_module.Settings:
-        domain = _DOMAINS[number % len(_DOMAINS)]
-        value = self._base(f"sidecar-{number}", "sidecar", domain)
+        domain = _FAILURE_DOMAINS[number % len(_FAILURE_DOMAINS)]
+        value = self._common_settings(f"sidecar-{number}", "sidecar", domain)
         value["control"] = [self.control.common.streams.address]
         value["sidecar"] = {
             "upstream": upstream.address,
@@ -111,8 +127,8 @@
         }
         return settings_module.parse(value)
 
-    def _entry(self, http: str) -> settings_module.Settings:
-        value = self._base("entry-1", "entry", _DOMAINS[0])
+    def _entry_settings(self, http: str) -> settings_module.Settings:
+        value = self._common_settings("entry-1", "entry", _FAILURE_DOMAINS[0])
         value["control"] = [self.control.common.streams.address]
         value["entry"] = {"http": http, "notice_seconds": 0.0}
         return settings_module.parse(value)
--- a/src/mintcleat/main/local_manifest.py
+++ b/src/mintcleat/main/local_manifest.py
@@ -1,11 +1,11 @@
-"""The manifest of a first local run."""
+"""The initial manifest of a local run."""
 
 import json
 
 from mintcleat.domain import config_messages
 from mintcleat.main import assembly
 
-_MANIFEST = {
+_INITIAL_MANIFEST = {
     "programs": {
         "triage": {
             "service": "triage",
@@ -25,8 +25,8 @@
 }
 
 
-def ensure(control: assembly.Process) -> None:
-    """Pushes the first manifest unless one is in force already."""
+def push_initial(control: assembly.Process) -> None:
+    """Pushes the initial manifest unless one is in force."""
     service = control.parts[0].config
     view = service.ask(config_messages.ReadManifest())
     if view.revision:
@@ -35,7 +35,7 @@
         config_messages.PushManifest(
             expected=0,
             push_id="first-local-run",
-            manifest=json.dumps(_MANIFEST),
+            manifest=json.dumps(_INITIAL_MANIFEST),
             operator="mintcleatd local",
             origin="local",
         )
--- a/src/mintcleat/main/standin.py
+++ b/src/mintcleat/main/standin.py
@@ -1,4 +1,4 @@
-"""A stand-in upstream as a process of its own."""
+"""A stand-in upstream in a process of its own."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 
 class Standin:
-    """One stand-in engine or plain service."""
+    """A stand-in engine or plain service; see `mintcleat.standins`."""
 
     def __init__(self, kind: str, listen: str) -> None:
         self.kind = kind
@@ -15,20 +15,20 @@
         self.server: engine.Engine | service.Service | None = None
 
     def start(self) -> None:
-        """Begins to serve."""
+        """Starts to serve."""
         if self.kind == "engine":
             self.server = engine.Engine(self.listen)
         else:
             self.server = service.Service(self.listen)
 
     def ready_line(self) -> str:
-        """Returns the line that tells the address."""
+        """Returns the line with the address that is printed once started."""
         return f"ready standin {self.kind} http={self.server.address}"
 
     def failure(self) -> None:
-        """Returns nothing: a stand-in has no state that can fail."""
+        """Returns None: a stand-in has no state that can fail."""
 
-    def stop(self, impatient: Callable[[], bool]) -> int:
-        """Stops serving; a stand-in has nothing to wait for."""
+    def stop(self, is_forced: Callable[[], bool]) -> int:
+        """Stops at once and returns 0."""
         self.server.stop()
         return 0
--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -270,7 +270,7 @@
     def test_sidecar_tells_how_attempts_ended(self) -> None:
         path = "/v1/services/dispatch/book"
         self.send("POST", path, {"a": 1}, key="k")
-        process = self.system.others[-1]
+        process = self.system.sidecars[-1]
         app = metrics_http.MetricsApp(
             process.common.metrics, process._update_gauges
         )
