--- a/src/mintcleat/main/cli.py
+++ b/src/mintcleat/main/cli.py
@@ -1,8 +1,8 @@
 """`mintcleat`: the operators' command-line tool.
 
-Exit codes: 0 done, 1 failed, 2 wrong usage, 3 invalid input, 4 conflict,
-5 no or wrong token, 6 not reachable or no leader, 7 outcome unknown (run the
-same command again), 8 not in force in time, 9 not found.
+Exit codes: 0 success, 1 failure, 2 usage error, 3 invalid input, 4 conflict,
+5 missing or wrong token, 6 unreachable or no leader, 7 outcome unknown (run the
+same command again), 8 not in force before the timeout, 9 not found.
 """
 
 import getpass
@@ -21,9 +21,9 @@
 from mintcleat.main import cli_manifest
 from mintcleat.main import cli_tables
 
-PAGE = 1000
-# Moving a replica takes some hundred milliseconds.
-_EMPTY_PAUSE = 0.5
+_AUDIT_PAGE_SIZE = 1000
+# Moving a replica takes a few hundred milliseconds.
+_EVACUATION_POLL_SECONDS = 0.5
 
 
 class Commands:
@@ -41,13 +41,13 @@
         data: str = "",
         json: bool = False,
     ) -> None:
-        """Takes the options of every command.
+        """Sets the options that every command takes.
 
         Args:
             admin: Address of an admin port (or MINTCLEAT_ADMIN).
             token_file: File with the token (or MINTCLEAT_TOKEN_FILE).
-            data: The daemon's data folder, where it keeps a token of its own.
-            json: Print JSON for machines in place of tables.
+            data: The daemon's data folder, which holds a generated token.
+            json: Print JSON instead of tables.
         """
         client = cli_client.AdminClient(str(admin), str(token_file), str(data))
         self._client = client
@@ -60,7 +60,7 @@
         self.control = ControlCommands(client, json)
 
     def status(self) -> None:
-        """Shows what is in force, what is late and what runs."""
+        """Shows the revision in force, late nodes, upstreams and rollouts."""
         answer = self._client.get("status")
         services = [
             f"{name}: " + ", ".join(f"{n} {state}" for state, n in item.items())
@@ -85,12 +85,14 @@
         """Lists who changed what, when, from where, and the outcome.
 
         Args:
-            after: Show entries above this number.
-            last: Show only so many of the newest; 0 for all.
+            after: Show entries with a higher number.
+            last: Show only this many of the newest entries; 0 for all.
         """
         entries: list[dict[str, Any]] = []
         while True:
-            page = self._client.get("audit", after=after, limit=PAGE)
+            page = self._client.get(
+                "audit", after=after, limit=_AUDIT_PAGE_SIZE
+            )
             entries.extend(page["entries"])
             if not page["entries"]:
                 break
@@ -99,7 +101,7 @@
         rows = [
             (
                 item["number"],
-                cli_tables.moment(item["at"]),
+                cli_tables.format_time(item["at"]),
                 item["operator"],
                 item["origin"],
                 item["action"],
@@ -115,7 +117,7 @@
     def bench(
         self, plan: str, entries: str = "127.0.0.1:8080", report: str = ""
     ) -> None:
-        """Runs a load plan against running entries and prints its figures.
+        """Runs a load plan against running entries and prints the results.
 
         Args:
             plan: JSON file with comments; see docs/reference/load.md.
@@ -128,31 +130,31 @@
     def experiment(
         self, plan: str, save: str = "", against: str = "", plot: str = ""
     ) -> None:
-        """Plays policies on the emulator and prints what programs got.
+        """Runs policies on the emulator and prints the results of programs.
 
         Args:
             plan: JSON file with comments; see docs/reference/experiments.md.
-            save: File for the figures; none when empty.
-            against: File of an earlier run, to show differences from.
-            plot: File for a plot of worth over load; none when empty.
+            save: File for the results; none when empty.
+            against: Results of an earlier run, to show the differences.
+            plot: File for a plot of value over load; none when empty.
         """
-        # Imported here: operators' commands have no use for it.
+        # Imported here because the other commands don't need the emulator.
         from mintcleat.main import cli_experiment
 
         cli_experiment.run(plan, save, against, plot, self._json)
 
     @decorators.SetParseFn(str)
     def explain(self, request: str, *files: str) -> None:
-        """Shows the path of a request, and which decision ended it.
+        """Shows the path of a request and the decision that ended it.
 
         Args:
             request: Id of the request.
-            files: Files with log lines of any processes.
+            files: Log files of any processes.
         """
         cli_explain.run(request, files, self._json)
 
     def instances(self) -> None:
-        """Lists the nodes with the revision applied and the lease left."""
+        """Lists the nodes, their applied revision and remaining lease."""
         self.manifest.status()
 
 
@@ -165,7 +167,12 @@
 
     @decorators.SetParseFn(str, "after")
     def list(self, after: str = "", limit: int = 100) -> None:
-        """Lists programs in id order, beginning after an id."""
+        """Lists programs in order of their ids.
+
+        Args:
+            after: Show programs with ids after this one.
+            limit: Maximum number of programs.
+        """
         answer = self._client.get("programs", after=after, limit=limit)
         rows = [
             (
@@ -196,7 +203,7 @@
     def show(self, program: str) -> None:
         """Shows one program."""
         answer = self._client.get(f"programs/{url.quote(program, safe='')}")
-        rows = [(name, _flat(item)) for name, item in answer.items()]
+        rows = [(name, _format_value(item)) for name, item in answer.items()]
         _print(self._json, answer, ("FIELD", "VALUE"), rows)
 
     @decorators.SetParseFn(str, "program")
@@ -252,14 +259,14 @@
         ahead: bool = False,
         operator: str = "",
     ) -> None:
-        """Stops new work to an upstream; what runs goes on.
+        """Stops new requests to an upstream; those in flight continue.
 
         Args:
             name: Instance, or failure domain with --failure_domain.
             failure_domain: Drain every upstream of the failure domain.
-            undo: Let it take new work again.
-            ahead: Also take a name that no upstream has now.
-            operator: Name for the audit trail; without it, the user's.
+            undo: Allow new requests again.
+            ahead: Also accept a name that no upstream has yet.
+            operator: Name for the audit trail; the user's name by default.
         """
         scope = "failure_domain" if failure_domain else "instance"
         body = {
@@ -277,21 +284,21 @@
 
 
 class QuarantineCommands:
-    """Lists and releases requests that crash upstreams."""
+    """Lists and releases requests that have crashed upstreams."""
 
     def __init__(self, client: cli_client.AdminClient, as_json: bool) -> None:
         self._client = client
         self._json = as_json
 
     def list(self) -> None:
-        """Lists suspect and quarantined requests."""
+        """Lists suspect and quarantined requests by digest."""
         answer = self._client.get("quarantine")
         rows = [
             (
                 item["digest"],
                 "quarantined" if item["quarantined"] else "suspect",
                 item["upstreams"],
-                cli_tables.moment(item["until"]),
+                cli_tables.format_time(item["until"]),
             )
             for item in answer["entries"]
         ]
@@ -300,7 +307,12 @@
 
     @decorators.SetParseFn(str, "digest")
     def release(self, digest: str, operator: str = "") -> None:
-        """Lets a request run again."""
+        """Allows a quarantined request to run again.
+
+        Args:
+            digest: Digest of the request, as `quarantine list` shows it.
+            operator: Name for the audit trail; the user's name by default.
+        """
         name = url.quote(operator or getpass.getuser())
         answer = self._client.delete(f"quarantine/{digest}?operator={name}")
         _print(self._json, answer, ("RELEASED",), [(digest,)])
@@ -314,11 +326,11 @@
         self._json = as_json
 
     def status(self) -> None:
-        """Shows the groups as the asked control instance sees them."""
+        """Shows the groups as seen by the queried control instance."""
         answer = self._client.get("control")
         groups = answer["groups"]
         head = [*groups[0]] if groups else ["group"]
-        rows = [[_flat(item[name]) for name in head] for item in groups]
+        rows = [[_format_value(item[name]) for name in head] for item in groups]
         _print(self._json, answer, [name.upper() for name in head], rows)
 
     def replace(
@@ -329,7 +341,15 @@
         failure_domain: str = "",
         operator: str = "",
     ) -> None:
-        """Replaces a lost control instance by a new one."""
+        """Replaces a failed control instance by a new one.
+
+        Args:
+            old: Name of the failed instance.
+            new: Name of the new instance.
+            address: `IP:PORT` of the new instance's streams.
+            failure_domain: Failure domain of the new instance.
+            operator: Name for the audit trail; the user's name by default.
+        """
         body = {
             "old": str(old),
             "new": str(new),
@@ -343,54 +363,58 @@
     def empty(
         self, instance: str, operator: str = "", wait: float = 0.0
     ) -> None:
-        """Moves all replicas off a control instance, to take it away.
+        """Moves all replicas off a control instance, so it can be removed.
 
-        Run again, it tells how far that is.
+        The same command shows the progress when it is run again.
 
         Args:
             instance: Name or label of the control instance.
-            operator: Name for the audit trail; without it, the user's.
-            wait: Seconds to wait until nothing depends on it any more.
+            operator: Name for the audit trail; the user's name by default.
+            wait: Seconds to wait until nothing depends on the instance.
         """
         body = {
             "instance": str(instance),
             "operator": operator or getpass.getuser(),
         }
-        until = time.monotonic() + wait
+        deadline = time.monotonic() + wait
         answer = self._client.post("control/empty", body)
-        while not answer["done"] and time.monotonic() < until:
-            time.sleep(_EMPTY_PAUSE)
+        while not answer["done"] and time.monotonic() < deadline:
+            time.sleep(_EVACUATION_POLL_SECONDS)
             answer = self._client.post("control/empty", body)
         state = "done" if answer["done"] else "running"
         _print(self._json, answer, ("STATE",), [(state,)])
 
     def snapshot(self) -> None:
-        """Takes a snapshot of every group on the asked instance."""
+        """Takes a snapshot of every group on the queried instance."""
         answer = self._client.post("control/snapshot", {})
         _print(self._json, answer, ("RESULT",), [(answer["detail"],)])
 
 
 def main(arguments: list[str] | None = None) -> None:
     """Runs the command line."""
-    given = sys.argv[1:] if arguments is None else arguments
-    fire.Fire(Commands, command=given, name="mintcleat")
+    command = sys.argv[1:] if arguments is None else arguments
+    fire.Fire(Commands, command=command, name="mintcleat")
 
 
 def _print(as_json: bool, data: Any, head: Any, rows: list[Any]) -> None:
-    print(cli_tables.show(data) if as_json else cli_tables.table(head, rows))
+    print(
+        cli_tables.to_json(data)
+        if as_json
+        else cli_tables.format_table(head, rows)
+    )
 
 
-def _flat(item: Any) -> Any:
+def _format_value(item: Any) -> Any:
     if isinstance(item, dict):
         return ", ".join(f"{name} {value}" for name, value in item.items())
     return item
 
 
 def _remarks(view: dict[str, Any]) -> str:
-    found = []
+    remarks = []
     if view["duplicates"]:
         epochs = [str(item["epoch"]) for item in view["duplicates"]]
-        found.append(f"name in use by epochs {', '.join(epochs)}")
+        remarks.append(f"name in use by epochs {', '.join(epochs)}")
     if view["starts"] > 2:
-        found.append(f"{view['starts']} starts within a minute")
-    return "; ".join(found)
+        remarks.append(f"{view['starts']} starts within a minute")
+    return "; ".join(remarks)
--- a/src/mintcleat/main/cli_bench.py
+++ b/src/mintcleat/main/cli_bench.py
@@ -17,7 +17,7 @@
 
 
 def run(plan_file: str, entries: str, folder: str, as_json: bool) -> None:
-    """Runs a plan, prints its figures and writes the report."""
+    """Runs a load plan, prints the results and writes the report."""
     plan = plan_module.load(pathlib.Path(plan_file))
     programs = arrivals.schedule(plan)
     timers = timers_module.EventletTimers()
@@ -25,8 +25,8 @@
     client = client_module.Client(entries.split(","), timers, _MAX_CONNECTIONS)
     driver = driver_module.Driver(client, timers)
     driver.run(programs, _PATIENCE_SECONDS)
-    figures = report.summary(driver)
-    print(json.dumps(figures) if as_json else report.table(figures))
+    results = report.summary(driver)
+    print(json.dumps(results) if as_json else report.table(results))
     if folder:
         names = report.write(pathlib.Path(folder), driver)
         if not as_json:
--- a/src/mintcleat/main/cli_client.py
+++ b/src/mintcleat/main/cli_client.py
@@ -24,10 +24,10 @@
 UNAUTHORIZED = 5
 UNAVAILABLE = 6
 UNKNOWN_OUTCOME = 7
-WAIT_OVER = 8
+WAIT_TIMEOUT = 8
 NOT_FOUND = 9
 
-CODE_OF_STATUS = {
+EXIT_CODE_BY_STATUS = {
     400: INVALID,
     401: UNAUTHORIZED,
     404: NOT_FOUND,
@@ -41,7 +41,7 @@
 
 
 def fail(code: int, detail: str, remedy: str) -> NoReturn:
-    """Prints an error with its remedy and ends with an exit code."""
+    """Prints an error with its remedy and exits."""
     print(f"mintcleat: {detail}", file=sys.stderr)
     if remedy:
         print(f"remedy: {remedy}", file=sys.stderr)
@@ -49,15 +49,19 @@
 
 
 class AdminClient:
-    """Asks the admin interface; the token never leaves the header."""
+    """HTTP client of the admin interface.
+
+    The token is sent in a header only and is never printed.
+    """
 
     def __init__(self, admin: str, token_file: str, data: str = "") -> None:
-        """Takes where to ask, and where the token is.
+        """Sets the address and the token file.
 
         Args:
-            admin: Address of an admin port.
-            token_file: File with the token; goes before `data`.
-            data: The daemon's data folder.
+            admin: Address of an admin port; by default MINTCLEAT_ADMIN.
+            token_file: File with the token; by default MINTCLEAT_TOKEN_FILE.
+            data: The daemon's data folder, whose token is used without
+                `token_file`.
         """
         self.admin = admin or os.environ.get("MINTCLEAT_ADMIN", DEFAULT_ADMIN)
         if data and not token_file:
@@ -69,19 +73,19 @@
         self.pool = urllib3.PoolManager(timeout=TIMEOUT, retries=False)
 
     def get(self, path: str, **query: object) -> Any:
-        """Returns the answer to a read."""
+        """Returns the decoded response to a GET request."""
         text = url.urlencode(query)
-        return self._ask("GET", f"{path}?{text}" if text else path, None)
+        return self._request("GET", f"{path}?{text}" if text else path, None)
 
     def post(self, path: str, body: dict[str, Any]) -> Any:
-        """Returns the answer to a change."""
-        return self._ask("POST", path, body)
+        """Returns the decoded response to a POST request."""
+        return self._request("POST", path, body)
 
     def delete(self, path: str) -> Any:
-        """Returns the answer to a removal."""
-        return self._ask("DELETE", path, None)
+        """Returns the decoded response to a DELETE request."""
+        return self._request("DELETE", path, None)
 
-    def _ask(self, method: str, path: str, body: Any) -> Any:
+    def _request(self, method: str, path: str, body: Any) -> Any:
         base = self.admin if "://" in self.admin else f"http://{self.admin}"
         data = None if body is None else json.dumps(body).encode()
         headers = {"Authorization": f"Bearer {self._token()}"}
@@ -90,10 +94,10 @@
                 method, f"{base}/admin/v1/{path}", body=data, headers=headers
             )
         except urllib3.exceptions.HTTPError as error:
-            self._unreachable(method, error)
-        return self._read(response)
+            self._fail_request(method, error)
+        return self._decode(response)
 
-    def _unreachable(
+    def _fail_request(
         self, method: str, error: urllib3.exceptions.HTTPError
     ) -> NoReturn:
         sent = not isinstance(
@@ -104,13 +108,13 @@
         if sent and method != "GET":
             fail(
                 UNKNOWN_OUTCOME,
-                f"{self.admin} took the request and gave no answer.",
+                f"{self.admin} received the request but did not respond.",
                 "Run the same command again; it takes effect once.",
             )
         fail(
             UNAVAILABLE,
             f"{self.admin} cannot be reached.",
-            "Start the daemon, or name its admin address with --admin.",
+            "Start the daemon, or set its admin address with --admin.",
         )
 
     def _token(self) -> str:
@@ -120,22 +124,22 @@
             fail(
                 UNAUTHORIZED,
                 f"No admin token in {self.token_file}: {error.strerror}.",
-                "Name the daemon's data folder with --data, or the token's"
+                "Set the daemon's data folder with --data, or the token's"
                 " file with --token_file.",
             )
 
-    def _read(self, response: urllib3.BaseHTTPResponse) -> Any:
+    def _decode(self, response: urllib3.BaseHTTPResponse) -> Any:
         try:
             answer = json.loads(response.data)
         except ValueError:
             fail(
                 FAILED,
-                f"{self.admin} answered {response.status} without JSON.",
-                "Check that --admin names a mintcleat admin port.",
+                f"{self.admin} responded {response.status} without JSON.",
+                "Check that --admin is the address of a mintcleat admin port.",
             )
         if response.status < 300:
             return answer
-        code = CODE_OF_STATUS.get(response.status, FAILED)
+        code = EXIT_CODE_BY_STATUS.get(response.status, FAILED)
         fail(
             code,
             answer.get("detail", f"HTTP {response.status}"),
--- a/src/mintcleat/main/cli_customers.py
+++ b/src/mintcleat/main/cli_customers.py
@@ -1,4 +1,4 @@
-"""`mintcleat customers ...`: who may call, by which keys."""
+"""`mintcleat customers ...`: customers and their keys."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -19,11 +19,11 @@
 _KEY_BYTES = 24
 _DAY = 86400.0
 _HOUR = 3600.0
-_HEAD = ("CUSTOMER", "KEY", "AGE", "RATE", "BURST", "PRIORITY")
+_COLUMNS = ("CUSTOMER", "KEY", "AGE", "RATE", "BURST", "PRIORITY")
 
 
 class CustomerCommands:
-    """Lists customers and their keys; adds keys and takes them away."""
+    """Lists customers and adds and removes their keys."""
 
     def __init__(self, client: cli_client.AdminClient, as_json: bool) -> None:
         self._client = client
@@ -37,7 +37,7 @@
             (
                 item["customer"],
                 keys.short_digest(key["digest"]) if key else "none",
-                age(now - key["since"]) if key and key["since"] else "",
+                format_age(now - key["since"]) if key and key["since"] else "",
                 item["rate"] or "no limit",
                 item["burst"],
                 "" if item["priority"] is None else item["priority"],
@@ -45,50 +45,55 @@
             for item in answer["customers"]
             for key in item["keys"] or [None]
         ]
-        self._print(answer, cli_tables.table(_HEAD, rows))
+        self._print(answer, cli_tables.format_table(_COLUMNS, rows))
 
     @decorators.SetParseFn(str, "customer", "operator")
     def add_key(self, customer: str, operator: str = "") -> None:
-        """Makes a key for a customer, and shows it this one time.
+        """Creates a key for a customer and prints it.
 
-        Only its digest is kept. The other keys of the customer go on working.
+        Only the digest of the key is stored, so it can't be printed again. The
+        customer's other keys remain valid.
+
+        Args:
+            customer: Name of the customer.
+            operator: Name for the audit trail; the user's name by default.
         """
         key = secrets.token_urlsafe(_KEY_BYTES)
-        held = keys.digest(key)
+        digest = keys.digest(key)
         revision = self._change(
-            customer, operator, lambda before: [*before, held]
+            customer, operator, lambda before: [*before, digest]
         )
-        shown = keys.short_digest(held)
+        short = keys.short_digest(digest)
         self._print(
             {"customer": customer, "key": key, "revision": revision},
-            f"{key}\nkey {shown} of {customer}, revision {revision}",
+            f"{key}\nkey {short} of {customer}, revision {revision}",
         )
 
     @decorators.SetParseFn(str, "customer", "key", "operator")
     def remove_key(self, customer: str, key: str, operator: str = "") -> None:
-        """Takes a key away; it stops at every entry within seconds.
+        """Removes a key; every entry rejects it within seconds.
 
         Args:
-            customer: Whose key it is.
-            key: Its digest, or the start of it, as `customers list` shows.
-            operator: Name for the audit trail; without it, the user's.
+            customer: Name of the customer.
+            key: Digest of the key or its prefix, as `customers list` shows.
+            operator: Name for the audit trail; the user's name by default.
         """
 
-        def without(before: Sequence[str]) -> Sequence[str]:
-            named = keys.PREFIX + key.removeprefix(keys.PREFIX)
-            found = [held for held in before if held.startswith(named)]
+        def remove(before: Sequence[str]) -> Sequence[str]:
+            prefix = keys.PREFIX + key.removeprefix(keys.PREFIX)
+            found = [digest for digest in before if digest.startswith(prefix)]
             if len(found) != 1:
                 cli_client.fail(
                     cli_client.NOT_FOUND,
                     f"{customer} has {len(found)} keys that begin with {key}.",
-                    "Name one that `mintcleat customers list` shows.",
+                    "Use a digest that `mintcleat customers list` shows.",
                 )
-            return [held for held in before if held != found[0]]
+            return [digest for digest in before if digest != found[0]]
 
-        revision = self._change(customer, operator, without)
+        revision = self._change(customer, operator, remove)
         self._print(
             {"customer": customer, "revision": revision},
-            f"key {key} of {customer} taken away, revision {revision}",
+            f"key {key} of {customer} removed, revision {revision}",
         )
 
     def _change(
@@ -97,19 +102,28 @@
         operator: str,
         change: Callable[[Sequence[str]], Sequence[str]],
     ) -> int:
-        """Pushes the manifest in force with other keys; returns a revision."""
+        """Pushes the manifest in force with changed keys of a customer.
+
+        Args:
+            customer: Name of the customer.
+            operator: Name for the audit trail; empty for the user's name.
+            change: Returns the new digests for the present ones.
+
+        Returns:
+            The new revision.
+        """
         answer = self._client.get("manifest")
-        whole = manifest.parse(cli_tables.show(answer["manifest"]))
-        held = whole.policies.customers.get(customer)
-        if held is None:
+        whole = manifest.parse(cli_tables.to_json(answer["manifest"]))
+        present = whole.policies.customers.get(customer)
+        if present is None:
             cli_client.fail(
                 cli_client.NOT_FOUND,
                 f"The manifest has no customer {customer!r}.",
-                "Name one that `mintcleat customers list` shows.",
+                "Use a name that `mintcleat customers list` shows.",
             )
         customers = dict(whole.policies.customers)
         customers[customer] = msgspec.structs.replace(
-            held, keys=list(change(held.keys))
+            present, keys=list(change(present.keys))
         )
         policies = msgspec.structs.replace(whole.policies, customers=customers)
         text = manifest.compact(
@@ -120,11 +134,11 @@
         return pushed["revision"]
 
     def _print(self, data: Any, text: str) -> None:
-        print(cli_tables.show(data) if self._json else text)
+        print(cli_tables.to_json(data) if self._json else text)
 
 
-def age(seconds: float) -> str:
-    """Returns an age in days, or in hours below two days."""
+def format_age(seconds: float) -> str:
+    """Returns an age as text, in hours below two days and in days above."""
     if seconds >= 2 * _DAY:
         return f"{seconds / _DAY:.0f} days"
     return f"{seconds / _HOUR:.1f} hours"
--- a/src/mintcleat/main/cli_experiment.py
+++ b/src/mintcleat/main/cli_experiment.py
@@ -1,4 +1,4 @@
-"""`mintcleat experiment`: policies played on the emulator."""
+"""`mintcleat experiment`: runs policies on the emulator."""
 
 import pathlib
 import sys
@@ -11,9 +11,9 @@
 
 
 def run(plan: str, save: str, against: str, plot: str, as_json: bool) -> None:
-    """Runs a plan, prints its table, and stores what was asked for."""
+    """Runs a plan, prints its table and writes the files that are named."""
     try:
-        before = report.load(pathlib.Path(against)) if against else {}
+        earlier = report.load(pathlib.Path(against)) if against else {}
         rows = report.run(plan_module.read(pathlib.Path(plan)))
         if save:
             report.save(rows, pathlib.Path(save))
@@ -22,8 +22,8 @@
     except errors.MintcleatError as error:
         print(f"{error.detail}\nremedy: {error.remedy}", file=sys.stderr)
         sys.exit(cli_client.INVALID)
-    head, *lines = report.table(rows, before)
+    head, *lines = report.table(rows, earlier)
     if as_json:
-        print(cli_tables.show([row._asdict() for row in rows]))
+        print(cli_tables.to_json([row._asdict() for row in rows]))
     else:
-        print(cli_tables.table(head, lines))
+        print(cli_tables.format_table(head, lines))
--- a/src/mintcleat/main/cli_explain.py
+++ b/src/mintcleat/main/cli_explain.py
@@ -1,4 +1,4 @@
-"""`mintcleat explain`: from a request's id to the decision that ended it."""
+"""`mintcleat explain`: shows the path of a request and how it ended."""
 
 import pathlib
 import sys
@@ -12,57 +12,59 @@
 
 
 def run(request: str, files: tuple[str, ...], as_json: bool) -> None:
-    """Prints the path of a request; exits 9 when no line tells of it."""
-    texts: list[str] = []
+    """Prints the path of a request; exits with 9 if no log line has it."""
+    log_lines: list[str] = []
     for name in files:
         try:
             text = pathlib.Path(name).read_text(errors="replace")
         except OSError as error:
             print(f"{name} can't be read: {error.strerror}", file=sys.stderr)
-            print("remedy: Name files of log lines.", file=sys.stderr)
+            print("remedy: Give the paths of log files.", file=sys.stderr)
             sys.exit(_UNREADABLE)
-        texts.extend(text.splitlines())
-    found = traces.trace(request, traces.parse(texts))
-    print(cli_tables.show(_plain(found)) if as_json else _shown(found))
-    if not found.steps:
+        log_lines.extend(text.splitlines())
+    trace = traces.trace(request, traces.parse(log_lines))
+    print(cli_tables.to_json(_as_dict(trace)) if as_json else _as_text(trace))
+    if not trace.steps:
         sys.exit(_NOT_FOUND)
 
 
-def _plain(found: traces.Trace) -> dict[str, Any]:
+def _as_dict(trace: traces.Trace) -> dict[str, Any]:
     return {
-        "request": found.request,
-        "steps": [line._asdict() for line in found.steps],
-        "around": [line._asdict() for line in found.around],
-        "gaps": found.gaps,
-        "verdict": found.verdict,
-        "certain": found.certain,
+        "request": trace.request,
+        "steps": [line._asdict() for line in trace.steps],
+        "around": [line._asdict() for line in trace.around],
+        "gaps": trace.gaps,
+        "verdict": trace.verdict,
+        "certain": trace.certain,
     }
 
 
-def _shown(found: traces.Trace) -> str:
-    parts = [f"request {found.request}"]
-    if found.steps:
-        begin = found.steps[0].at
+def _as_text(trace: traces.Trace) -> str:
+    parts = [f"request {trace.request}"]
+    if trace.steps:
+        start = trace.steps[0].at
         rows = [
             (
-                f"{line.at - begin:+.3f}",
+                f"{line.at - start:+.3f}",
                 line.instance,
                 line.event,
-                _fields(line),
+                _format_fields(line),
             )
             for line in sorted(
-                [*found.steps, *found.around], key=lambda line: line.at
+                [*trace.steps, *trace.around], key=lambda line: line.at
             )
         ]
         head = ("SECONDS", "INSTANCE", "EVENT", "INPUTS AND OUTCOME")
-        parts.append(cli_tables.table(head, rows))
-    parts.extend(f"gap: {gap}" for gap in found.gaps)
-    sure = "" if found.certain else " (missing lines could say otherwise)"
-    parts.append(f"verdict: {found.verdict}{sure}")
+        parts.append(cli_tables.format_table(head, rows))
+    parts.extend(f"gap: {gap}" for gap in trace.gaps)
+    reservation = (
+        "" if trace.certain else " (missing lines could say otherwise)"
+    )
+    parts.append(f"verdict: {trace.verdict}{reservation}")
     return "\n".join(parts)
 
 
-def _fields(line: traces.Line) -> str:
+def _format_fields(line: traces.Line) -> str:
     return " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
--- a/src/mintcleat/main/cli_manifest.py
+++ b/src/mintcleat/main/cli_manifest.py
@@ -13,36 +13,40 @@
 from mintcleat.main import cli_client
 from mintcleat.main import cli_tables
 
-# How often `--wait` asks; a push is in force within a second or so.
-POLL_SECONDS = 0.25
+# Polling interval of `--wait`. A push is in force within about a second.
+_POLL_SECONDS = 0.25
 
 
 class ManifestCommands:
-    """Checks, pushes and reads back the manifest."""
+    """Checks, pushes and shows the manifest."""
 
     def __init__(self, client: cli_client.AdminClient, as_json: bool) -> None:
         self._client = client
         self._json = as_json
 
     def check(self, file: str) -> None:
-        """Lists every fault of a manifest file; asks no daemon."""
+        """Lists all errors in a manifest file, without a running daemon."""
         _load(file)
         self._print({"faults": []}, f"{file}: no faults")
 
     def diff(self, file: str) -> None:
-        """Shows what a file would change of the manifest in force."""
+        """Shows what a file would change in the manifest in force."""
         _, new = _load(file)
         answer = self._client.get("manifest")
-        old = _parsed(answer)
+        old = _manifest_of(answer)
         changes = schema.diff(old, new)
         rows = [(item.path, item.before, item.after) for item in changes]
-        shown = cli_tables.table(("PATH", "IN FORCE", "IN THE FILE"), rows)
+        changes_table = cli_tables.format_table(
+            ("PATH", "IN FORCE", "IN THE FILE"), rows
+        )
         self._print(
             {
                 "revision": answer["revision"],
                 "changes": [item._asdict() for item in changes],
             },
-            shown if rows else f"no change to revision {answer['revision']}",
+            changes_table
+            if rows
+            else f"no change to revision {answer['revision']}",
         )
 
     def push(
@@ -54,21 +58,21 @@
         wait: float = 0.0,
         number: int = 0,
     ) -> None:
-        """Pushes a manifest file; refused when another push came first.
+        """Pushes a manifest file; fails if another push came first.
 
-        With --number, the highest number wins instead: an equal or lower one
-        changes nothing and is told what is in force.
+        With --number, the highest number wins instead: a push with an equal or
+        lower one changes nothing and shows what is in force.
 
-        Run again after a lost answer with the same --expected, the command
-        reports the outcome of the first run and changes nothing.
+        If the response was lost, run the command again with the same
+        --expected. It reports the outcome of the first run and changes nothing.
 
         Args:
-            file: JSON file with the whole manifest.
-            expected: Revision that the file was made from; without it, the
-                one in force now.
-            request_id: Tells two pushes of the same content apart.
-            operator: Name for the audit trail; without it, the user's.
-            wait: Seconds to wait until it is in force everywhere.
+            file: JSON file with the complete manifest.
+            expected: Revision that the file is based on; by default the one
+                in force.
+            request_id: Distinguishes two pushes of the same content.
+            operator: Name for the audit trail; the user's name by default.
+            wait: Seconds to wait until every live node has applied it.
             number: The operators' own version number of the manifest.
         """
         text, new = _load(file)
@@ -77,7 +81,7 @@
         if expected is None:
             answer = self._client.get("manifest")
             expected = answer["revision"]
-            if expected and _parsed(answer) == new:
+            if expected and _manifest_of(answer) == new:
                 self._print(
                     {"revision": expected, "changed": False},
                     f"revision {expected} is in force with this content",
@@ -105,38 +109,38 @@
         """Prints the manifest in force; its revision goes to stderr."""
         answer = self._client.get("manifest")
         if self._json:
-            print(cli_tables.show(answer))
+            print(cli_tables.to_json(answer))
             return
         print(f"revision {answer['revision']}", file=sys.stderr)
-        print(schema.render(_parsed(answer)))
+        print(schema.render(_manifest_of(answer)))
 
     def status(self, wait: float = 0.0, revision: int = 0) -> None:
-        """Shows per instance the revision applied, when, and its lease.
+        """Shows each instance's applied revision, when, and its lease.
 
         Args:
             wait: Seconds to wait until every live node has applied it.
-            revision: Revision to wait for; without it, the one in force.
+            revision: Revision to wait for; by default the one in force.
         """
-        until = time.monotonic() + wait
+        deadline = time.monotonic() + wait
         while True:
             answer = self._client.get("instances")
-            goal = revision or answer["revision"]
-            late = late_nodes(answer, goal)
-            if not late or time.monotonic() >= until:
+            target = revision or answer["revision"]
+            late = late_nodes(answer, target)
+            if not late or time.monotonic() >= deadline:
                 break
-            time.sleep(POLL_SECONDS)
+            time.sleep(_POLL_SECONDS)
         self._print(answer, _instances_table(answer))
         if late:
             cli_client.fail(
-                cli_client.WAIT_OVER if wait else cli_client.OK,
+                cli_client.WAIT_TIMEOUT if wait else cli_client.OK,
                 f"not yet applied by {', '.join(late)}.",
                 "Nodes that do not apply it lose their lease within 4 s.",
             )
         if not self._json:
-            print(f"revision {goal} is in force at every live node")
+            print(f"revision {target} is in force at every live node")
 
     def _print(self, data: Any, text: str) -> None:
-        print(cli_tables.show(data) if self._json else text)
+        print(cli_tables.to_json(data) if self._json else text)
 
 
 def push(
@@ -147,7 +151,7 @@
     request_id: str = "",
     number: int = 0,
 ) -> dict[str, Any]:
-    """Pushes a manifest; returns what the admin interface answers."""
+    """Pushes a manifest; returns the response of the admin interface."""
     return client.post(
         "manifest",
         {
@@ -161,21 +165,21 @@
 
 
 def push_id(text: str, expected: int, operator: str, request_id: str) -> str:
-    """Returns an id that is the same when the same command runs again."""
+    """Returns an id that is equal for every run of the same command."""
     seed = f"{operator}\0{request_id}\0{expected}\0{text}"
     return xxhash.xxh3_128_hexdigest(seed.encode())
 
 
-def late_nodes(answer: dict[str, Any], goal: int) -> list[str]:
+def late_nodes(answer: dict[str, Any], target: int) -> list[str]:
     """Returns the live nodes that have not applied a revision.
 
-    A control instance that can't be asked may serve nodes of its own, which
-    hold leases for some seconds yet.
+    Nodes of an unreachable control instance count as late: they may hold
+    leases for some more seconds.
     """
     late = [
         node["node"]["instance"]
         for node in answer["nodes"]
-        if node["lease"] > 0 and node["revision"] < goal
+        if node["lease"] > 0 and node["revision"] < target
     ]
     return sorted(late) + [f"nodes of {name}" for name in answer["missing"]]
 
@@ -187,7 +191,7 @@
             node["role"],
             node["failure_domain"],
             node["revision"],
-            cli_tables.moment(node["applied_at"]),
+            cli_tables.format_time(node["applied_at"]),
             f"{node['lease']:.1f} s" if node["lease"] else "out",
             node["control"],
         )
@@ -202,7 +206,7 @@
         "LEASE",
         "CONTROL",
     )
-    return cli_tables.table(head, rows)
+    return cli_tables.format_table(head, rows)
 
 
 def _load(file: str) -> tuple[str, schema.Manifest]:
@@ -210,7 +214,7 @@
         text = pathlib.Path(str(file)).read_text()
     except (OSError, UnicodeError) as error:
         cli_client.fail(
-            cli_client.USAGE, f"{file}: {error}.", "Name a readable JSON file."
+            cli_client.USAGE, f"{file}: {error}.", "Use a readable JSON file."
         )
     try:
         return text, schema.parse(text)
@@ -220,5 +224,5 @@
         )
 
 
-def _parsed(answer: dict[str, Any]) -> schema.Manifest:
-    return schema.parse(cli_tables.show(answer["manifest"]))
+def _manifest_of(answer: dict[str, Any]) -> schema.Manifest:
+    return schema.parse(cli_tables.to_json(answer["manifest"]))
--- a/src/mintcleat/main/cli_tables.py
+++ b/src/mintcleat/main/cli_tables.py
@@ -1,4 +1,4 @@
-"""Plain text tables for people."""
+"""Output of the CLI as text tables and as JSON."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -9,9 +9,12 @@
 EMPTY = "-"
 
 
-def table(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
-    """Returns columns as wide as their widest cell."""
-    lines = [list(head), *([_cell(item) for item in row] for row in rows)]
+def format_table(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
+    """Returns a text table; each column is as wide as its widest cell."""
+    lines = [
+        list(head),
+        *([_format_cell(item) for item in row] for row in rows),
+    ]
     widths = [max(len(line[n]) for line in lines) for n in range(len(head))]
     return "\n".join(
         "  ".join(
@@ -21,20 +24,20 @@
     )
 
 
-def moment(seconds: float) -> str:
-    """Returns a time since 1970 as UTC, to the second."""
+def format_time(seconds: float) -> str:
+    """Formats seconds since 1970 as UTC; 0 stands for no time."""
     if not seconds:
         return EMPTY
     at = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
     return at.strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
-def show(value: Any) -> str:
-    """Returns JSON for machines, on one line."""
+def to_json(value: Any) -> str:
+    """Returns a value as JSON on one line."""
     return json.dumps(value, sort_keys=True)
 
 
-def _cell(item: Any) -> str:
+def _format_cell(item: Any) -> str:
     match item:
         case None | "":
             return EMPTY
