--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -1,4 +1,4 @@
-"""The whole path in one process: every role over loopback sockets."""
+"""End-to-end tests of all roles in one process over loopback sockets."""
 
 import json
 import pathlib
@@ -13,21 +13,21 @@
 from mintcleat.main import local
 from mintcleat.roles.entry import attempts as attempts_module
 
-ANY = "127.0.0.1:0"
+ANY_PORT = "127.0.0.1:0"
 
 
-class WholePath(testtools.TestCase):
-    """Starts all roles; each test has its own data folder."""
+class LocalSystemTestCase(testtools.TestCase):
+    """Starts all roles with a data folder of each test's own."""
 
     def setUp(self) -> None:
         super().setUp()
         folder = self.enterContext(tempfile.TemporaryDirectory())
         self.data = pathlib.Path(folder)
         self.pool = urllib3.PoolManager(retries=False)
-        self.begin()
+        self.start_system()
 
-    def begin(self) -> None:
-        self.system = local.Local(ANY, ANY, self.data)
+    def start_system(self) -> None:
+        self.system = local.Local(ANY_PORT, ANY_PORT, self.data)
         self.system.start()
         self.addCleanup(self.system.stop, lambda: True)
         self.http = self.system.entry.parts[0].server.address
@@ -76,14 +76,14 @@
         self.assertEqual("application/problem+json", content)
 
 
-class ProgramsTest(WholePath):
+class ProgramsTest(LocalSystemTestCase):
     def test_turns_build_one_history(self) -> None:
         self.send("POST", "/v1/programs", {"id": "p", "agent": "triage"})
         for number in (1, 2, 3):
             self.assertEqual(200, self.turn("p", number, f"m{number}").status)
         history = self.send("GET", "/v1/programs/p/history").json()
-        said = [turn["messages"][0]["content"] for turn in history["turns"]]
-        self.assertEqual(["m1", "m2", "m3"], said)
+        contents = [turn["messages"][0]["content"] for turn in history["turns"]]
+        self.assertEqual(["m1", "m2", "m3"], contents)
 
     def test_resent_turn_gets_its_recorded_answer(self) -> None:
         self.send("POST", "/v1/programs", {"id": "p", "agent": "triage"})
@@ -107,23 +107,23 @@
         self.assertEqual(history["turns"][0]["messages"][1]["content"], text)
         self.assertThat(reply.data, matchers.EndsWith(b"data: [DONE]\n\n"))
 
-    def test_restart_on_the_same_data_keeps_everything(self) -> None:
-        """All processes end at once and start again on the same disk.
+    def test_restart_on_the_same_data_keeps_programs(self) -> None:
+        """Guards against lost programs when all processes restart at once.
 
-        The caller reads its program and goes on with the next turn; the
-        resent turn before it gets the recorded answer.
+        The program must be unchanged, a resent turn must get its recorded
+        answer, and the next turn must succeed.
         """
         self.send("POST", "/v1/programs", {"id": "p", "agent": "triage"})
         answer = self.turn("p", 1).json()["choices"][0]["message"]
         before = self.send("GET", "/v1/programs/p").json()
         self.system.stop(lambda: True)
-        self.begin()
+        self.start_system()
         self.assertEqual(before, self.send("GET", "/v1/programs/p").json())
         again = self.turn("p", 1).json()["choices"][0]["message"]
         self.assertEqual(answer, again)
         self.assertEqual(200, self.turn("p", 2).status)
 
-    def test_stock_openai_call_needs_no_headers(self) -> None:
+    def test_plain_openai_call_needs_no_headers(self) -> None:
         body = {
             "model": "triage",
             "messages": [{"role": "user", "content": "hi"}],
@@ -133,7 +133,7 @@
         self.assertEqual("chat.completion", reply.json()["object"])
 
 
-class RefusalsTest(WholePath):
+class RefusalsTest(LocalSystemTestCase):
     def test_bad_input_is_a_typed_refusal(self) -> None:
         self.send("POST", "/v1/programs", {"id": "p", "agent": "triage"})
         cases = [
@@ -165,7 +165,7 @@
         reply = self.send("POST", "/v1/programs", b"x" * (9 << 20))
         self.assert_refused(reply, 413, "too_large")
 
-    def raw(self, data: bytes) -> bytes:
+    def send_raw(self, data: bytes) -> bytes:
         """Sends bytes, ends the sending side, and returns what came back."""
         host, port = self.http.split(":")
         with socket.create_connection((host, int(port)), 5.0) as caller:
@@ -173,25 +173,26 @@
             caller.shutdown(socket.SHUT_WR)
             return caller.makefile("rb").read()
 
-    def test_what_is_no_request_is_refused_and_harms_nobody(self) -> None:
-        """Callers send an oversized header, no HTTP, and half a body.
+    def test_malformed_request_is_refused_and_others_are_served(self) -> None:
+        """Guards against malformed requests that disturb other callers.
 
-        Each gets a typed refusal or a closed connection; the next caller is
-        served as usual.
+        Callers send an oversized header, bytes that are not HTTP, and half a
+        body. Each must get a typed refusal or a closed connection, and the next
+        request must succeed.
         """
         large = b"GET /healthz HTTP/1.1\r\nX: " + b"y" * 70_000 + b"\r\n\r\n"
-        self.assertThat(self.raw(large), matchers.Contains(b"too_large"))
-        self.assertThat(self.raw(b"\x16\x03 no http\r\n\r\n"),
+        self.assertThat(self.send_raw(large), matchers.Contains(b"too_large"))
+        self.assertThat(self.send_raw(b"\x16\x03 no http\r\n\r\n"),
                         matchers.Contains(b"bad_request"))  # fmt: skip
         half = b"POST /v1/programs HTTP/1.1\r\nContent-Length: 9\r\n\r\n{}"
-        self.assertThat(self.raw(half), matchers.Contains(b"not_run"))
+        self.assertThat(self.send_raw(half), matchers.Contains(b"not_run"))
         self.assertEqual(200, self.send("GET", "/healthz").status)
 
-    def test_budget_holds_to_the_last_token(self) -> None:
-        """A program takes turns until its budget refuses one.
+    def test_budget_is_never_exceeded(self) -> None:
+        """Guards against a program that exceeds its token budget.
 
-        Each turn repeats the history, so what it will cost is not known
-        when it begins; an estimate overdrew a budget of 100 to 111 tokens.
+        Each turn repeats the history, so its cost is not known when it begins.
+        With an estimate, a budget of 100 tokens was overdrawn to 111.
         """
         budget = {"tokens": 300}
         program = {"id": "p", "agent": "triage", "budget": budget}
@@ -206,11 +207,11 @@
         self.assertThat(number, matchers.GreaterThan(4))
         self.assertEqual(0, view["tokens_reserved"])
 
-    def test_program_that_says_the_same_over_and_over_is_stopped(self) -> None:
-        """An agent is caught in a loop and sends one message for ever.
+    def test_program_that_repeats_a_message_is_stopped(self) -> None:
+        """Guards against an agent that repeats the same message endlessly.
 
-        The manifest allows 8 like calls; the ninth is refused before it
-        costs anything, and says why.
+        The manifest allows 8 equal calls. The ninth must be refused before it
+        uses tokens, with the reason.
         """
         self.send("POST", "/v1/programs", {"id": "p", "agent": "triage"})
         for number in range(1, 9):
@@ -218,7 +219,7 @@
         self.assert_refused(self.turn("p", 9), 422, "loop_detected")
 
 
-class ServicesTest(WholePath):
+class ServicesTest(LocalSystemTestCase):
     def test_resent_post_runs_once(self) -> None:
         path = "/v1/services/dispatch/book"
         first = self.send("POST", path, {"a": 1}, key="k")
@@ -232,33 +233,33 @@
             reply = self.send("POST", path, {"a": 1})
             self.assertNotIn("Mintcleat-Replayed", reply.headers)
 
-    def test_resend_refused_by_a_stopping_entry_gets_its_answer(self) -> None:
-        """A booking ran, its answer was lost, and the entry is stopping.
+    def test_resend_to_a_draining_entry_gets_the_recorded_answer(self) -> None:
+        """Guards against a refused resend of a call that has run.
 
-        The resend was told "not run", which a caller takes as leave to book
-        again under another key: two crews would go out.
+        A draining entry refused the resend with the outcome "not run". A caller
+        may then send the call again under another key, and it runs twice.
         """
         path = "/v1/services/dispatch/book"
         first = self.send("POST", path, {"a": 1}, key="k")
         self.system.entry.parts[0].entry.draining = True
         again = self.send("POST", path, {"a": 1}, key="k")
         self.assertEqual((200, first.data), (again.status, again.data))
-        fresh = self.send("POST", path, {"a": 2}, key="other")
-        self.assert_refused(fresh, 503, "draining")
+        new_call = self.send("POST", path, {"a": 2}, key="other")
+        self.assert_refused(new_call, 503, "draining")
 
-    def test_refused_resend_is_unknown_while_control_is_away(self) -> None:
-        """The booking ran; then the entry stops and no quorum answers.
+    def test_refused_resend_is_unknown_without_control(self) -> None:
+        """Guards against a wrong "not run" while the entry has no control.
 
-        Nobody can tell what the first send did, so "not run" might be
-        untrue. A call whose key the caller never sent before is still told
-        that it did not run.
+        A draining entry without a quorum can't find out whether the first send
+        of a resent call ran, so its outcome must be "unknown". A call without a
+        key can't be a resend; its outcome is still "not run".
         """
         path = "/v1/services/dispatch/book"
         self.send("POST", path, {"a": 1}, key="k")
         entry = self.system.entry.parts[0].entry
         entry.draining = True
-        attempts_module.CONTROL_SECONDS, kept = 0.2, 5.0
-        self.addCleanup(setattr, attempts_module, "CONTROL_SECONDS", kept)
+        attempts_module.CONTROL_SECONDS, default = 0.2, 5.0
+        self.addCleanup(setattr, attempts_module, "CONTROL_SECONDS", default)
         self.system.control.common.streams.stop()
         again = self.send("POST", path, {"a": 1}, key="k").json()
         self.assertEqual("unknown", again["outcome"])
@@ -266,18 +267,18 @@
         self.assert_refused(without_key, 503, "draining")
 
 
-class MetricsTest(WholePath):
-    def test_sidecar_tells_how_attempts_ended(self) -> None:
+class MetricsTest(LocalSystemTestCase):
+    def test_sidecar_counts_attempts_by_outcome(self) -> None:
         path = "/v1/services/dispatch/book"
         self.send("POST", path, {"a": 1}, key="k")
         process = self.system.sidecars[-1]
         app = metrics_http.MetricsApp(
             process.common.metrics, process._update_gauges
         )
-        heads: list[str] = []
+        status_lines: list[str] = []
         environ = {"PATH_INFO": "/metrics"}
-        text = b"".join(app(environ, lambda line, _: heads.append(line)))
-        self.assertEqual(["200 OK"], heads)
+        text = b"".join(app(environ, lambda line, _: status_lines.append(line)))
+        self.assertEqual(["200 OK"], status_lines)
         self.assertThat(
             text.decode(),
             matchers.Contains('attempts_total{ended="answered",kind=""} 1'),
--- a/testing/test_own_customers.py
+++ b/testing/test_own_customers.py
@@ -1,4 +1,4 @@
-"""Customers at the product's own listener: bearer keys and own programs."""
+"""End-to-end tests of customers' keys, limits and programs at an entry."""
 
 import json
 import pathlib
@@ -19,17 +19,17 @@
 from mintcleat.load import plan as plan_module
 from mintcleat.main import local
 
-ANY = "127.0.0.1:0"
-FARMERS = "key-of-the-farmers"
-STUDIOS = "key-of-the-studios"
-WAIT = 20.0
+ANY_PORT = "127.0.0.1:0"
+FARMERS_KEY = "key-of-the-farmers"
+STUDIOS_KEY = "key-of-the-studios"
+TIMEOUT_SECONDS = 20.0
 
 
 class OwnCustomersTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.system = local.Local(ANY, ANY, pathlib.Path(folder))
+        self.system = local.Local(ANY_PORT, ANY_PORT, pathlib.Path(folder))
         self.system.start()
         self.addCleanup(self.system.stop, lambda: True)
         self.part = self.system.entry.parts[0]
@@ -38,12 +38,16 @@
         self.push(limited={"rate": 0.2, "burst": 1.0})
 
     def push(self, **limits: dict[str, float]) -> None:
-        """Asks for keys; a customer named `limited` takes the given limit."""
+        """Pushes customers and requires keys.
+
+        Args:
+            limits: Fields of the customer `limited`, under its name.
+        """
         config = self.system.control.parts[0].config
         current = config.machine.document.manifest()
         customers = {
-            "farmers": manifest.Customer(keys=[FARMERS]),
-            "studios": manifest.Customer(keys=[STUDIOS]),
+            "farmers": manifest.Customer(keys=[FARMERS_KEY]),
+            "studios": manifest.Customer(keys=[STUDIOS_KEY]),
             "limited": manifest.Customer(keys=["scarce"], **limits["limited"]),
         }
         policies = msgspec.structs.replace(
@@ -54,9 +58,9 @@
         text = manifest.compact(whole)
         config.ask(
             config_messages.PushManifest(revision, "keys", text, "anna", "t"),
-            WAIT,
+            TIMEOUT_SECONDS,
         )
-        with eventlet.Timeout(WAIT):
+        with eventlet.Timeout(TIMEOUT_SECONDS):
             while self.part.follower.revision() <= revision:
                 eventlet.sleep(0.01)
 
@@ -71,49 +75,51 @@
             headers=headers,
         )
 
-    def program(self, key: str, **fields: str) -> urllib3.BaseHTTPResponse:
+    def create_program(
+        self, key: str, **fields: str
+    ) -> urllib3.BaseHTTPResponse:
         return self.send(
             "POST", "/v1/programs", key, {"agent": "triage", **fields}
         )
 
-    def test_bearer_key_tells_the_customer(self) -> None:
-        made = self.program(FARMERS, id="p", customer="studios")
-        self.assertEqual(201, made.status)
-        self.assertEqual("farmers", made.json()["customer"])
+    def test_bearer_key_identifies_the_customer(self) -> None:
+        created = self.create_program(FARMERS_KEY, id="p", customer="studios")
+        self.assertEqual(201, created.status)
+        self.assertEqual("farmers", created.json()["customer"])
 
-    def test_without_a_key_only_health_is_told(self) -> None:
-        self.assertEqual(401, self.program("").status)
-        self.assertEqual(401, self.program("no-such-key").status)
+    def test_only_health_is_served_without_a_key(self) -> None:
+        self.assertEqual(401, self.create_program("").status)
+        self.assertEqual(401, self.create_program("no-such-key").status)
         self.assertEqual(401, self.send("GET", "/v1/models").status)
         self.assertEqual(200, self.send("GET", "/readyz").status)
 
-    def test_another_customers_program_is_one_that_never_was(self) -> None:
-        self.program(FARMERS, id="p")
+    def test_program_of_another_customer_is_not_found(self) -> None:
+        self.create_program(FARMERS_KEY, id="p")
         for method, path in (
             ("GET", "/v1/programs/p"),
             ("GET", "/v1/programs/p/history"),
             ("DELETE", "/v1/programs/p"),
         ):
-            self.assertEqual(404, self.send(method, path, STUDIOS).status)
-        child = self.program(STUDIOS, id="child", parent="p")
+            self.assertEqual(404, self.send(method, path, STUDIOS_KEY).status)
+        child = self.create_program(STUDIOS_KEY, id="child", parent="p")
         self.assertEqual(404, child.status)
-        own = self.send("GET", "/v1/programs/p", FARMERS)
+        own = self.send("GET", "/v1/programs/p", FARMERS_KEY)
         self.assertEqual("open", own.json()["state"])
 
-    def test_key_goes_no_further_than_the_entry(self) -> None:
-        answer = self.send("GET", "/v1/services/dispatch/a", FARMERS)
+    def test_key_is_not_forwarded_to_upstreams(self) -> None:
+        answer = self.send("GET", "/v1/services/dispatch/a", FARMERS_KEY)
         self.assertEqual(200, answer.status)
         self.assertEqual("farmers", answer.json()["customer"])
         self.assertEqual("", answer.json()["credentials"])
 
-    def test_customer_far_over_its_limit_costs_the_others_nothing(
+    def test_customer_far_over_its_limit_does_not_affect_others(
         self,
     ) -> None:
-        # The load tool shows keys; one customer asks many times its limit.
+        # One customer sends many times its rate limit.
         tools = [plan_module.Tool("dispatch")]
         common = {"model": "triage", "agent": "triage", "tools": tools}
         kinds = [
-            plan_module.Kind("calm", rate=4.0, key=FARMERS, **common),
+            plan_module.Kind("calm", rate=4.0, key=FARMERS_KEY, **common),
             plan_module.Kind("greedy", rate=10.0, key="scarce", **common),
         ]
         clock = timers.EventletTimers()
@@ -128,7 +134,7 @@
         refused = [name for name in greedy.outcomes if ":limit_" in name]
         self.assertNotEqual([], refused)
 
-    def test_call_over_the_limit_is_429_with_a_time_to_come_back(self) -> None:
+    def test_call_over_the_limit_is_429_with_retry_after(self) -> None:
         self.assertEqual(
             200, self.send("GET", "/v1/services/dispatch/a", "scarce").status
         )
