--- a/src/mintcleat/main/assembly.py
+++ b/src/mintcleat/main/assembly.py
@@ -14,7 +14,7 @@
 from mintcleat.domain import errors
 from mintcleat.domain import member_messages
 from mintcleat.main import common as common_module
-from mintcleat.main import control_part
+from mintcleat.main import control_role
 from mintcleat.roles.entry import entry as entry_module
 from mintcleat.roles.entry import placement as placement_module
 from mintcleat.roles.sidecar import sidecar as sidecar_module
@@ -23,7 +23,7 @@
 _POLL_SECONDS = 0.02
 
 
-class Part(Protocol):
+class Role(Protocol):
     """The components of one role in a process."""
 
     def start(self) -> None:
@@ -45,10 +45,10 @@
         """Sets the gauges of this role before a metrics scrape."""
 
 
-class EntryPart:
+class EntryRole:
     """The entry role with its HTTP server."""
 
-    def __init__(self, common: common_module.Common) -> None:
+    def __init__(self, common: common_module.SharedComponents) -> None:
         self.common = common
         self.follower = common.follower("entry")
         placement = placement_module.Placement(
@@ -111,10 +111,10 @@
         metrics.gauge("config_revision", self.follower.revision())
 
 
-class SidecarPart:
+class SidecarRole:
     """The sidecar role with its upstream's adapter."""
 
-    def __init__(self, common: common_module.Common) -> None:
+    def __init__(self, common: common_module.SharedComponents) -> None:
         self.common = common
         options = common.settings.sidecar
         self.follower = common.follower("sidecar", self.announce)
@@ -182,10 +182,10 @@
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self.settings = settings
-        self.common = common_module.Common(settings)
+        self.common = common_module.SharedComponents(settings)
         # Control is first: the other roles of the process depend on it.
         start_order = ("control", "sidecar", "entry")
-        self.parts = [
+        self.roles = [
             self._part(role) for role in start_order if role in settings.roles
         ]
         self.metrics_server: wsgi.HttpServer | None = None
@@ -195,23 +195,23 @@
             )
             self.metrics_server = wsgi.HttpServer(settings.metrics, app)
 
-    def _part(self, role: str) -> Part:
+    def _part(self, role: str) -> Role:
         match role:
             case "control":
-                return control_part.ControlPart(self.common)
+                return control_role.ControlRole(self.common)
             case "sidecar":
-                return SidecarPart(self.common)
+                return SidecarRole(self.common)
             case _:
-                return EntryPart(self.common)
+                return EntryRole(self.common)
 
     def start(self) -> None:
         """Starts every role."""
-        for part in self.parts:
+        for part in self.roles:
             part.start()
         logger.info("Started as {}", self.common.node)
 
     def _update_gauges(self) -> None:
-        for part in self.parts:
+        for part in self.roles:
             part.update_gauges()
 
     def ready_line(self) -> str:
@@ -219,7 +219,7 @@
         addresses = {"streams": self.common.streams.address}
         if self.metrics_server is not None:
             addresses["metrics"] = self.metrics_server.address
-        for part in self.parts:
+        for part in self.roles:
             addresses.update(part.addresses())
         pairs = " ".join(
             f"{name}={address}" for name, address in addresses.items()
@@ -232,8 +232,8 @@
         A control replica stops when its disk fails. The process must then exit,
         because a supervisor restarts or replaces only processes that have.
         """
-        for part in self.parts:
-            if isinstance(part, control_part.ControlPart):
+        for part in self.roles:
+            if isinstance(part, control_role.ControlRole):
                 return part.failure()
         return None
 
@@ -248,7 +248,7 @@
         """
         deadline = self.common.timers.now() + self.settings.stop_seconds
         interrupted = 0
-        for part in reversed(self.parts):
+        for part in reversed(self.roles):
             part.drain()
             self._wait(part, deadline, is_forced)
             interrupted += part.in_flight()
@@ -261,7 +261,7 @@
         return interrupted
 
     def _wait(
-        self, part: Part, deadline: float, is_forced: Callable[[], bool]
+        self, part: Role, deadline: float, is_forced: Callable[[], bool]
     ) -> None:
         """Waits until a part has no requests in flight."""
         timers = self.common.timers
--- a/src/mintcleat/main/common.py
+++ b/src/mintcleat/main/common.py
@@ -15,7 +15,7 @@
 from mintcleat.roles import follower as follower_module
 
 
-class Common:
+class SharedComponents:
     """The components that all roles of one process share."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
--- a/src/mintcleat/main/control_part.py
+++ b/src/mintcleat/main/control_role.py
@@ -26,12 +26,12 @@
 _LEADERSHIP_TRANSFER_SECONDS = 2.0
 
 
-class ControlPart:
+class ControlRole:
     """The control role of one process."""
 
     def __init__(
         self,
-        common: common_module.Common,
+        common: common_module.SharedComponents,
         events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
     ) -> None:
         self.common = common
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -32,7 +32,7 @@
 from mintcleat.main import common as common_module
 from mintcleat.platform import callers
 from mintcleat.platform import control_api
-from mintcleat.platform import machine as machine_module
+from mintcleat.platform import machine_settings as machine_module
 from mintcleat.platform import upstreams
 from mintcleat.ports import events as event_ports
 from mintcleat.roles.entry import allowances
@@ -59,13 +59,13 @@
 _LOOP_CHECK_SECONDS = 0.5
 
 
-class EntryPart:
+class EntryRole:
     """The entry role with its listeners for callers and readiness checks."""
 
     def __init__(
         self,
         machine: machine_module.MachineSettings,
-        common: common_module.Common,
+        common: common_module.SharedComponents,
         events: event_ports.EventReporter,
         policy: policy_module.Policy = policy_module.DEFAULT,
     ) -> None:
@@ -194,34 +194,37 @@
         return self.in_flight()
 
 
-class ControlPart:
+class ControlRole:
     """The control role with its listener for operators and upstreams."""
 
     def __init__(
         self,
         machine: machine_module.MachineSettings,
-        common: common_module.Common,
+        common: common_module.SharedComponents,
         events: event_ports.EventReporter,
     ) -> None:
         # Imported here because an entry doesn't need the logs and their disk.
-        from mintcleat.main import control_part
+        from mintcleat.main import control_role
 
         self.common = common
-        self.part = control_part.ControlPart(common, events)
+        self.wrapped = control_role.ControlRole(common, events)
         self.events = events
         self.leaders: dict[str, tuple[str, int, str]] = {}
         api = control_api.ControlApi(
-            self.part.config, machine.answer_seconds, events, machine.policies
+            self.wrapped.config,
+            machine.answer_seconds,
+            events,
+            machine.policies,
         )
         self.listener = http1_server.HttpListener(machine.control, api.handle)
 
     def start(self) -> None:
         """Recovers from disk and joins the groups."""
-        self.part.start()
+        self.wrapped.start()
         self.common.timers.every(_STATUS_CHECK_SECONDS, self._watch_leaders)
 
     def _watch_leaders(self) -> None:
-        for status in self.part.log.status():
+        for status in self.wrapped.log.status():
             leader = status.leader, status.term, status.role
             if self.leaders.get(status.group) != leader:
                 self.leaders[status.group] = leader
@@ -236,8 +239,8 @@
     def update_gauges(self) -> None:
         """Writes the gauges of this role."""
         metrics = self.common.metrics
-        self.part.update_gauges()
-        for status in self.part.log.status():
+        self.wrapped.update_gauges()
+        for status in self.wrapped.log.status():
             group = status.group
             metrics.gauge(
                 "log_lag", status.commit - status.applied, group=group
@@ -249,7 +252,7 @@
 
     def sizes(self) -> dict[str, int]:
         """Returns the sizes of what grows with the load, by name."""
-        return self.part.log.held()
+        return self.wrapped.log.held()
 
     def in_flight(self) -> int:
         """Returns the number of requests without a response."""
@@ -257,13 +260,13 @@
 
     def failure(self) -> errors.MintcleatError | None:
         """Returns the error that stopped the replica, if any."""
-        return self.part.failure()
+        return self.wrapped.failure()
 
     def stop(self, until: float) -> int:
         """Transfers every leadership and stops; returns 0."""
-        self.part.log.transfer_leadership(_LEADERSHIP_TRANSFER_SECONDS)
+        self.wrapped.log.transfer_leadership(_LEADERSHIP_TRANSFER_SECONDS)
         self.listener.close_idle()
-        self.part.stop()
+        self.wrapped.stop()
         return 0
 
 
@@ -283,12 +286,12 @@
         self.machine = machine_module.load(path, role)
         settings = self.machine.settings
         self.log = event_log.EventLog(settings.instance)
-        self.common = common_module.Common(settings)
+        self.common = common_module.SharedComponents(settings)
         metrics = self.common.metrics
         self.events = event_metrics.MeasuredEvents(metrics, self.log)
         parts: dict[str, Callable[..., Any]] = {
-            machine_module.ENTRY: functools.partial(EntryPart, policy=policy),
-            machine_module.CONTROL: ControlPart,
+            machine_module.ENTRY: functools.partial(EntryRole, policy=policy),
+            machine_module.CONTROL: ControlRole,
         }
         self.part = parts[role](self.machine, self.common, self.events)
         self.metrics_listener = http1_server.HttpListener(
--- a/src/mintcleat/main/local.py
+++ b/src/mintcleat/main/local.py
@@ -52,8 +52,8 @@
 
     def ready_line(self) -> str:
         """Returns the line with the addresses that is printed once started."""
-        entry = self.entry.parts[0].addresses()["http"]
-        admin = self.control.parts[0].addresses()["admin"]
+        entry = self.entry.roles[0].addresses()["http"]
+        admin = self.control.roles[0].addresses()["admin"]
         return f"ready local http={entry} admin={admin} data={self.data}"
 
     def failure(self) -> errors.MintcleatError | None:
@@ -78,7 +78,7 @@
 
     def _wait_until_ready(self) -> None:
         """Waits until the entry has its lease and knows all engines."""
-        part = self.entry.parts[0]
+        part = self.entry.roles[0]
         timers = self.entry.common.timers
         deadline = timers.now() + 10.0
         while timers.now() < deadline:
@@ -101,7 +101,7 @@
 
     def _control_settings(self, admin: str) -> settings_module.Settings:
         # The port of the streams is unknown until it is bound. With a single
-        # address, `ControlPart` uses its own in place of it.
+        # address, `ControlRole` uses its own in place of it.
         value = self._common_settings(
             "control-1", "control", _FAILURE_DOMAINS[0]
         )
--- a/src/mintcleat/main/local_manifest.py
+++ b/src/mintcleat/main/local_manifest.py
@@ -27,7 +27,7 @@
 
 def push_initial(control: assembly.Process) -> None:
     """Pushes the initial manifest unless one is in force."""
-    service = control.parts[0].config
+    service = control.roles[0].config
     view = service.ask(config_messages.ReadManifest())
     if view.revision:
         return
--- a/testing/fakes/platform_system.py
+++ b/testing/fakes/platform_system.py
@@ -14,7 +14,7 @@
 from mintcleat.adapters import settings
 from mintcleat.main import common
 from mintcleat.main import hosted
-from mintcleat.platform import machine
+from mintcleat.platform import machine_settings
 from mintcleat.ports import events
 
 ANY = "127.0.0.1:0"
@@ -114,25 +114,25 @@
         self.engines: list[platform_engine.Engine] = []
         self.sequence = 0
         control = self._machine("control", [ANY])
-        self.control_common = common.Common(control.settings)
-        self.control = hosted.ControlPart(
+        self.control_common = common.SharedComponents(control.settings)
+        self.control = hosted.ControlRole(
             control, self.control_common, self.told
         )
         self.control.start()
         entry = self._machine("entry", [self.control_common.streams.address])
-        self.entry_common = common.Common(entry.settings)
-        self.entry = hosted.EntryPart(entry, self.entry_common, self.told)
+        self.entry_common = common.SharedComponents(entry.settings)
+        self.entry = hosted.EntryRole(entry, self.entry_common, self.told)
         self.entry.start()
 
     def _machine(
         self, role: str, control: list[str]
-    ) -> machine.MachineSettings:
+    ) -> machine_settings.MachineSettings:
         part = None
         if role == "control":
             part = settings.Control(
                 data=str(self.folder / "data"), admin=ANY, label="store-1"
             )
-        return machine.MachineSettings(
+        return machine_settings.MachineSettings(
             settings.Settings(
                 instance=f"{role}-1",
                 failure_domain="z1",
@@ -158,7 +158,7 @@
         self.entry.readiness_listener.stop()
         self.entry_common.streams.stop()
         self.control.listener.stop()
-        self.control.part.stop()
+        self.control.wrapped.stop()
         self.control_common.streams.stop()
         shutil.rmtree(self.folder)
 
@@ -195,7 +195,7 @@
 
     def settle(self) -> None:
         """Waits until the entry follows what control has."""
-        machine_now = self.control.part.config.machine
+        machine_now = self.control.wrapped.config.machine
         follower = self.entry.follower
         with eventlet.Timeout(ANSWER_SECONDS):
             while (
--- a/testing/fakes/service_system.py
+++ b/testing/fakes/service_system.py
@@ -149,7 +149,7 @@
         """
         for _ in range(_LEADER_TRIES):
             for number, process in enumerate(self.controls):
-                if process and process.parts[0].log.leads(_FIRST_GROUP):
+                if process and process.roles[0].log.leads(_FIRST_GROUP):
                     self._kill_control(number, process)
                     return
             eventlet.sleep(0.01)
@@ -172,11 +172,11 @@
 
     def _is_ready(self) -> bool:
         return all(
-            process.parts[0].entry.ready()
+            process.roles[0].entry.ready()
             and [
                 member.sidecar
                 for service in ("model", "tool")
-                for member in process.parts[0].follower.members(service)
+                for member in process.roles[0].follower.members(service)
                 if member.state == "ready"
             ]
             == [self.sidecars[name].common.node for name in sorted(NAMES)]
@@ -223,7 +223,7 @@
 
         def pushed() -> bool:
             try:
-                self.controls[0].parts[0].config.ask(push)
+                self.controls[0].roles[0].config.ask(push)
             except errors.MintcleatError:
                 return False
             return True
@@ -245,7 +245,7 @@
             "capacity": 8,
         }
         process = assembly.Process(settings_module.parse(value))
-        side = process.parts[0].sidecar
+        side = process.roles[0].sidecar
         side.options = side.options._replace(
             renew_seconds=0.05,
             probe_seconds=0.05,
@@ -285,7 +285,7 @@
         try:
             reply = urllib3.PoolManager(retries=False).request(
                 method,
-                f"http://{process.parts[0].server.address}{path}",
+                f"http://{process.roles[0].server.address}{path}",
                 body=json.dumps(body).encode(),
                 headers={**names, "Mintcleat-Deadline": "5"},
                 timeout=8.0,
@@ -311,7 +311,7 @@
     streams.open = refuse
     for connection in [*streams.dialled.values(), *streams.accepted]:
         connection.lose()
-    part = process.parts[0]
+    part = process.roles[0]
     if hasattr(part, "follower"):
         part.follower.stop()
     if hasattr(part, "server"):
--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -133,11 +133,11 @@
             self.assertNotIn(key, written)
         shown = keys.short_digest(keys.digest("no-such-key-at-all"))
         self.assertIn(shown, written)
-        trail = self.system.control.part.config.machine.trail.state()
+        trail = self.system.control.wrapped.config.machine.trail.state()
         self.assertNotIn(LATER, str(trail))
 
     def test_disk_of_an_entry_or_a_section_holds_digests_alone(self) -> None:
-        sections = self.system.control.part.config.machine.document.sections
+        sections = self.system.control.wrapped.config.machine.document.sections
         self.assertNotIn(FARMERS, str(sections))
         self.assertIn(keys.digest(FARMERS), str(sections))
 
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -131,7 +131,7 @@
             {**whole, "sequence": "9"},
             {**whole, "slots": -4},
         ]
-        directory = self.system.control.part.config.machine.directory
+        directory = self.system.control.wrapped.config.machine.directory
         before = directory.version
         for body in forged:
             self.assertIn(self.send(body), (400, 404), body)
--- a/testing/test_local.py
+++ b/testing/test_local.py
@@ -30,7 +30,7 @@
         self.system = local.Local(ANY_PORT, ANY_PORT, self.data)
         self.system.start()
         self.addCleanup(self.system.stop, lambda: True)
-        self.http = self.system.entry.parts[0].server.address
+        self.http = self.system.entry.roles[0].server.address
 
     def send(
         self,
@@ -241,7 +241,7 @@
         """
         path = "/v1/services/dispatch/book"
         first = self.send("POST", path, {"a": 1}, key="k")
-        self.system.entry.parts[0].entry.draining = True
+        self.system.entry.roles[0].entry.draining = True
         again = self.send("POST", path, {"a": 1}, key="k")
         self.assertEqual((200, first.data), (again.status, again.data))
         new_call = self.send("POST", path, {"a": 2}, key="other")
@@ -256,7 +256,7 @@
         """
         path = "/v1/services/dispatch/book"
         self.send("POST", path, {"a": 1}, key="k")
-        entry = self.system.entry.parts[0].entry
+        entry = self.system.entry.roles[0].entry
         entry.draining = True
         attempts_module.CONTROL_SECONDS, default = 0.2, 5.0
         self.addCleanup(setattr, attempts_module, "CONTROL_SECONDS", default)
--- a/testing/test_own_customers.py
+++ b/testing/test_own_customers.py
@@ -32,7 +32,7 @@
         self.system = local.Local(ANY_PORT, ANY_PORT, pathlib.Path(folder))
         self.system.start()
         self.addCleanup(self.system.stop, lambda: True)
-        self.part = self.system.entry.parts[0]
+        self.part = self.system.entry.roles[0]
         self.http = self.part.server.address
         self.pool = urllib3.PoolManager(retries=False)
         self.push(limited={"rate": 0.2, "burst": 1.0})
@@ -43,7 +43,7 @@
         Args:
             limits: Fields of the customer `limited`, under its name.
         """
-        config = self.system.control.parts[0].config
+        config = self.system.control.roles[0].config
         current = config.machine.document.manifest()
         customers = {
             "farmers": manifest.Customer(keys=[FARMERS_KEY]),
