--- a/src/mintcleat/main/assembly.py
+++ b/src/mintcleat/main/assembly.py
@@ -186,7 +186,9 @@
         # Control is first: the other roles of the process depend on it.
         start_order = ("control", "sidecar", "entry")
         self.roles = [
-            self._part(role) for role in start_order if role in settings.roles
+            self._build_role(role)
+            for role in start_order
+            if role in settings.roles
         ]
         self.metrics_server: wsgi.HttpServer | None = None
         if settings.metrics:
@@ -195,7 +197,7 @@
             )
             self.metrics_server = wsgi.HttpServer(settings.metrics, app)
 
-    def _part(self, role: str) -> Role:
+    def _build_role(self, role: str) -> Role:
         match role:
             case "control":
                 return control_role.ControlRole(self.common)
@@ -206,21 +208,21 @@
 
     def start(self) -> None:
         """Starts every role."""
-        for part in self.roles:
-            part.start()
+        for role in self.roles:
+            role.start()
         logger.info("Started as {}", self.common.node)
 
     def _update_gauges(self) -> None:
-        for part in self.roles:
-            part.update_gauges()
+        for role in self.roles:
+            role.update_gauges()
 
     def ready_line(self) -> str:
         """Returns the line with the addresses that is printed once started."""
         addresses = {"streams": self.common.streams.address}
         if self.metrics_server is not None:
             addresses["metrics"] = self.metrics_server.address
-        for part in self.roles:
-            addresses.update(part.addresses())
+        for role in self.roles:
+            addresses.update(role.addresses())
         pairs = " ".join(
             f"{name}={address}" for name, address in addresses.items()
         )
@@ -232,9 +234,9 @@
         A control replica stops when its disk fails. The process must then exit,
         because a supervisor restarts or replaces only processes that have.
         """
-        for part in self.roles:
-            if isinstance(part, control_role.ControlRole):
-                return part.failure()
+        for role in self.roles:
+            if isinstance(role, control_role.ControlRole):
+                return role.failure()
         return None
 
     def stop(self, is_forced: Callable[[], bool]) -> int:
@@ -248,11 +250,11 @@
         """
         deadline = self.common.timers.now() + self.settings.stop_seconds
         interrupted = 0
-        for part in reversed(self.roles):
-            part.drain()
-            self._wait(part, deadline, is_forced)
-            interrupted += part.in_flight()
-            part.stop()
+        for role in reversed(self.roles):
+            role.drain()
+            self._wait(role, deadline, is_forced)
+            interrupted += role.in_flight()
+            role.stop()
         if self.metrics_server is not None:
             self.metrics_server.stop()
         # Lets the last frames and responses reach the sockets.
@@ -261,11 +263,11 @@
         return interrupted
 
     def _wait(
-        self, part: Role, deadline: float, is_forced: Callable[[], bool]
+        self, role: Role, deadline: float, is_forced: Callable[[], bool]
     ) -> None:
-        """Waits until a part has no requests in flight."""
+        """Waits until a role has no requests in flight."""
         timers = self.common.timers
-        while part.in_flight() and timers.now() < deadline:
+        while role.in_flight() and timers.now() < deadline:
             if is_forced():
                 return
             timers.sleep(_POLL_SECONDS)
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -32,7 +32,7 @@
 from mintcleat.main import common as common_module
 from mintcleat.platform import callers
 from mintcleat.platform import control_api
-from mintcleat.platform import machine_settings as machine_module
+from mintcleat.platform import machine_settings as settings_module
 from mintcleat.platform import upstreams
 from mintcleat.ports import events as event_ports
 from mintcleat.roles.entry import allowances
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        machine: machine_module.MachineSettings,
+        machine: settings_module.MachineSettings,
         common: common_module.SharedComponents,
         events: event_ports.EventReporter,
         policy: policy_module.Policy = policy_module.DEFAULT,
@@ -138,7 +138,7 @@
                 )
             )
 
-    def reload(self, machine: machine_module.MachineSettings) -> list[str]:
+    def reload(self, machine: settings_module.MachineSettings) -> list[str]:
         """Applies new settings; returns the names of those that changed."""
         if machine.settings.control == self.follower.control_addresses:
             return []
@@ -146,7 +146,7 @@
         return ["control"]
 
     def update_gauges(self) -> None:
-        """Writes the gauges of this role."""
+        """Sets the gauges of this role before a metrics scrape."""
         metrics = self.common.metrics
         metrics.gauge("running_calls", self.listener.active)
         metrics.gauge("config_revision", self.follower.revision())
@@ -199,7 +199,7 @@
 
     def __init__(
         self,
-        machine: machine_module.MachineSettings,
+        machine: settings_module.MachineSettings,
         common: common_module.SharedComponents,
         events: event_ports.EventReporter,
     ) -> None:
@@ -232,12 +232,12 @@
                     control_events.LeaderChanged(status.group, *leader)
                 )
 
-    def reload(self, machine: machine_module.MachineSettings) -> list[str]:
+    def reload(self, machine: settings_module.MachineSettings) -> list[str]:
         """Ignores new settings: the groups keep their members."""
         return []
 
     def update_gauges(self) -> None:
-        """Writes the gauges of this role."""
+        """Sets the gauges of this role before a metrics scrape."""
         metrics = self.common.metrics
         self.wrapped.update_gauges()
         for status in self.wrapped.log.status():
@@ -276,24 +276,24 @@
     def __init__(
         self, role: str, path: pathlib.Path, policy: policy_module.Policy
     ) -> None:
-        self.role = role
+        self.role_name = role
         self.path = path
         self.started_at = time.monotonic()
         self.stop_signals = 0
         self.reload_signals = 0
         self.modified_at = _modified_at(path)
         self.next_check = 0.0
-        self.machine = machine_module.load(path, role)
+        self.machine = settings_module.load(path, role)
         settings = self.machine.settings
         self.log = event_log.EventLog(settings.instance)
         self.common = common_module.SharedComponents(settings)
         metrics = self.common.metrics
         self.events = event_metrics.MeasuredEvents(metrics, self.log)
-        parts: dict[str, Callable[..., Any]] = {
-            machine_module.ENTRY: functools.partial(EntryRole, policy=policy),
-            machine_module.CONTROL: ControlRole,
+        role_types: dict[str, Callable[..., Any]] = {
+            settings_module.ENTRY: functools.partial(EntryRole, policy=policy),
+            settings_module.CONTROL: ControlRole,
         }
-        self.part = parts[role](self.machine, self.common, self.events)
+        self.role = role_types[role](self.machine, self.common, self.events)
         self.metrics_listener = http1_server.HttpListener(
             settings.metrics, self._scrape
         )
@@ -302,23 +302,23 @@
 
     def run(self) -> int:
         """Runs until SIGTERM or a failure; returns the exit code."""
-        self.part.start()
+        self.role.start()
         self.common.timers.spawn(self._watch_loop)
         self.common.timers.spawn(self._watch_memory)
         instance = self.machine.settings.instance
         self.events.emit(
             event_types.ProcessStarted(
-                self.role,
+                self.role_name,
                 instance,
                 self.common.streams.address,
                 round(time.monotonic() - self.started_at, 3),
             )
         )
-        while not self.stop_signals and self.part.failure() is None:
+        while not self.stop_signals and self.role.failure() is None:
             eventlet.sleep(_POLL_SECONDS)
             self._reload_if_changed()
-        if self.part.failure() is not None:
-            logger.error("Stopping: {}", self.part.failure())
+        if self.role.failure() is not None:
+            logger.error("Stopping: {}", self.role.failure())
             self.log.close()
             return _EXIT_FAILED
         return self._stop()
@@ -326,7 +326,7 @@
     def _scrape(
         self, request: http1_server.Request, reply: http1_server.Reply
     ) -> None:
-        self.part.update_gauges()
+        self.role.update_gauges()
         body, kind = self.common.metrics.render()
         reply.send(200, [("content-type", kind)], body)
 
@@ -346,18 +346,20 @@
             peak_mb = process_memory.peak_mb()
             if peak_mb >= reported_mb + _MEMORY_STEP_MB:
                 reported_mb = peak_mb
-                sizes = self.part.sizes() | self.common.streams.held_bytes()
+                sizes = self.role.sizes() | self.common.streams.held_bytes()
                 self.events.emit(
                     event_types.MemoryGrown(round(peak_mb, 1), sizes)
                 )
             self.common.timers.sleep(_MEMORY_CHECK_SECONDS)
 
     def _stop(self) -> int:
-        in_flight = self.part.in_flight()
-        self.events.emit(event_types.ProcessStopping(self.role, in_flight))
+        in_flight = self.role.in_flight()
+        self.events.emit(event_types.ProcessStopping(self.role_name, in_flight))
         until = self.common.timers.now() + self.machine.settings.stop_seconds
-        interrupted = self.part.stop(until)
-        self.events.emit(event_types.ProcessStopped(self.role, interrupted))
+        interrupted = self.role.stop(until)
+        self.events.emit(
+            event_types.ProcessStopped(self.role_name, interrupted)
+        )
         eventlet.sleep(_FLUSH_SECONDS)
         self.log.close()
         return 0
@@ -373,13 +375,13 @@
             return
         self.modified_at = modified_at
         try:
-            machine = machine_module.load(self.path, self.role)
+            machine = settings_module.load(self.path, self.role_name)
         except errors.MintcleatError as error:
             # The file may be half written; the next check reads it again.
             logger.warning("Settings were not reloaded: {}", error.detail)
             self.modified_at = 0
             return
-        changed = self.part.reload(machine)
+        changed = self.role.reload(machine)
         self.events.emit(event_types.SettingsReloaded(changed))
 
     def _count_stop(self, number: int, frame: Any) -> None:
@@ -401,7 +403,7 @@
     warnings.filterwarnings("ignore", category=DeprecationWarning)
     logger.remove()
     logger.add(sys.stderr, level="INFO", format="{time:HH:mm:ss.SSS} {message}")
-    roles = (machine_module.ENTRY, machine_module.CONTROL)
+    roles = (settings_module.ENTRY, settings_module.CONTROL)
     if len(sys.argv) not in (2, 3) or sys.argv[1] not in roles:
         usage = f"usage: hosted {'|'.join(roles)} [POLICY]"
         print(usage, file=sys.stderr)
@@ -410,7 +412,7 @@
         policy = policy_module.DEFAULT
         if len(sys.argv) == 3:
             policy = policy_module.parse(pathlib.Path(sys.argv[2]).read_text())
-        process = Process(sys.argv[1], machine_module.settings_path(), policy)
+        process = Process(sys.argv[1], settings_module.settings_path(), policy)
     except errors.MintcleatError as error:
         print(f"{error.detail}\nremedy: {error.remedy}", file=sys.stderr)
         sys.exit(_EXIT_SETTINGS)
--- a/src/mintcleat/main/local.py
+++ b/src/mintcleat/main/local.py
@@ -78,12 +78,12 @@
 
     def _wait_until_ready(self) -> None:
         """Waits until the entry has its lease and knows all engines."""
-        part = self.entry.roles[0]
+        role = self.entry.roles[0]
         timers = self.entry.common.timers
         deadline = timers.now() + 10.0
         while timers.now() < deadline:
-            engines = part.follower.members("triage")
-            if part.entry.ready() and len(engines) == len(self.engines):
+            engines = role.follower.members("triage")
+            if role.entry.ready() and len(engines) == len(self.engines):
                 return
             timers.sleep(0.05)
 
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -71,12 +71,12 @@
     ) -> None:
         """Responds to one request."""
         try:
-            status, body = 200, self._answer(request)
+            status, body = 200, self._dispatch(request)
         except errors.MintcleatError as error:
             status, body = _status_of(error), _error_body(error)
         reply.send(status, [("content-type", "application/json")], body)
 
-    def _answer(self, request: http1_server.Request) -> bytes:
+    def _dispatch(self, request: http1_server.Request) -> bytes:
         path = request.target.partition("?")[0]
         match request.method, path:
             case "POST", "/v1/Configuration.Put":
