--- a/src/mintcleat/main/assembly.py
+++ b/src/mintcleat/main/assembly.py
@@ -95,7 +95,7 @@
         return self.server.active + (0 if self.notice_elapsed else 1)
 
     def stop(self) -> None:
-        """Closes the listener and stops to follow the configuration."""
+        """Closes the listener and stops following the configuration."""
         self.server.stop()
         self.placement.stop()
         self.follower.stop()
