--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -147,11 +147,11 @@
             self.assertNotIn(key, written)
         shown = keys.short_digest(keys.digest("no-such-key-at-all"))
         self.assertIn(shown, written)
-        trail = self.system.control.part.config.machine.trail.state()
+        trail = self.system.control.wrapped.config.machine.trail.state()
         self.assertNotIn(ADDED, str(trail))
 
     def test_stored_sections_contain_only_digests(self) -> None:
-        sections = self.system.control.part.config.machine.document.sections
+        sections = self.system.control.wrapped.config.machine.document.sections
         self.assertNotIn(FARMERS, str(sections))
         self.assertIn(keys.digest(FARMERS), str(sections))
 
