--- a/bench/faults_load.py
+++ b/bench/faults_load.py
@@ -224,7 +224,7 @@
     until = time.monotonic() + _MEMORY_SECONDS
     held = 1
     while held and time.monotonic() < until:
-        held = sum(one.cache.used for one in system.engines())
+        held = sum(one.cache.used_tokens for one in system.engines())
         eventlet.sleep(0.2)
     return held
 
--- a/bench/faults_system.py
+++ b/bench/faults_system.py
@@ -133,7 +133,7 @@
                     one.cuts += 1
             case "events lost":
                 for one in self.engines():
-                    one.hidden = set(one.cache.totals)
+                    one.hidden = set(one.cache.tokens_by_program)
             case "rolling restart":
                 self._restart_next()
 
--- a/src/mintcleat/standins/batch.py
+++ b/src/mintcleat/standins/batch.py
@@ -52,7 +52,7 @@
         self.sent = 0
         self.cached = 0
         self.prefill = 0.0
-        self.reason = ""
+        self.finish_reason = ""
         self.readers = 0
         self.changed = event.Event()
 
@@ -68,8 +68,8 @@
 
     def end(self, reason: str) -> None:
         """Ends the sequence; safe to repeat."""
-        if not self.reason:
-            self.reason = reason
+        if not self.finish_reason:
+            self.finish_reason = reason
             self.notify()
 
 
@@ -118,10 +118,10 @@
     def _admit(self) -> None:
         while self.waiting and len(self.running) < self.speed.slots:
             sequence = self.waiting.pop(0)[2]
-            if sequence.reason:
+            if sequence.finish_reason:
                 continue
             total = sum(map(cache.count_tokens, sequence.prompt))
-            sequence.cached = self.blocks.cached(sequence.prompt)
+            sequence.cached = self.blocks.cached_tokens(sequence.prompt)
             sequence.prefill = (
                 total - sequence.cached
             ) / self.speed.prefill_rate
@@ -129,7 +129,7 @@
 
     def _step(self, pause: float) -> None:
         for sequence in self.running:
-            if sequence.reason:
+            if sequence.finish_reason:
                 continue
             if sequence.prefill > 0:
                 sequence.prefill -= pause
@@ -140,7 +140,7 @@
                 sequence.end("stop")
             else:
                 sequence.notify()
-        self.running = [item for item in self.running if not item.reason]
+        self.running = [item for item in self.running if not item.finish_reason]
 
     def _keep(self, sequence: Sequence) -> None:
         answer = answer_message(sequence.text)
--- a/src/mintcleat/standins/cache.py
+++ b/src/mintcleat/standins/cache.py
@@ -43,15 +43,15 @@
         self.blocks: collections.OrderedDict[bytes, Block] = (
             collections.OrderedDict()
         )
-        self.used = 0
+        self.used_tokens = 0
         self.held: set[str] = set()
         self.seq = 0
         self.events: collections.deque[Event] = collections.deque(
             maxlen=_EVENTS_KEPT
         )
-        self.totals: collections.Counter[str] = collections.Counter()
+        self.tokens_by_program: collections.Counter[str] = collections.Counter()
 
-    def cached(self, messages: list[str]) -> int:
+    def cached_tokens(self, messages: list[str]) -> int:
         """Returns how many tokens of this prompt are in the cache."""
         found = 0
         for address, _ in addresses(messages):
@@ -71,10 +71,10 @@
             if block is None:
                 block = Block(tokens)
                 self.blocks[address] = block
-                self.used += tokens
+                self.used_tokens += tokens
             if program not in block.owners:
                 block.owners.add(program)
-                self.totals[program] += block.tokens
+                self.tokens_by_program[program] += block.tokens
         # The last message is the oldest, so a prefix outlives what follows it.
         for address, _ in reversed(chain):
             self.blocks.move_to_end(address)
@@ -83,7 +83,7 @@
 
     def release(self, program: str) -> int:
         """Forgets a program; returns the tokens that became free."""
-        before = self.used
+        before = self.used_tokens
         self.held.discard(program)
         for address, block in list(self.blocks.items()):
             if program not in block.owners:
@@ -91,20 +91,20 @@
             block.owners.discard(program)
             if not block.owners:
                 self._drop(address)
-        if self.totals.pop(program, 0):
+        if self.tokens_by_program.pop(program, 0):
             self._tell("released", program)
-        return before - self.used
+        return before - self.used_tokens
 
     def truncate(self, program: str, keep: int) -> None:
         """Drops the end of a program's history beyond `keep` tokens."""
         # In order of use, a later message lies before those it follows.
         for address, block in list(self.blocks.items()):
-            if self.totals[program] <= keep:
+            if self.tokens_by_program[program] <= keep:
                 break
             if program not in block.owners:
                 continue
             block.owners.discard(program)
-            self.totals[program] -= block.tokens
+            self.tokens_by_program[program] -= block.tokens
             if not block.owners:
                 self._drop(address)
         self._tell("evicted", program)
@@ -127,34 +127,36 @@
             if block is None:
                 block = Block(tokens)
                 self.blocks[address] = block
-                self.used += tokens
+                self.used_tokens += tokens
             if program not in block.owners:
                 block.owners.add(program)
-                self.totals[program] += block.tokens
+                self.tokens_by_program[program] += block.tokens
         self._tell("stored", program)
         self._evict()
 
     def _evict(self) -> None:
         for address, block in list(self.blocks.items()):
-            if self.used <= self.memory:
+            if self.used_tokens <= self.memory:
                 return
             if block.owners & self.held:
                 continue
             owners = list(block.owners)
             self._drop(address)
             for owner in owners:
-                self.totals[owner] -= block.tokens
-                if not self.totals[owner]:
-                    del self.totals[owner]
+                self.tokens_by_program[owner] -= block.tokens
+                if not self.tokens_by_program[owner]:
+                    del self.tokens_by_program[owner]
                 self._tell("evicted", owner)
 
     def _drop(self, address: bytes) -> None:
-        self.used -= self.blocks.pop(address).tokens
+        self.used_tokens -= self.blocks.pop(address).tokens
 
     def _tell(self, kind: str, program: str) -> None:
         self.seq += 1
         self.events.append(
-            Event(self.seq, kind, program, self.totals.get(program, 0))
+            Event(
+                self.seq, kind, program, self.tokens_by_program.get(program, 0)
+            )
         )
 
 
--- a/src/mintcleat/standins/engine.py
+++ b/src/mintcleat/standins/engine.py
@@ -25,14 +25,14 @@
     """What a stand-in engine is like.
 
     Attributes:
-        memory: Tokens of prefix cache.
+        memory_tokens: Size of the prefix cache.
         fencing: Whether orders with an old fencing number are refused.
         linger: Seconds that a sequence goes on without a reader.
     """
 
     model: str = "model-1"
     speed: batch.Speed = batch.Speed()
-    memory: int = 1_000_000
+    memory_tokens: int = 1_000_000
     fencing: bool = True
     kv_export: bool = True
     priority: bool = True
@@ -75,13 +75,13 @@
         self.orders: list[OrderTaken] = []
         self.life = 0
         self.highest_fence = 0
-        self.begin_life(listen)
+        self.start_serving(listen)
 
-    def begin_life(self, listen: str) -> None:
+    def start_serving(self, listen: str) -> None:
         """Starts with an empty cache."""
         self.life += 1
         self.model = self.options.model
-        self.cache = cache.PrefixCache(self.options.memory)
+        self.cache = cache.PrefixCache(self.options.memory_tokens)
         self.batch = batch.Batch(self.options.speed, self.cache)
         self.sequences: dict[str, batch.Sequence] = {}
         self.server = http.HttpServer(listen, self.serve)
@@ -91,7 +91,7 @@
         """Ends the engine at once; nothing that it held is left."""
         self.batch.stop()
         self.server.stop()
-        self.cache = cache.PrefixCache(self.options.memory)
+        self.cache = cache.PrefixCache(self.options.memory_tokens)
 
     def serve(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
@@ -113,7 +113,7 @@
                 return self._change(start_response, name, json.loads(body))
         return http.reply_json(start_response, {"error": "no such path"}, 404)
 
-    def take(self, sequence: batch.Sequence) -> None:
+    def submit(self, sequence: batch.Sequence) -> None:
         """Runs a sequence; fault-injecting engines override this."""
         self.batch.add(sequence)
 
@@ -135,12 +135,12 @@
         sequence = batch.Sequence(request, program, messages, limit, priority)
         self.runs.append(Run(request, program, messages))
         self.sequences[request] = sequence
-        self.take(sequence)
+        self.submit(sequence)
         if fields.get("stream"):
             return self._stream(start_response, sequence, 0)
         for _ in self._follow(sequence, 0):
             pass
-        if sequence.reason == "crashed":
+        if sequence.finish_reason == "crashed":
             return http.reply_json(start_response, {"error": "crashed"}, 503)
         return http.reply_json(start_response, _whole(sequence))
 
@@ -174,7 +174,7 @@
     def _events(self, sequence: batch.Sequence, offset: int) -> Iterator[bytes]:
         for text in self._follow(sequence, offset):
             yield _sse({"choices": [{"index": 0, "delta": {"content": text}}]})
-        if sequence.reason == "crashed":
+        if sequence.finish_reason == "crashed":
             raise ConnectionAbortedError("The engine crashed.")
         yield _sse(
             {
@@ -182,7 +182,7 @@
                     {
                         "index": 0,
                         "delta": {},
-                        "finish_reason": sequence.reason,
+                        "finish_reason": sequence.finish_reason,
                     }
                 ],
                 "usage": _usage(sequence),
@@ -197,7 +197,7 @@
             while True:
                 changed = sequence.changed
                 text = sequence.text
-                reason = sequence.reason
+                reason = sequence.finish_reason
                 if len(text) > offset:
                     yield text[offset:]
                     offset = len(text)
@@ -278,7 +278,7 @@
             "kv_export": self.options.kv_export,
             "priority": self.options.priority,
             "resume": self.options.resume,
-            "memory": self.options.memory,
+            "memory": self.options.memory_tokens,
         }
 
     def load(self) -> dict[str, Any]:
@@ -286,7 +286,9 @@
         return {
             "running": len(self.batch.running),
             "waiting": len(self.batch.waiting),
-            "free_memory": max(0, self.options.memory - self.cache.used),
+            "free_memory": max(
+                0, self.options.memory_tokens - self.cache.used_tokens
+            ),
         }
 
     def events(self, after: int, wait: float) -> dict[str, Any]:
@@ -307,7 +309,7 @@
         return {
             "life": self.life,
             "seq": self.cache.seq,
-            "programs": dict(self.cache.totals),
+            "programs": dict(self.cache.tokens_by_program),
         }
 
     def _order(
@@ -342,5 +344,9 @@
 
 def _whole(sequence: batch.Sequence) -> dict[str, Any]:
     message = {"role": "assistant", "content": sequence.text}
-    choice = {"index": 0, "message": message, "finish_reason": sequence.reason}
+    choice = {
+        "index": 0,
+        "message": message,
+        "finish_reason": sequence.finish_reason,
+    }
     return {"choices": [choice], "usage": _usage(sequence)}
--- a/src/mintcleat/standins/service.py
+++ b/src/mintcleat/standins/service.py
@@ -30,9 +30,9 @@
     ) -> None:
         self.options = options or ServiceOptions()
         self.runs: collections.Counter[tuple[str, str]] = collections.Counter()
-        self.begin_life(listen)
+        self.start_serving(listen)
 
-    def begin_life(self, listen: str) -> None:
+    def start_serving(self, listen: str) -> None:
         """Starts to listen."""
         self.server = http.HttpServer(listen, self.serve)
         self.address = self.server.address
--- a/testing/fakes/engine_faults.py
+++ b/testing/fakes/engine_faults.py
@@ -35,8 +35,8 @@
         self.crashes = 0
         super().__init__(listen, options)
 
-    def take(self, sequence: batch.Sequence) -> None:
-        super().take(sequence)
+    def submit(self, sequence: batch.Sequence) -> None:
+        super().submit(sequence)
         if self.crash_on and self.crash_on in "".join(sequence.prompt):
             step = self.options.speed.token_time
             eventlet.spawn_after(3 * step, self.crash)
@@ -52,7 +52,7 @@
 
     def restart(self) -> None:
         """Comes back at the same address, empty."""
-        self.begin_life(self.address)
+        self.start_serving(self.address)
 
     def events(self, after: int, wait: float) -> dict[str, Any]:
         answer = super().events(after, wait)
--- a/testing/fakes/path_rig.py
+++ b/testing/fakes/path_rig.py
@@ -92,13 +92,13 @@
         self.hangs = False
         super().__init__(ANY)
 
-    def take(self, sequence: Any) -> None:
+    def submit(self, sequence: Any) -> None:
         program, key, turn = self.rig.sent[sequence.prompt[-1]]
         taken = self.rig.record.now()
         run = histories.Run(program, key, turn, 0, taken, taken, 0)
         self.rig.record.runs.append(run)
         if not self.hangs:
-            super().take(sequence)
+            super().submit(sequence)
 
 
 class RecordingService(service.Service):
--- a/testing/fakes/service_faults.py
+++ b/testing/fakes/service_faults.py
@@ -41,4 +41,4 @@
     def restart(self, **_: Any) -> None:
         """Comes back at the same address."""
         self.die_after_run = False
-        self.begin_life(self.address)
+        self.start_serving(self.address)
--- a/testing/test_faults_matrix.py
+++ b/testing/test_faults_matrix.py
@@ -213,4 +213,4 @@
     # by a sidecar that has just been started beside it.
     system.restore()
     assert system.send(1, "DELETE", f"{path}/{program}", None).status < 300
-    service_rig.until(lambda: not any(one.cache.used for one in engines))
+    service_rig.until(lambda: not any(one.cache.used_tokens for one in engines))
--- a/testing/test_sidecar_memory.py
+++ b/testing/test_sidecar_memory.py
@@ -22,11 +22,11 @@
         self.addCleanup(self.rig.stop)
 
     def held(self) -> int:
-        return self.engine.cache.used
+        return self.engine.cache.used_tokens
 
     def assert_freed(self) -> None:
         self.rig.until(lambda: not self.held())
-        self.assertEqual({}, dict(self.engine.cache.totals))
+        self.assertEqual({}, dict(self.engine.cache.tokens_by_program))
 
     def test_closed_program_is_released(self) -> None:
         self.rig.call(service_rig.turn())
@@ -38,7 +38,9 @@
         self.rig.control.open = {"p"}
         self.rig.call(service_rig.turn("gone"))
         self.rig.call(service_rig.turn("p"))
-        self.rig.until(lambda: set(self.engine.cache.totals) == {"p"})
+        self.rig.until(
+            lambda: set(self.engine.cache.tokens_by_program) == {"p"}
+        )
 
     def test_program_of_a_lost_event_is_released(self) -> None:
         """The engine holds a program that the sidecar never heard of.
@@ -160,7 +162,7 @@
         knows nothing of pauses, evicts what is needed next; a program that
         was put out still gets its right answer.
         """
-        options = engine_faults.slow(0.001)._replace(memory=600)
+        options = engine_faults.slow(0.001)._replace(memory_tokens=600)
         engine = engine_faults.FaultyEngine(options)
         rig = service_rig.Rig(engine)
         self.addCleanup(rig.stop)
@@ -172,7 +174,7 @@
             self.assertIsInstance(end, call_messages.AttemptFinished)
         memory = rig.sidecar.memory
         self.assertThat(memory.ledger.total(), matchers.LessThan(541))
-        self.assertThat(engine.cache.used, matchers.LessThan(601))
+        self.assertThat(engine.cache.used_tokens, matchers.LessThan(601))
 
     def test_shortened_cache_keeps_its_beginning(self) -> None:
         blocks = cache.PrefixCache(1000)
@@ -180,5 +182,5 @@
         blocks.store("p", said)
         one = cache.count_tokens(said[0])
         blocks.truncate("p", 2 * one)
-        self.assertEqual(2 * one, blocks.cached(said))
-        self.assertEqual(2 * one, blocks.used)
+        self.assertEqual(2 * one, blocks.cached_tokens(said))
+        self.assertEqual(2 * one, blocks.used_tokens)
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -161,7 +161,7 @@
 
     def reason(self) -> str:
         (sequence,) = self.engine.sequences.values()
-        return sequence.reason
+        return sequence.finish_reason
 
     def test_call_without_program_stops_with_its_caller(self) -> None:
         asked = service_rig.turn("", attempt=0, parameters=LONG)
