--- a/src/mintcleat/emulator/plan.py
+++ b/src/mintcleat/emulator/plan.py
@@ -10,7 +10,7 @@
 from mintcleat.domain import errors
 
 
-class Amount(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Distribution(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A lognormal amount: its mean, the spread of its logarithm, its most."""
 
     mean: float
@@ -54,7 +54,7 @@
     """
 
     share: float
-    work: Amount
+    work: Distribution
     repeatable: bool = False
 
 
@@ -74,14 +74,14 @@
     """
 
     per_second: float
-    turns: Amount
-    prompt: Amount
-    events: Amount
+    turns: Distribution
+    prompt: Distribution
+    events: Distribution
     aim: float
     shared: int = 512
-    pause: Amount = Amount(60.0, 0.6, 240.0)
+    pause: Distribution = Distribution(60.0, 0.6, 240.0)
     fan: float = 0.0
-    width: Amount = Amount(5.0, 0.3, 10.0)
+    width: Distribution = Distribution(5.0, 0.3, 10.0)
     helper_turns: int = 2
     objective: float = 250.0
     way: float = 31.0
--- a/src/mintcleat/emulator/programs.py
+++ b/src/mintcleat/emulator/programs.py
@@ -128,7 +128,7 @@
         took = self.env.now - began
         self.callers.ended.append(Ended(self.name, began, took, aim, served))
 
-    def _amount(self, wanted: plan.Amount) -> float:
+    def _amount(self, wanted: plan.Distribution) -> float:
         """Draws an amount."""
         if not wanted.spread:
             return wanted.mean
--- a/src/mintcleat/load/driver.py
+++ b/src/mintcleat/load/driver.py
@@ -50,13 +50,15 @@
     ) -> None:
         self.client = client
         self.timers = timers
-        self.records: dict[str, Record] = {}
+        self.measurements: dict[str, Record] = {}
         self.samples: list[Sample] = []
         self.started = 0.0
         self.running = 0
 
-    def run(self, programs: list[arrivals.Program], patience: float) -> None:
-        """Runs the schedule and waits `patience` seconds for its end."""
+    def run(
+        self, programs: list[arrivals.Program], drain_timeout: float
+    ) -> None:
+        """Runs the schedule and waits `drain_timeout` seconds for its end."""
         self.started = self.timers.now()
         for program in programs:
             wait = self.started + program.due - self.timers.now()
@@ -64,12 +66,12 @@
                 self.timers.sleep(wait)
             self.running += 1
             self.timers.spawn(self._run, program)
-        limit = self.timers.now() + patience
+        limit = self.timers.now() + drain_timeout
         while self.running and self.timers.now() < limit:
             self.timers.sleep(0.05)
 
     def _run(self, program: arrivals.Program) -> None:
-        record = self.records.setdefault(program.kind.name, Record())
+        record = self.measurements.setdefault(program.kind.name, Record())
         record.programs += 1
         try:
             ok = self._run_program(program, record)
--- a/src/mintcleat/load/report.py
+++ b/src/mintcleat/load/report.py
@@ -15,7 +15,8 @@
 def summary(driver: driver_module.Driver) -> dict[str, Any]:
     """Returns the figures of a run by kind; times in milliseconds."""
     return {
-        name: _kind(record) for name, record in sorted(driver.records.items())
+        name: _kind(record)
+        for name, record in sorted(driver.measurements.items())
     }
 
 
@@ -84,7 +85,7 @@
     from matplotlib import pyplot
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(11, 4))
-    for name, record in sorted(driver.records.items()):
+    for name, record in sorted(driver.measurements.items()):
         points = record.program.get_percentile_iterator(5)
         pairs = [
             (item.percentile_level_iterated_to, item.value_iterated_to)
--- a/testing/test_docs.py
+++ b/testing/test_docs.py
@@ -35,7 +35,7 @@
     "`kinds.NAME`": experiment_plan.Kind,
     "`kinds.NAME.tools[]`": experiment_plan.Tool,
     "`faults[]`": experiment_plan.Fault,
-    "Amounts": experiment_plan.Amount,
+    "Amounts": experiment_plan.Distribution,
     "Mechanisms": policy.Policy,
 }
 SETTINGS_SECTIONS = {
--- a/testing/test_emulator.py
+++ b/testing/test_emulator.py
@@ -28,13 +28,13 @@
     kinds={
         "talk": plan.Kind(
             per_second=3.0,
-            turns=plan.Amount(4.0, 0.3, 8.0),
-            prompt=plan.Amount(500.0, 0.5, 2000.0),
-            events=plan.Amount(6.0, 0.5, 20.0),
+            turns=plan.Distribution(4.0, 0.3, 8.0),
+            prompt=plan.Distribution(500.0, 0.5, 2000.0),
+            events=plan.Distribution(6.0, 0.5, 20.0),
             aim=1.7,
             fan=0.1,
             deadline=2000.0,
-            tools=[plan.Tool(0.5, plan.Amount(30.0, 0.5, 90.0), True)],
+            tools=[plan.Tool(0.5, plan.Distribution(30.0, 0.5, 90.0), True)],
         )
     },
 )
--- a/testing/test_load.py
+++ b/testing/test_load.py
@@ -62,7 +62,7 @@
         driver = driver_module.Driver(SlowClient(clock), clock)
         turn = arrivals.Turn(5, 8, 0.0, sub_agent=False, tool=None)
         program = arrivals.Program(0.0, kind(), [turn])
-        driver.run([program, program], patience=10.0)
+        driver.run([program, program], drain_timeout=10.0)
         self.assertThat(
             [sample.seconds for sample in driver.samples],
             matchers.AfterPreprocessing(
--- a/testing/test_own_customers.py
+++ b/testing/test_own_customers.py
@@ -121,8 +121,11 @@
             client_module.Client([self.http], clock, 20), clock
         )
         plan = plan_module.Plan(kinds, seconds=3.0)
-        driver.run(arrivals.schedule(plan), patience=20.0)
-        calm, greedy = driver.records["calm"], driver.records["greedy"]
+        driver.run(arrivals.schedule(plan), drain_timeout=20.0)
+        calm, greedy = (
+            driver.measurements["calm"],
+            driver.measurements["greedy"],
+        )
         self.assertEqual(calm.programs, calm.finished)
         self.assertGreater(greedy.programs, 5 * greedy.finished)
         refused = [name for name in greedy.outcomes if ":limit_" in name]
