--- a/src/mintcleat/standins/__init__.py
+++ b/src/mintcleat/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small model engine and plain service for local runs and tests."""
+"""Stand-ins for a model engine and a plain service in local runs and tests."""
--- a/src/mintcleat/standins/engine.py
+++ b/src/mintcleat/standins/engine.py
@@ -1,6 +1,6 @@
-"""A small OpenAI-compatible model engine with the HTTP control surface.
+"""A stand-in for an OpenAI-compatible model engine with a control API.
 
-It batches continuously, caches prefixes in limited memory and gives the
+It has continuous batching and a prefix cache of limited size, and gives the
 answer that `batch.answer_tokens` derives from the messages.
 """
 
@@ -17,17 +17,24 @@
 from mintcleat.standins import cache
 from mintcleat.standins import http
 
-_DEFAULT_TOKENS = 16
-_LONG_POLL_STEP = 0.02
+_DEFAULT_MAX_TOKENS = 16
+_POLL_SECONDS = 0.02
 
 
 class EngineOptions(NamedTuple):
-    """What a stand-in engine is like.
+    """Properties of a stand-in engine.
 
     Attributes:
+        model: Name of the model that is loaded at the start.
+        speed: Timing of the batch.
         memory_tokens: Size of the prefix cache.
-        fencing: Whether orders with an old fencing number are refused.
-        linger: Seconds that a sequence goes on without a reader.
+        fencing: Whether orders with an old fencing token are rejected.
+        kv_export: Whether the engine announces that caches can be exported.
+        priority: Whether the engine announces that it supports priorities.
+        resume: Whether a client can resume a stream at an offset.
+        orphan_timeout: Seconds that a sequence runs without a reader until
+            it is cancelled.
+        load_seconds: Seconds that each order takes.
     """
 
     model: str = "model-1"
@@ -37,20 +44,26 @@
     kv_export: bool = True
     priority: bool = True
     resume: bool = True
-    linger: float = 5.0
+    orphan_timeout: float = 5.0
     load_seconds: float = 0.01
 
 
 class Run(NamedTuple):
-    """One request that the engine took: the witness of a test."""
+    """One request that the engine accepted, recorded for tests."""
 
     request: str
     program: str
     messages: list[str]
 
 
-class OrderTaken(NamedTuple):
-    """One order that the engine carried out."""
+class ExecutedOrder(NamedTuple):
+    """One order that the engine executed, recorded for tests.
+
+    Attributes:
+        fence: The sender's fencing token.
+        action: `load` and `role` change the model; others are only recorded.
+        model: Name of the model to load.
+    """
 
     fence: int
     action: str
@@ -62,9 +75,11 @@
 
     Attributes:
         address: `IP:PORT` of its HTTP server.
-        runs: Every request taken, over all lives of the engine.
-        orders: Every order carried out.
-        life: Number of this life; grows with each restart.
+        runs: Every accepted request, across restarts.
+        orders: Every executed order, across restarts.
+        life: Number of starts so far; identifies the engine process.
+        highest_fencing_token: Highest one of all accepted orders.
+        sequences: Sequences that can be resumed or cancelled, by request.
     """
 
     def __init__(
@@ -72,13 +87,13 @@
     ) -> None:
         self.options = options or EngineOptions()
         self.runs: list[Run] = []
-        self.orders: list[OrderTaken] = []
+        self.orders: list[ExecutedOrder] = []
         self.life = 0
-        self.highest_fence = 0
+        self.highest_fencing_token = 0
         self.start_serving(listen)
 
     def start_serving(self, listen: str) -> None:
-        """Starts with an empty cache."""
+        """Starts the engine at the address `listen` with an empty cache."""
         self.life += 1
         self.model = self.options.model
         self.cache = cache.PrefixCache(self.options.memory_tokens)
@@ -88,7 +103,7 @@
         self.address = self.server.address
 
     def stop(self) -> None:
-        """Ends the engine at once; nothing that it held is left."""
+        """Stops the engine like a crash: requests fail, the cache is lost."""
         self.batch.stop()
         self.server.stop()
         self.cache = cache.PrefixCache(self.options.memory_tokens)
@@ -96,7 +111,7 @@
     def serve(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Any:
-        """Answers one HTTP request."""
+        """Handles one HTTP request as a WSGI application."""
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
         body = http.read_body(environ)
@@ -108,13 +123,15 @@
             case ("DELETE", ["control", "streams", request]):
                 return self._cancel(start_response, request)
             case ("GET", ["control", name]):
-                return self._show(environ, start_response, name)
+                return self._get_control(environ, start_response, name)
             case ("POST", ["control", name]):
-                return self._change(start_response, name, json.loads(body))
+                return self._post_control(
+                    start_response, name, json.loads(body)
+                )
         return http.reply_json(start_response, {"error": "no such path"}, 404)
 
     def submit(self, sequence: batch.Sequence) -> None:
-        """Runs a sequence; fault-injecting engines override this."""
+        """Queues a sequence; engines that inject faults override this."""
         self.batch.add(sequence)
 
     def _complete(
@@ -130,19 +147,21 @@
         ]
         request = environ.get("HTTP_X_REQUEST_ID") or f"r{len(self.runs)}"
         program = environ.get("HTTP_X_CACHE_OWNER", "")
-        limit = int(fields.get("max_tokens") or _DEFAULT_TOKENS)
+        max_tokens = int(fields.get("max_tokens") or _DEFAULT_MAX_TOKENS)
         priority = int(fields.get("priority") or 0)
-        sequence = batch.Sequence(request, program, messages, limit, priority)
+        sequence = batch.Sequence(
+            request, program, messages, max_tokens, priority
+        )
         self.runs.append(Run(request, program, messages))
         self.sequences[request] = sequence
         self.submit(sequence)
         if fields.get("stream"):
             return self._stream(start_response, sequence, 0)
-        for _ in self._follow(sequence, 0):
+        for _ in self._read_text(sequence, 0):
             pass
         if sequence.finish_reason == "crashed":
             return http.reply_json(start_response, {"error": "crashed"}, 503)
-        return http.reply_json(start_response, _whole(sequence))
+        return http.reply_json(start_response, _completion(sequence))
 
     def _resume(
         self,
@@ -159,7 +178,7 @@
     def _cancel(self, start_response: Callable[..., Any], request: str) -> Any:
         sequence = self.sequences.get(request)
         if sequence is not None:
-            sequence.end("cancelled")
+            sequence.finish("cancelled")
         return http.reply_json(start_response, {"known": sequence is not None})
 
     def _stream(
@@ -172,11 +191,13 @@
         return self._events(sequence, offset)
 
     def _events(self, sequence: batch.Sequence, offset: int) -> Iterator[bytes]:
-        for text in self._follow(sequence, offset):
-            yield _sse({"choices": [{"index": 0, "delta": {"content": text}}]})
+        for text in self._read_text(sequence, offset):
+            yield _sse_event(
+                {"choices": [{"index": 0, "delta": {"content": text}}]}
+            )
         if sequence.finish_reason == "crashed":
             raise ConnectionAbortedError("The engine crashed.")
-        yield _sse(
+        yield _sse_event(
             {
                 "choices": [
                     {
@@ -191,7 +212,9 @@
         )
         yield b"data: [DONE]\n\n"
 
-    def _follow(self, sequence: batch.Sequence, offset: int) -> Iterator[str]:
+    def _read_text(
+        self, sequence: batch.Sequence, offset: int
+    ) -> Iterator[str]:
         sequence.readers += 1
         try:
             while True:
@@ -208,19 +231,22 @@
         finally:
             sequence.readers -= 1
             eventlet.spawn_after(
-                self.options.linger, self._abandon, self.sequences, sequence
+                self.options.orphan_timeout,
+                self._cancel_unread,
+                self.sequences,
+                sequence,
             )
 
-    def _abandon(
+    def _cancel_unread(
         self,
         sequences: dict[str, batch.Sequence],
         sequence: batch.Sequence,
     ) -> None:
         if not sequence.readers:
-            sequence.end("cancelled")
+            sequence.finish("cancelled")
             sequences.pop(sequence.request, None)
 
-    def _show(
+    def _get_control(
         self,
         environ: dict[str, Any],
         start_response: Callable[..., Any],
@@ -237,14 +263,14 @@
                 wait = float(query.get("wait", "0"))
                 return http.reply_json(start_response, self.events(after, wait))
             case "cache":
-                return http.reply_json(start_response, self.listing())
+                return http.reply_json(start_response, self.cache_listing())
             case "export":
                 return http.reply_json(
-                    start_response, self.cache.export(query["program"])
+                    start_response, self.cache.export_blocks(query["program"])
                 )
         return http.reply_json(start_response, {"error": "no such path"}, 404)
 
-    def _change(
+    def _post_control(
         self,
         start_response: Callable[..., Any],
         name: str,
@@ -258,17 +284,19 @@
                 self.cache.truncate(fields["program"], fields["keep"])
                 return http.reply_json(start_response, {})
             case "hold":
-                self.cache.held.add(fields["program"])
+                self.cache.pinned.add(fields["program"])
                 return http.reply_json(start_response, {})
             case "import":
-                self.cache.load(fields)
+                self.cache.import_blocks(fields)
                 return http.reply_json(start_response, {})
             case "orders":
-                return self._order(start_response, OrderTaken(**fields))
+                return self._execute_order(
+                    start_response, ExecutedOrder(**fields)
+                )
         return http.reply_json(start_response, {"error": "no such path"}, 404)
 
     def info(self) -> dict[str, Any]:
-        """Returns what the engine announces of itself."""
+        """Returns the engine's state and features."""
         return {
             "life": self.life,
             "model": self.model,
@@ -282,7 +310,7 @@
         }
 
     def load(self) -> dict[str, Any]:
-        """Returns the load as the engine reports it."""
+        """Returns the number of requests and the free cache in tokens."""
         return {
             "running": len(self.batch.running),
             "waiting": len(self.batch.waiting),
@@ -292,11 +320,14 @@
         }
 
     def events(self, after: int, wait: float) -> dict[str, Any]:
-        """Returns cache events with numbers above `after`."""
+        """Returns the cache events whose numbers are above `after`.
+
+        Waits up to `wait` seconds for the first one.
+        """
         waited = 0.0
         while self.cache.seq <= after and waited < wait:
-            eventlet.sleep(_LONG_POLL_STEP)
-            waited += _LONG_POLL_STEP
+            eventlet.sleep(_POLL_SECONDS)
+            waited += _POLL_SECONDS
         events = [item for item in self.cache.events if item.seq > after]
         return {
             "life": self.life,
@@ -304,20 +335,24 @@
             "events": [item._asdict() for item in events],
         }
 
-    def listing(self) -> dict[str, Any]:
-        """Returns everything that the cache holds, by program."""
+    def cache_listing(self) -> dict[str, Any]:
+        """Returns the number of cached tokens of each program."""
         return {
             "life": self.life,
             "seq": self.cache.seq,
             "programs": dict(self.cache.tokens_by_program),
         }
 
-    def _order(
-        self, start_response: Callable[..., Any], order: OrderTaken
+    def _execute_order(
+        self, start_response: Callable[..., Any], order: ExecutedOrder
     ) -> Any:
-        if self.options.fencing and order.fence < self.highest_fence:
-            return http.reply_json(start_response, {"error": "old fence"}, 409)
-        self.highest_fence = max(self.highest_fence, order.fence)
+        if self.options.fencing and order.fence < self.highest_fencing_token:
+            return http.reply_json(
+                start_response, {"error": "stale fencing token"}, 409
+            )
+        self.highest_fencing_token = max(
+            self.highest_fencing_token, order.fence
+        )
         eventlet.sleep(self.options.load_seconds)
         if order.action in ("load", "role"):
             self.model = order.model
@@ -329,7 +364,7 @@
     return dict(urllib.parse.parse_qsl(environ.get("QUERY_STRING", "")))
 
 
-def _sse(value: dict[str, Any]) -> bytes:
+def _sse_event(value: dict[str, Any]) -> bytes:
     return b"data: " + json.dumps(value).encode() + b"\n\n"
 
 
@@ -337,12 +372,12 @@
     prompt = sum(map(cache.count_tokens, sequence.prompt))
     return {
         "prompt_tokens": prompt,
-        "completion_tokens": sequence.sent,
-        "prompt_tokens_details": {"cached_tokens": sequence.cached},
+        "completion_tokens": sequence.generated,
+        "prompt_tokens_details": {"cached_tokens": sequence.cached_tokens},
     }
 
 
-def _whole(sequence: batch.Sequence) -> dict[str, Any]:
+def _completion(sequence: batch.Sequence) -> dict[str, Any]:
     message = {"role": "assistant", "content": sequence.text}
     choice = {
         "index": 0,
--- a/src/mintcleat/standins/http.py
+++ b/src/mintcleat/standins/http.py
@@ -1,4 +1,4 @@
-"""A WSGI server whose connections can be cut, for the stand-ins."""
+"""A WSGI server for the stand-ins that can drop all its connections."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -26,6 +26,8 @@
 
     Attributes:
         address: `IP:PORT` that the server listens on.
+        clients: Sockets of the open connections; closed ones are removed
+            when the next client connects.
     """
 
     def __init__(self, listen: str, application: Application) -> None:
@@ -33,7 +35,7 @@
         self.listener = eventlet.listen((host, int(port)), backlog=1024)
         self.address = "{}:{}".format(*self.listener.getsockname()[:2])
         self.clients: set[socket.socket] = set()
-        self.accept = self.listener.accept
+        self.original_accept = self.listener.accept
         self.listener.accept = self._accept
         self.pool = eventlet.GreenPool(4096)
         self.thread = eventlet.spawn(
@@ -43,27 +45,27 @@
             log_output=False,
             custom_pool=self.pool,
             keepalive=True,
-            # Each token goes out as it comes; the default gathers 4 KB.
+            # Sends each token at once; the default buffers 4 KB.
             minimum_chunk_size=1,
         )
 
-    def cut(self) -> None:
-        """Cuts every client connection, as the death of a process does."""
+    def disconnect_clients(self) -> None:
+        """Shuts down every connection, as if the process had died."""
         for client in list(self.clients):
             with contextlib.suppress(OSError):
                 client.shutdown(socket.SHUT_RDWR)
         self.clients.clear()
 
     def stop(self) -> None:
-        """Closes the listener and cuts every connection."""
+        """Closes the listener and drops every connection."""
         self.thread.kill()
         self.listener.close()
-        self.cut()
+        self.disconnect_clients()
 
     def _accept(self) -> tuple[socket.socket, Any]:
-        client, address = self.accept()
+        client, address = self.original_accept()
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.clients = {old for old in self.clients if old.fileno() >= 0}
+        self.clients = {one for one in self.clients if one.fileno() >= 0}
         self.clients.add(client)
         return client, address
 
@@ -77,7 +79,7 @@
 def reply_json(
     start_response: Callable[..., Any], value: Any, status: int = 200
 ) -> list[bytes]:
-    """Answers with JSON."""
+    """Starts a response and returns its body: a value as JSON."""
     data = json.dumps(value).encode()
     return reply(start_response, data, status, "application/json")
 
@@ -88,7 +90,7 @@
     status: int = 200,
     content_type: str = "application/octet-stream",
 ) -> list[bytes]:
-    """Answers with bytes."""
+    """Starts a response and returns its body."""
     phrase = _PHRASES.get(status, "Status")
     headers = [
         ("Content-Type", content_type),
--- a/src/mintcleat/standins/service.py
+++ b/src/mintcleat/standins/service.py
@@ -1,4 +1,4 @@
-"""A small plain service that counts what it runs."""
+"""A stand-in for a plain HTTP service that counts its executions."""
 
 import collections
 from collections.abc import Callable
@@ -11,18 +11,22 @@
 
 
 class ServiceOptions(NamedTuple):
-    """What a stand-in service is like; `seconds` is the time of a request."""
+    """Properties of a stand-in service.
+
+    Attributes:
+        seconds: Time that each request takes.
+    """
 
     seconds: float = 0.001
 
 
 class Service:
-    """Answers each request with its method, path, key and body.
+    """A service that answers each request with a description of it.
 
     Attributes:
         address: `IP:PORT` of its HTTP server.
-        runs: Executions by idempotency key (or body where there is none)
-            and path: the witness of a test.
+        runs: Number of executions by key and path, for tests. The key is the
+            idempotency key or, without one, the body.
     """
 
     def __init__(
@@ -33,18 +37,18 @@
         self.start_serving(listen)
 
     def start_serving(self, listen: str) -> None:
-        """Starts to listen."""
+        """Starts the HTTP server at the address `listen`."""
         self.server = http.HttpServer(listen, self.serve)
         self.address = self.server.address
 
     def stop(self) -> None:
-        """Ends the service at once."""
+        """Stops the service at once and drops its connections."""
         self.server.stop()
 
     def serve(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Any:
-        """Answers one HTTP request."""
+        """Handles one HTTP request as a WSGI application."""
         body = http.read_body(environ)
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
@@ -61,6 +65,6 @@
         return http.reply_json(start_response, answer)
 
     def execute(self, key: str, path: str) -> None:
-        """Does the work; fault-injecting services override this."""
+        """Executes a request; services that inject faults override this."""
         self.runs[(key, path)] += 1
         eventlet.sleep(self.options.seconds)
