--- a/src/mintcleat/load/__init__.py
+++ b/src/mintcleat/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop program load for a running system, and its report."""
+"""An open-loop load generator for a running system, with a report."""
--- a/src/mintcleat/load/client.py
+++ b/src/mintcleat/load/client.py
@@ -1,4 +1,4 @@
-"""A caller: talks HTTP to an entry and tells what it saw."""
+"""An HTTP client of the entries that measures each request."""
 
 from collections.abc import Iterator
 import json
@@ -10,23 +10,29 @@
 from mintcleat.ports import timers as timers_port
 
 _CONNECT_SECONDS = 5.0
+_PROGRAM_TIMEOUT_SECONDS = 30.0
 
 
 class Answer(NamedTuple):
-    """What a caller saw of one request.
+    """The result of one request.
 
     Attributes:
-        kind: Empty for a whole answer, else the refusal's kind.
+        kind: Kind of the error; empty if the answer is complete.
         outcome: `ran`, `not_run` or `unknown`.
-        first: Seconds to the first part of the answer.
-        total: Seconds to its end.
-        gaps: Seconds between streamed parts.
+        first_seconds: Time to the first part of the answer.
+        total_seconds: Time to its end.
+        gaps: Seconds between the parts of a stream.
+        prompt_tokens: Tokens of the prompt.
+        cached_tokens: Prompt tokens that the engine had in its cache.
+        completion_tokens: Tokens of the answer.
+        text: Text of the answer.
+        retry_after: Seconds to wait before a retry, as the error says.
     """
 
     kind: str
     outcome: str
-    first: float
-    total: float
+    first_seconds: float
+    total_seconds: float
     gaps: list[float]
     prompt_tokens: int = 0
     cached_tokens: int = 0
@@ -36,7 +42,7 @@
 
 
 class Client:
-    """Sends requests to the entries in turn, as a balancer would."""
+    """Sends requests to the entries in turn, as a load balancer does."""
 
     def __init__(
         self, entries: list[str], timers: timers_port.Timers, connections: int
@@ -49,45 +55,63 @@
         )
 
     def create(self, body: dict[str, Any], key: str = "") -> tuple[str, Answer]:
-        """Creates a program; returns its id and what was seen."""
+        """Creates a program; returns its id, empty on error, and the result."""
         started = self.timers.now()
         try:
-            reply = self._send("POST", "/v1/programs", body, bearer(key), 30.0)
-            value = json.loads(reply.data)
+            response = self._send(
+                "POST",
+                "/v1/programs",
+                body,
+                authorization(key),
+                _PROGRAM_TIMEOUT_SECONDS,
+            )
+            value = json.loads(response.data)
         except (urllib3.exceptions.HTTPError, ValueError) as error:
-            return "", self._lost(error, started)
-        answer = self._refused(value, started)
+            return "", self._connection_error(error, started)
+        answer = self._error_answer(value, started)
         return value.get("id", ""), answer
 
     def close(self, program: str, key: str = "") -> None:
-        """Closes a program; its failure is no part of the measurement."""
+        """Closes a program; errors are ignored, as they are not measured."""
         path = f"/v1/programs/{program}"
         try:
-            self._send("DELETE", path, None, bearer(key), 30.0)
+            self._send(
+                "DELETE",
+                path,
+                None,
+                authorization(key),
+                _PROGRAM_TIMEOUT_SECONDS,
+            )
         except urllib3.exceptions.HTTPError:
             return
 
-    def tool(
+    def call_service(
         self, method: str, path: str, headers: dict[str, str], deadline: float
     ) -> Answer:
-        """Calls a plain service."""
+        """Calls a plain service.
+
+        `deadline` is the longest wait in seconds for data from the entry.
+        """
         started = self.timers.now()
         try:
-            reply = self._send(method, path, None, headers, deadline)
+            response = self._send(method, path, None, headers, deadline)
         except urllib3.exceptions.HTTPError as error:
-            return self._lost(error, started)
-        if reply.status >= 400:
-            return self._refused(_object(reply.data), started)
-        taken = self.timers.now() - started
-        return Answer("", "ran", taken, taken, [])
+            return self._connection_error(error, started)
+        if response.status >= 400:
+            return self._error_answer(_parse_object(response.data), started)
+        seconds = self.timers.now() - started
+        return Answer("", "ran", seconds, seconds, [])
 
     def chat(
         self, body: dict[str, Any], headers: dict[str, str], deadline: float
     ) -> Answer:
-        """Runs a chat call, streamed or whole."""
+        """Sends a chat completion request, streamed or not.
+
+        `deadline` is the longest wait in seconds for data from the entry.
+        """
         started = self.timers.now()
         try:
-            reply = self._send(
+            response = self._send(
                 "POST",
                 "/v1/chat/completions",
                 body,
@@ -95,53 +119,59 @@
                 deadline,
                 stream=True,
             )
-            if reply.status >= 400:
-                return self._refused(_object(reply.read()), started)
+            if response.status >= 400:
+                return self._error_answer(
+                    _parse_object(response.read()), started
+                )
             if body.get("stream"):
-                return self._read_stream(reply, started)
-            return self._read_whole(_object(reply.read()), started)
+                return self._read_stream(response, started)
+            return self._read_whole(_parse_object(response.read()), started)
         except urllib3.exceptions.HTTPError as error:
-            return self._lost(error, started)
+            return self._connection_error(error, started)
 
     def _read_whole(self, value: dict[str, Any], started: float) -> Answer:
-        taken = self.timers.now() - started
+        seconds = self.timers.now() - started
         text = value["choices"][0]["message"].get("content") or ""
         return _with_usage(
-            Answer("", "ran", taken, taken, [], text=text), value["usage"]
+            Answer("", "ran", seconds, seconds, [], text=text), value["usage"]
         )
 
     def _read_stream(
-        self, reply: urllib3.BaseHTTPResponse, started: float
+        self, response: urllib3.BaseHTTPResponse, started: float
     ) -> Answer:
         parts: list[str] = []
         gaps: list[float] = []
-        first = 0.0
+        first_seconds = 0.0
         usage: dict[str, Any] = {}
         done = False
-        last = started
-        for event in events(reply):
+        last_part_at = started
+        for event in read_events(response):
             now = self.timers.now()
             if event == "[DONE]":
                 done = True
                 break
             value = json.loads(event)
             if "error" in value:
-                return self._refused(value["error"], started)
+                return self._error_answer(value["error"], started)
             usage = value.get("usage") or usage
             content = value["choices"][0]["delta"].get("content")
             if not content:
                 continue
             if parts:
-                gaps.append(now - last)
+                gaps.append(now - last_part_at)
             else:
-                first = now - started
-            last = now
+                first_seconds = now - started
+            last_part_at = now
             parts.append(content)
-        reply.release_conn()
-        total = self.timers.now() - started
+        response.release_conn()
+        total_seconds = self.timers.now() - started
         if not done:
-            return Answer("cut_stream", "unknown", first, total, gaps)
-        answer = Answer("", "ran", first, total, gaps, text="".join(parts))
+            return Answer(
+                "cut_stream", "unknown", first_seconds, total_seconds, gaps
+            )
+        answer = Answer(
+            "", "ran", first_seconds, total_seconds, gaps, text="".join(parts)
+        )
         return _with_usage(answer, usage)
 
     def _send(
@@ -165,34 +195,34 @@
             preload_content=not stream,
         )
 
-    def _refused(self, value: dict[str, Any], started: float) -> Answer:
-        taken = self.timers.now() - started
+    def _error_answer(self, value: dict[str, Any], started: float) -> Answer:
+        seconds = self.timers.now() - started
         return Answer(
             value.get("kind", ""),
             value.get("outcome", "ran"),
-            taken,
-            taken,
+            seconds,
+            seconds,
             [],
             retry_after=float(value.get("retry_after") or 0.0),
         )
 
-    def _lost(self, error: Exception, started: float) -> Answer:
-        taken = self.timers.now() - started
-        return Answer(type(error).__name__, "unknown", taken, taken, [])
+    def _connection_error(self, error: Exception, started: float) -> Answer:
+        seconds = self.timers.now() - started
+        return Answer(type(error).__name__, "unknown", seconds, seconds, [])
 
 
-def bearer(key: str) -> dict[str, str]:
-    """Returns the header fields that show a customer's key; none for none."""
+def authorization(key: str) -> dict[str, str]:
+    """Returns the Authorization header; none if the key is empty."""
     return {"Authorization": f"Bearer {key}"} if key else {}
 
 
-def events(reply: urllib3.BaseHTTPResponse) -> Iterator[str]:
-    """Yields the data of each server-sent event."""
+def read_events(response: urllib3.BaseHTTPResponse) -> Iterator[str]:
+    """Yields the data of each server-sent event in a response."""
     buffer = b""
-    for block in reply.stream(65536, decode_content=True):
-        buffer += block
-        *whole, buffer = buffer.split(b"\n\n")
-        for event in whole:
+    for chunk in response.stream(65536, decode_content=True):
+        buffer += chunk
+        *complete, buffer = buffer.split(b"\n\n")
+        for event in complete:
             yield event.decode().removeprefix("data: ")
 
 
@@ -205,7 +235,7 @@
     )
 
 
-def _object(data: bytes) -> dict[str, Any]:
+def _parse_object(data: bytes) -> dict[str, Any]:
     try:
         value = json.loads(data)
     except ValueError:
--- a/src/mintcleat/load/plan.py
+++ b/src/mintcleat/load/plan.py
@@ -1,4 +1,4 @@
-"""A load plan: kinds of programs, their rates, shapes and bursts."""
+"""Load plans: which programs to run, and when."""
 
 import pathlib
 
@@ -7,11 +7,18 @@
 
 from mintcleat.domain import errors
 
+# The least and the greatest value, both included.
 Range = tuple[float, float]
 
 
 class Tool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A call to a plain service between two turns."""
+    """A call to a plain service between two turns.
+
+    Attributes:
+        service: Name of the service.
+        path: Path below that of the service.
+        method: HTTP method.
+    """
 
     service: str
     path: str = "/"
@@ -19,7 +26,13 @@
 
 
 class Burst(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """From `at`, for `seconds`, the rate is multiplied by `times`."""
+    """A time during which the rate of programs is multiplied.
+
+    Attributes:
+        at: Seconds from the start of the run.
+        seconds: Length of the burst.
+        times: Factor on the rate.
+    """
 
     at: float
     seconds: float
@@ -30,13 +43,22 @@
     """One kind of program.
 
     Attributes:
-        rate: Programs started a second, as a Poisson process.
-        turns: Least and most chat turns; the same for the other ranges.
-        words: Words in each new user message.
-        max_tokens: Tokens that each answer may have.
+        name: Name of the kind in the report.
+        model: Model that the turns request.
+        rate: Programs started per second, as a Poisson process.
+        customer: Customer of the programs; may be empty.
+        key: The customer's key, where entries require one.
+        agent: Agent of the programs; may be empty.
+        klass: Class of the programs.
+        turns: Number of chat turns.
+        words: Words in each user message.
+        max_tokens: Maximum number of tokens in each answer.
         pause: Seconds between the end of a turn and the next.
-        key: The customer's key, where callers must show one.
-        sub_agents: Chance that a turn starts a one-turn sub-agent first.
+        sub_agents: Probability that a one-turn sub-agent runs before a turn.
+        tools: One of them is called before each turn except the first.
+        bursts: Times with a higher rate; the first that applies counts.
+        deadline: Seconds that each turn and tool call may take.
+        stream: Whether answers are streamed.
     """
 
     name: str
@@ -58,7 +80,15 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole plan; the same seed gives the same programs at the same times."""
+    """A load plan.
+
+    Attributes:
+        kinds: Kinds of programs.
+        seconds: Time during which programs are started.
+        seed: Seed of the schedule; the same seed gives the same programs at
+            the same times.
+        max_programs: Maximum number of programs.
+    """
 
     kinds: list[Kind]
     seconds: float = 10.0
@@ -70,12 +100,12 @@
     """Returns the plan in a JSON file with comments.
 
     Raises:
-        errors.BadRequest: The file can't be read or has a fault.
+        errors.BadRequest: The file can't be read or is not a valid plan.
     """
     try:
         return msgspec.convert(json5.loads(path.read_text()), Plan)
     except (OSError, ValueError) as error:
         raise errors.BadRequest(
-            f"The load plan {path.name} has a fault: {error}.",
+            f"{path.name} is not a valid load plan: {error}.",
             remedy="See docs/reference/load.md for the fields.",
         ) from None
--- a/testing/test_load.py
+++ b/testing/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool's schedule and figures."""
+"""The load generator: schedule, measurements and report."""
 
 import testtools
 from testtools import matchers
@@ -33,7 +33,7 @@
 
 
 class SlowClient:
-    """Answers each turn after a fixed time on the virtual clock."""
+    """Answers each turn after 2 s of virtual time."""
 
     def __init__(self, clock: timers.VirtualTimers) -> None:
         self.clock = clock
@@ -53,10 +53,10 @@
 
 class DriverTest(testtools.TestCase):
     def test_latency_counts_from_when_the_program_was_due(self) -> None:
-        """A tool that waits for answers hides queueing.
+        """Guards against coordinated omission.
 
-        Both programs are due at second 0 and the answers take 2 s one after
-        the other; the second caller waited 4 s, not 2.
+        Both programs are due at 0 s, and their answers take 2 s, one after
+        the other. The second program took 4 s, although its request took 2 s.
         """
         clock = timers.VirtualTimers()
         driver = driver_module.Driver(SlowClient(clock), clock)
@@ -71,13 +71,13 @@
             ),
         )
 
-    def test_rebuilt_tokens_are_counted_as_wasted(self) -> None:
+    def test_context_tokens_not_cached_count_as_wasted(self) -> None:
         clock = timers.VirtualTimers()
         driver = driver_module.Driver(SlowClient(clock), clock)
         turn = arrivals.Turn(5, 8, 0.0, sub_agent=False, tool=None)
         driver.run([arrivals.Program(0.0, kind(), [turn, turn])], 10.0)
         figures = report.summary(driver)["triage"]
-        # The second turn knew 110 tokens and the engine had cached 40.
+        # The context was 110 tokens, of which the engine had cached 40.
         self.assertEqual(70, figures["wasted_tokens"])
         self.assertThat(
             report.table(figures={"t": figures}), matchers.Contains("wasted")
