--- a/testing/test_faults_matrix.py
+++ b/testing/test_faults_matrix.py
@@ -1,9 +1,9 @@
-"""Roles die at each step of a call, alone and in pairs.
+"""Crashes of one or two roles at each step of a call.
 
-The caller sends one call through one entry and, when it gets no final
-answer, sends it again with its key through the other. Meanwhile the victims
-die at the step. What ran is read from the upstreams. The cells are listed in
-docs/design/040-sidecar.md.
+The caller sends a call through one entry and, if it gets no final answer,
+retries it with the same key through the other entry. Meanwhile the roles
+under test crash at the given step. The upstreams record what was executed.
+docs/design/040-sidecar.md lists the combinations.
 """
 
 from collections.abc import Callable
@@ -24,16 +24,16 @@
 SINGLES = [(role,) for role in service_system.ROLES]
 PAIRS = list(itertools.combinations(service_system.ROLES, 2))
 NUMBERS = itertools.count()
-# Up to the grant a turn takes the same path as a booking, so pairs that die
-# there are tried with bookings only.
-TURN_CELLS = [
+# Until the attempt is granted, a turn takes the same path as a booking, so
+# pairs of crashes at these steps are tested with bookings only.
+TURN_COMBINATIONS = [
     *itertools.product(SINGLES, service_system.STEPS),
     *itertools.product(PAIRS, service_system.STEPS[2:]),
 ]
 
 
 @pytest.fixture(scope="module")
-def hooked(
+def system_with_hooks(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[service_system.System]:
     started = service_system.System(tmp_path_factory.mktemp("system"))
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture(scope="module")
-def three_controls(
+def system_of_three_controls(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[service_system.System]:
     started = service_system.System(tmp_path_factory.mktemp("three"), 3)
@@ -53,36 +53,36 @@
 
 
 @pytest.fixture
-def three(
-    three_controls: service_system.System,
+def three_controls(
+    system_of_three_controls: service_system.System,
 ) -> Iterator[service_system.System]:
     with pytest.MonkeyPatch.context() as patch:
-        service_system.hook(three_controls, patch.setattr)
-        yield three_controls
-    three_controls.restore()
+        service_system.hook(system_of_three_controls, patch.setattr)
+        yield system_of_three_controls
+    system_of_three_controls.restore()
 
 
 @pytest.fixture
 def system(
-    hooked: service_system.System,
+    system_with_hooks: service_system.System,
 ) -> Iterator[service_system.System]:
-    """Starts again, after each cell, whatever died in it."""
-    yield hooked
-    hooked.restore()
+    """Restarts, after each test, the roles that crashed in it."""
+    yield system_with_hooks
+    system_with_hooks.restore()
 
 
-def cell_id(value: str | tuple[str, ...]) -> str:
+def combination_id(value: str | tuple[str, ...]) -> str:
     return value if isinstance(value, str) else "+".join(value)
 
 
 def call_until_final(
     send: Callable[[int], service_system.Reply], may_repeat: bool
 ) -> list[service_system.Reply]:
-    """Sends through entry 0, then through entry 1 until it is final.
+    """Sends a call through entry 0, then through entry 1 until it is final.
 
-    An unknown outcome is final for a call that must not be repeated. For a
-    turn its remedy is to send it again, as an entry out of its own retries
-    tells the caller.
+    An unknown outcome is final for a call that must not be repeated. A turn
+    may be sent again: an entry that has used up its own retries tells the
+    caller to do so.
     """
     replies = [send(0)]
     for _ in range(60):
@@ -99,7 +99,12 @@
 def book(
     system: service_system.System, step: str, victims: tuple[str, ...]
 ) -> None:
-    """Books once while the victims die at the step, and checks the rest."""
+    """Books once while the victims crash at the step, and checks the result.
+
+    Raises:
+        AssertionError: The booking was executed twice, an outcome was false,
+            or the outcome stayed unknown for no reason.
+    """
     key = f"book-{next(NUMBERS)}"
     runs_seen = []
 
@@ -124,7 +129,8 @@
     if last.status == 200:
         assert (runs(), last.body["key"]) == (1, key)
     else:
-        # Only whoever had the request in hand can leave it unknown.
+        # Only a crash of the sidecar or of the upstream, which handle the
+        # request, may leave the outcome unknown.
         assert last.outcome == "unknown"
         assert {"sidecar", "upstream"} & set(victims)
 
@@ -134,35 +140,37 @@
 def test_booking_happens_at_most_once(
     system: service_system.System, step: str, victims: tuple[str, ...]
 ) -> None:
-    """A booking, which must not happen twice, and deaths at one step.
+    """Guards against a booking that is executed twice after a crash.
 
-    The caller sends the same key until it hears a final word. One booking
-    at the services at most; a whole own answer or a true outcome.
+    The caller retries with the same key until the reply is final. The
+    services execute at most one booking, and the caller gets either its own
+    complete answer or a correct outcome.
     """
     book(system, step, victims)
 
 
 @pytest.mark.parametrize("step", service_system.STEPS)
-def test_booking_outlives_a_leader(
-    three: service_system.System, step: str
+def test_booking_survives_a_leader_crash(
+    three_controls: service_system.System, step: str
 ) -> None:
-    """The control leader dies at one step, and another of three takes over.
+    """Guards against losing committed entries with the control leader.
 
-    Nothing that the group committed is lost with it, so the caller ends
-    with its whole answer and one booking.
+    The leader crashes at one step and another of three instances takes over.
+    The caller gets its complete answer, for one booking.
     """
-    book(three, step, ("control",))
+    book(three_controls, step, ("control",))
 
 
-@pytest.mark.parametrize(("victims", "step"), TURN_CELLS, ids=cell_id)
-def test_turn_is_whole_and_its_memory_goes(
+@pytest.mark.parametrize(
+    ("victims", "step"), TURN_COMBINATIONS, ids=combination_id
+)
+def test_turn_is_complete_and_its_cache_is_released(
     system: service_system.System, victims: tuple[str, ...], step: str
 ) -> None:
-    """A chat turn of a program, and deaths at one step.
+    """Guards against crashes that corrupt a turn or leak its cache.
 
-    The caller ends with the whole right answer, the history holds it once,
-    the budget counts it once, and after the program's close no engine holds
-    anything of it.
+    The caller gets the complete correct answer, the history and the budget
+    count it once, and after the program is closed no engine caches any of it.
     """
     program = f"p{next(NUMBERS)}"
     path = "/v1/programs"
@@ -187,17 +195,17 @@
     replies = call_until_final(send, may_repeat=True)
     assert system.fired
     engines = [system.upstreams["model-0"], system.upstreams["model-1"]]
-    ran = [
+    prompts = [
         run.messages
         for one in engines
         for run in one.runs
         if run.program == program
     ]
-    assert [list(map(json.loads, said)) for said in ran] == [
-        [json.loads(asked)] for _ in ran
+    assert [list(map(json.loads, prompt)) for prompt in prompts] == [
+        [json.loads(asked)] for _ in prompts
     ]
     expected = "".join(
-        batch.answer_tokens(ran[0], service_system.ANSWER_TOKENS)
+        batch.answer_tokens(prompts[0], service_system.ANSWER_TOKENS)
     )
     assert replies[-1].status == 200, replies
     message = replies[-1].body["choices"][0]["message"]
@@ -207,10 +215,10 @@
     assert view["tokens_used"] == used
     assert view["tokens_reserved"] == 0
     history = system.send(1, "GET", f"{path}/{program}/history", None).body
-    said = [turn["messages"][1]["content"] for turn in history["turns"]]
-    assert said == [expected]
-    # A dead upstream's memory is gone; a live one's must be released, also
-    # by a sidecar that has just been started beside it.
+    answers = [turn["messages"][1]["content"] for turn in history["turns"]]
+    assert answers == [expected]
+    # A crashed upstream has lost its cache. A running one must release it,
+    # even if its sidecar has just been restarted.
     system.restore()
     assert system.send(1, "DELETE", f"{path}/{program}", None).status < 300
     service_rig.until(lambda: not any(one.cache.used_tokens for one in engines))
