--- a/testing/test_faults_matrix.py
+++ b/testing/test_faults_matrix.py
@@ -175,12 +175,12 @@
     program = f"p{next(NUMBERS)}"
     path = "/v1/programs"
     system.send(1, "POST", path, {"id": program, "agent": "agent"})
-    asked = service_rig.user(f"{program} asks")
+    question = service_rig.user(f"{program} asks")
 
     def send(entry: int) -> service_system.Reply:
         body = {
             "max_tokens": service_system.ANSWER_TOKENS,
-            "messages": [json.loads(asked)],
+            "messages": [json.loads(question)],
         }
         return system.send(
             entry,
@@ -202,7 +202,7 @@
         if run.program == program
     ]
     assert [list(map(json.loads, prompt)) for prompt in prompts] == [
-        [json.loads(asked)] for _ in prompts
+        [json.loads(question)] for _ in prompts
     ]
     expected = "".join(
         batch.answer_tokens(prompts[0], service_system.ANSWER_TOKENS)
@@ -211,7 +211,7 @@
     message = replies[-1].body["choices"][0]["message"]
     assert message["content"] == expected
     view = system.send(1, "GET", f"{path}/{program}", None).body
-    used = cache.count_tokens(asked) + service_system.ANSWER_TOKENS
+    used = cache.count_tokens(question) + service_system.ANSWER_TOKENS
     assert view["tokens_used"] == used
     assert view["tokens_reserved"] == 0
     history = system.send(1, "GET", f"{path}/{program}/history", None).body
