--- a/src/mintcleat/emulator/engine.py
+++ b/src/mintcleat/emulator/engine.py
@@ -62,6 +62,7 @@
         self.done = env.event()
         self.prompt = sum(part.tokens for part in parts)
         self.to_prefill = self.prompt
+        self.read_again = 0
         self.generated = 0
         self.decode_start = 0.0
 
