--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -163,7 +163,7 @@
 
     def reason(self) -> str:
         (sequence,) = self.engine.sequences.values()
-        return sequence.reason
+        return sequence.finish_reason
 
     def test_call_without_program_is_cancelled_when_its_caller_leaves(
         self,
