--- a/src/mintcleat/adapters/tokens.py
+++ b/src/mintcleat/adapters/admin_token.py
@@ -18,7 +18,7 @@
         errors.InvalidSettings: The named file can't be read or is empty.
     """
     if not token_file:
-        return load_or_make(folder)
+        return load_or_create(folder)
     try:
         token = pathlib.Path(token_file).read_text().strip()
     except OSError as error:
@@ -30,7 +30,7 @@
     return token
 
 
-def load_or_make(folder: pathlib.Path, disk: wal.Disk | None = None) -> str:
+def load_or_create(folder: pathlib.Path, disk: wal.Disk | None = None) -> str:
     """Returns the token in `folder`, making it on first use.
 
     The file is made with mode 0600, synced and only then named: an empty file
--- a/src/mintcleat/adapters/event_log.py
+++ b/src/mintcleat/adapters/event_log.py
@@ -25,17 +25,17 @@
     """Lines that a process may write.
 
     Attributes:
-        lines: A second. A line costs the process about 20 microseconds, so
-            this many take 1% of a core.
-        burst: Lines above that rate that may come at once.
-        waiting: Lines that wait for a reader that stalls.
+        lines_per_second: Sustained rate. A line takes about 20 microseconds
+            of CPU time, so the default uses 1% of a core.
+        burst: Lines that may exceed the rate at once.
+        queue_size: Lines that may wait for the writer thread.
         details_share: Above half of the rate, this share of the requests,
             by id, keeps its details; the same ones in all processes.
     """
 
-    lines: float = 500.0
+    lines_per_second: float = 500.0
     burst: float = 1000.0
-    waiting: int = 5000
+    queue_size: int = 5000
     details_share: float = 0.1
 
 
@@ -60,8 +60,8 @@
         self.sink = sink or sys.stdout
         self.encoder = msgspec.json.Encoder()
         self.names = {kind: events.name_of(kind) for kind in events.KINDS}
-        self.waiting: collections.deque[bytes] = collections.deque()
-        self.room = budget.burst
+        self.queue: collections.deque[bytes] = collections.deque()
+        self.tokens = budget.burst
         self.refilled = time.monotonic()
         self.dropped = 0
         self.number = 0
@@ -76,7 +76,7 @@
         if not self._admit(event):
             self.dropped += 1
             return
-        if self.dropped and self.room > 1.0:
+        if self.dropped and self.tokens > 1.0:
             dropped, self.dropped = self.dropped, 0
             self._put(events.LinesDropped(dropped, "over the budget"))
         self._put(event)
@@ -84,7 +84,7 @@
     def close(self, seconds: float = 0.2) -> None:
         """Waits until what waits is written, or the time is over."""
         until = time.monotonic() + seconds
-        while self.waiting and time.monotonic() < until and not self.broken:
+        while self.queue and time.monotonic() < until and not self.broken:
             self.wake.set()
             time.sleep(0.005)
 
@@ -92,18 +92,20 @@
         now = time.monotonic()
         passed, self.refilled = now - self.refilled, now
         budget = self.budget
-        self.room = min(budget.burst, self.room + passed * budget.lines)
+        self.tokens = min(
+            budget.burst, self.tokens + passed * budget.lines_per_second
+        )
         weight = events.severity_of(event)
-        if len(self.waiting) >= budget.waiting or self.broken:
+        if len(self.queue) >= budget.queue_size or self.broken:
             return False
-        if weight == events.DETAIL and self.room < budget.burst / 2:
+        if weight == events.DETAIL and self.tokens < budget.burst / 2:
             digest = xxhash.xxh32_intdigest(event.request.encode())
             if digest >= budget.details_share * 2**32:
                 return False
-        return self.room >= 1.0 + _RESERVED[weight] * budget.burst
+        return self.tokens >= 1.0 + _RESERVED[weight] * budget.burst
 
     def _put(self, event: Any) -> None:
-        self.room -= 1.0
+        self.tokens -= 1.0
         line = {
             "at": round(time.time(), 4),
             "instance": self.instance,
@@ -111,17 +113,17 @@
             "n": self.number,
             **event._asdict(),
         }
-        self.waiting.append(self.encoder.encode(line))
+        self.queue.append(self.encoder.encode(line))
         self.wake.set()
 
     def _write(self) -> None:
         while not self.broken:
-            if not self.waiting:
+            if not self.queue:
                 self.wake.wait()
                 self.wake.clear()
             lines = []
-            while self.waiting and len(lines) < _BATCH:
-                lines.append(self.waiting.popleft().decode())
+            while self.queue and len(lines) < _BATCH:
+                lines.append(self.queue.popleft().decode())
             if not lines:
                 continue
             try:
--- a/src/mintcleat/adapters/event_metrics.py
+++ b/src/mintcleat/adapters/event_metrics.py
@@ -10,7 +10,7 @@
 MOST_CUSTOMERS = 200
 
 
-class MeasuredEvents:
+class EventMetrics:
     """Counts each event and passes it on; see `ports.events.EventReporter`."""
 
     def __init__(
--- a/src/mintcleat/adapters/http1_client.py
+++ b/src/mintcleat/adapters/http1_client.py
@@ -99,7 +99,7 @@
         except OSError as error:
             raise self._broken(error) from None
 
-    def head(self) -> h11.Response:
+    def read_head(self) -> h11.Response:
         """Returns the head of the answer; interim answers are skipped."""
         while True:
             event = self._next()
@@ -108,7 +108,7 @@
             if not isinstance(event, h11.InformationalResponse):
                 raise self._broken("no answer came")
 
-    def data(self) -> bytes | None:
+    def read_data(self) -> bytes | None:
         """Returns the next piece of the body; None at its whole end."""
         while True:
             event = self._next()
@@ -118,13 +118,13 @@
                 return None
             raise self._broken("the answer is cut short")
 
-    def pass_over(self) -> None:
+    def skip_response(self) -> None:
         """Reads the answer at hand to its end, and waits for the next one.
 
         An upstream may answer an earlier request once more; the answer to
         the request at hand comes behind it.
         """
-        while self.data() is not None:
+        while self.read_data() is not None:
             pass
         rest, closed = self.http.trailing_data
         if closed or self.http.their_state is not h11.DONE:
@@ -137,7 +137,7 @@
         if rest:
             self.http.receive_data(rest)
 
-    def finish(self, keep_alive: float) -> bool:
+    def prepare_reuse(self, keep_alive: float) -> bool:
         """Readies the connection for another request; False to close it.
 
         Args:
@@ -222,7 +222,7 @@
     def __init__(self) -> None:
         self.idle: dict[str, list[Connection]] = {}
 
-    def take(self, upstream: str, address: str) -> Connection:
+    def acquire(self, upstream: str, address: str) -> Connection:
         """Returns a quiet connection, or a new one.
 
         Raises:
@@ -236,7 +236,7 @@
             connection.close()
         return Connection(address)
 
-    def give(self, upstream: str, connection: Connection) -> None:
+    def release(self, upstream: str, connection: Connection) -> None:
         """Takes a connection back."""
         held = self.idle.setdefault(upstream, [])
         if len(held) >= _MAX_IDLE:
@@ -244,7 +244,7 @@
             return
         held.append(connection)
 
-    def forget(self, upstream: str) -> None:
+    def discard(self, upstream: str) -> None:
         """Closes the idle connections of an upstream that is gone."""
         for connection in self.idle.pop(upstream, []):
             connection.close()
--- a/src/mintcleat/adapters/streams.py
+++ b/src/mintcleat/adapters/streams.py
@@ -100,9 +100,9 @@
         until = time.monotonic() + _FLUSH_SECONDS
         for connection in [*self.dialled.values(), *self.accepted]:
             connection.flush(until - time.monotonic())
-            connection.lose()
+            connection.abort()
 
-    def held_bytes(self) -> dict[str, int]:
+    def buffer_usage(self) -> dict[str, int]:
         """Returns the bytes that wait to be written, and to be taken."""
         connections = [*self.dialled.values(), *self.accepted]
         exchanges = [e for c in connections for e in c.exchanges.values()]
@@ -148,7 +148,7 @@
 
     def _dial(self, address: str, pending: event.Event) -> None:
         try:
-            with eventlet.Timeout(self.limits.connect, TimeoutError):
+            with eventlet.Timeout(self.limits.connect_timeout, TimeoutError):
                 sock = eventlet.connect(split_address(address))
             connection = self._new_connection(sock, address)
             self.dialled[address] = connection
--- a/src/mintcleat/adapters/streams_connection.py
+++ b/src/mintcleat/adapters/streams_connection.py
@@ -35,8 +35,8 @@
         exchanges: Exchanges that one peer may hold open.
         connections: Connections that are accepted at once.
         heartbeat: Longest time for which a connection is quiet.
-        silence: Time without a byte after which a peer counts as lost.
-        connect: Time within which a peer takes a new connection.
+        silence_timeout: Time without a byte after which a peer counts as lost.
+        connect_timeout: Time within which a peer takes a new connection.
     """
 
     message: int = 64 * 1024 * 1024
@@ -45,8 +45,8 @@
     exchanges: int = 16384
     connections: int = 16384
     heartbeat: float = 2.0
-    silence: float = 6.0
-    connect: float = 2.0
+    silence_timeout: float = 6.0
+    connect_timeout: float = 2.0
 
 
 class Signal:
@@ -215,7 +215,7 @@
             self.sock.setsockopt(
                 socket.IPPROTO_TCP,
                 socket.TCP_USER_TIMEOUT,
-                int(self.limits.silence * 1000),
+                int(self.limits.silence_timeout * 1000),
             )
         self.threads = 2
         eventlet.spawn(self._write_forever)
@@ -285,9 +285,9 @@
         A peer behind a silent partition, or one that was powered off, never
         closes the connection, so only its silence tells.
         """
-        if now - self.heard > self.limits.silence:
+        if now - self.heard > self.limits.silence_timeout:
             logger.warning("{} is silent; closing the connection", self.peer)
-            self.lose()
+            self.abort()
         elif now - self.written >= self.limits.heartbeat and not self.queued:
             self.push(streams_frames.pack(0, streams_frames.PING))
 
@@ -297,7 +297,7 @@
         while self.queued and not self.lost and time.monotonic() < until:
             eventlet.sleep(0.002)
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         """Closes the socket and every exchange."""
         if self.lost:
             return
@@ -321,7 +321,7 @@
         goes to the next connection while the hub holds the old waiter, and
         that connection fails with "Second simultaneous read".
         """
-        self.lose()
+        self.abort()
         self.threads -= 1
         if not self.threads:
             self.sock.close()
@@ -351,7 +351,7 @@
                 self.sock.sendall(data)
             except (OSError, EOFError) as error:
                 logger.info("{} is lost: {}", self.peer, error)
-                self.lose()
+                self.abort()
                 return
             self.queued -= len(data)
             self.written = time.monotonic()
--- a/src/mintcleat/adapters/wal.py
+++ b/src/mintcleat/adapters/wal.py
@@ -35,9 +35,9 @@
         folder: pathlib.Path,
         disk: wal.Disk | None = None,
         segment_size: int = SEGMENT_SIZE,
-        tells_copies: bool = True,
+        detect_copies: bool = True,
     ) -> None:
-        self.tells_copies = tells_copies
+        self.detect_copies = detect_copies
         self.folder = folder
         self.disk = disk or wal_disk.SystemDisk()
         self.segment_size = segment_size
@@ -62,7 +62,7 @@
             self.disk.sync_directory(self.folder.parent)
             self.disk.sync_directory(self.folder)
             identity = wal_identity.read(
-                self.folder, node.instance, self.tells_copies
+                self.folder, node.instance, self.detect_copies
             )
             if identity is None:
                 return wal.Recovery(self._format(node), [], formatted=True)
--- a/src/mintcleat/adapters/wal_identity.py
+++ b/src/mintcleat/adapters/wal_identity.py
@@ -16,7 +16,7 @@
 
 
 def read(
-    folder: pathlib.Path, instance: str, tells_copies: bool = True
+    folder: pathlib.Path, instance: str, detect_copies: bool = True
 ) -> identities.Incarnation | None:
     """Returns the identity, or None when this disk must be formatted.
 
@@ -27,7 +27,7 @@
     Args:
         folder: The data folder.
         instance: Who it must belong to.
-        tells_copies: Whether files keep their inode numbers over a restart.
+        detect_copies: Whether files keep their inode numbers over a restart.
             Where they don't, each restart would look like a copy, and a
             restart of all instances would lose everything.
 
@@ -47,7 +47,7 @@
             f"The data folder belongs to {name}, not to {instance}.",
             remedy="Give each instance a data folder of its own.",
         )
-    if tells_copies and inode != path.stat().st_ino:
+    if detect_copies and inode != path.stat().st_ino:
         _set_aside(folder, epoch)
         return None
     return identities.Incarnation(name, epoch)
--- a/src/mintcleat/main/cli_client.py
+++ b/src/mintcleat/main/cli_client.py
@@ -10,7 +10,7 @@
 
 import urllib3
 
-from mintcleat.adapters import tokens
+from mintcleat.adapters import admin_token
 
 DEFAULT_ADMIN = "http://127.0.0.1:8081"
 DEFAULT_TOKEN_FILE = "mintcleat-data/admin-token"
@@ -61,7 +61,7 @@
         """
         self.admin = admin or os.environ.get("MINTCLEAT_ADMIN", DEFAULT_ADMIN)
         if data and not token_file:
-            token_file = str(pathlib.Path(data) / tokens.TOKEN_FILE)
+            token_file = str(pathlib.Path(data) / admin_token.TOKEN_FILE)
         self.token_file = pathlib.Path(
             token_file
             or os.environ.get("MINTCLEAT_TOKEN_FILE", DEFAULT_TOKEN_FILE)
--- a/src/mintcleat/main/common.py
+++ b/src/mintcleat/main/common.py
@@ -27,8 +27,8 @@
             settings.listen,
             streams_connection.Limits(
                 heartbeat=times.stream_heartbeat,
-                silence=times.stream_silence,
-                connect=times.stream_connect,
+                silence_timeout=times.stream_silence,
+                connect_timeout=times.stream_connect,
             ),
         )
         self.metrics = metrics_module.PrometheusMetrics()
--- a/src/mintcleat/main/control_part.py
+++ b/src/mintcleat/main/control_part.py
@@ -3,9 +3,9 @@
 import pathlib
 
 from mintcleat.adapters import admin_http
+from mintcleat.adapters import admin_token
 from mintcleat.adapters import disk_thread
 from mintcleat.adapters import histories
-from mintcleat.adapters import tokens
 from mintcleat.adapters import wal
 from mintcleat.adapters import wal_disk
 from mintcleat.adapters import wsgi
@@ -38,7 +38,9 @@
         settings = common.settings
         self.folder = pathlib.Path(settings.control_role.data)
         wal_disk.make_folder(wal_disk.SystemDisk(), self.folder)
-        self.token = tokens.load(settings.control_role.token_file, self.folder)
+        self.token = admin_token.load(
+            settings.control_role.token_file, self.folder
+        )
         groups = placement.group_names(settings.program_groups)
         self.log = replication.GroupLog(
             common.node,
@@ -46,7 +48,7 @@
             self._members(),
             wal.FileWal(
                 self.folder / "log",
-                tells_copies=settings.control_role.keeps_inodes,
+                detect_copies=settings.control_role.keeps_inodes,
             ),
             [machine.GROUP, *groups],
             streams=common.streams,
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -274,7 +274,7 @@
         self.log = event_log.EventLog(settings.instance)
         self.common = common_module.Common(settings)
         metrics = self.common.metrics
-        self.events = event_metrics.MeasuredEvents(metrics, self.log)
+        self.events = event_metrics.EventMetrics(metrics, self.log)
         parts: dict[str, Callable[..., Any]] = {
             machine_module.ENTRY: functools.partial(EntryPart, policy=policy),
             machine_module.CONTROL: ControlPart,
@@ -330,7 +330,7 @@
             peak = process_memory.peak_mb()
             if peak >= told + _MEMORY_STEP_MB:
                 told = peak
-                held = self.part.held() | self.common.streams.held_bytes()
+                held = self.part.held() | self.common.streams.buffer_usage()
                 self.events.emit(event_types.MemoryGrown(round(peak, 1), held))
             self.common.timers.sleep(_MEMORY_SECONDS)
 
--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -33,7 +33,7 @@
         request: routed_calls.UpstreamRequest,
     ) -> "HttpAnswer":
         """Sends a request and returns the answer once its head has come."""
-        connection = self.pool.take(upstream.incarnation, upstream.address)
+        connection = self.pool.acquire(upstream.incarnation, upstream.address)
         try:
             connection.send(
                 call.method,
@@ -49,7 +49,7 @@
 
     def forget(self, incarnation: str) -> None:
         """Drops the idle connections of a life of an upstream that is over."""
-        self.pool.forget(incarnation)
+        self.pool.discard(incarnation)
 
 
 class HttpAnswer:
@@ -98,13 +98,15 @@
         """Yields the body as it comes; ends only at its whole end."""
         connection = self.connection
         while True:
-            data = connection.data()
+            data = connection.read_data()
             if data is None:
                 break
             yield data
         self.connection = None
-        if connection.finish(_keep_alive(self.fields.get("keep-alive", ""))):
-            self.pool.give(self.upstream.incarnation, connection)
+        if connection.prepare_reuse(
+            _keep_alive(self.fields.get("keep-alive", ""))
+        ):
+            self.pool.release(self.upstream.incarnation, connection)
         else:
             connection.close()
 
@@ -162,11 +164,11 @@
     the id that it repeats tells which request an answer belongs to.
     """
     for _ in range(_MAX_PASSED_OVER):
-        head = connection.head()
+        head = connection.read_head()
         found = dict(head.headers).get(callers.REQUEST_ID.encode())
         if found is None or found.decode("latin-1") == request:
             return head
-        connection.pass_over()
+        connection.skip_response()
     raise errors.StreamClosed(
         f"{connection.address} answers other requests only."
     )
--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -154,11 +154,11 @@
         for one in self._victims(1):
             self.cluster.note(f"{one.name} frozen for {seconds}")
             self._lose(one, seconds)
-            one.life.freeze()
-            eventlet.spawn_after(seconds, self._thaw, one.life)
+            one.process.suspend()
+            eventlet.spawn_after(seconds, self._thaw, one.process)
 
-    def _thaw(self, life: virtual_time.Life) -> None:
-        life.thaw()
+    def _thaw(self, process: virtual_time.VirtualProcess) -> None:
+        process.resume()
         self.cluster.network.flush()
 
     def _heal_later(self, seconds: float) -> None:
@@ -357,7 +357,7 @@
         cluster.network.delay = 0.0005
         for one in cluster.instances.values():
             one.start()
-            one.life.thaw()
+            one.process.resume()
             one.disk.stalled = False
             one.disk.sync_seconds = 0.005
         cluster.network.flush()
--- a/testing/fakes/control_cluster.py
+++ b/testing/fakes/control_cluster.py
@@ -87,8 +87,8 @@
         self.rng = cluster.rng
         self.disk = virtual_disk.VirtualDisk(cluster.folder / name, cluster.rng)
         self.disk.folder.mkdir(parents=True)
-        self.life = virtual_time.Life()
-        self.life.end()
+        self.process = virtual_time.VirtualProcess()
+        self.process.kill()
         self.skew = cluster.rng.uniform(-0.5, 0.5)
         self.busy = 0.0
         self.lost_until = 0.0
@@ -97,19 +97,21 @@
         self.started = False
 
     def start(self, founder: bool = False) -> None:
-        if not self.life.dead:
+        if not self.process.dead:
             return
-        self.life = virtual_time.Life(self.rng)
-        self.disk.life = self.life
+        self.process = virtual_time.VirtualProcess(self.rng)
+        self.disk.process = self.process
         self.started = False
-        eventlet.spawn(self._start, self.life, founder)
+        eventlet.spawn(self._start, self.process, founder)
 
-    def _start(self, life: virtual_time.Life, founder: bool) -> None:
+    def _start(
+        self, process: virtual_time.VirtualProcess, founder: bool
+    ) -> None:
         cluster = self.cluster
-        timers = virtual_time.LifeTimers(life, cluster.rng, self.skew)
+        timers = virtual_time.ProcessTimers(process, cluster.rng, self.skew)
         timers.busy = self.busy
         streams = virtual_net.VirtualStreams(
-            cluster.network, self.address, life
+            cluster.network, self.address, process
         )
         node = identities.Incarnation(self.name, int(timers.wall_time() * 1e9))
         own = types.Member(self.name, self.address, self.domain, "r", self.name)
@@ -121,13 +123,13 @@
                 self.disk.folder / "log",
                 self.disk,
                 segment_size=cluster.options.segment_bytes,
-                tells_copies=False,
+                detect_copies=False,
             ),
             [machine.GROUP, OTHER_GROUP],
             streams=streams,
             timers=timers,
             options=cluster.options.replication(founder),
-            worker=virtual_disk.VirtualWorker(life),
+            worker=virtual_disk.VirtualDiskWorker(process),
             own=own,
         )
         self.config = config_service.ConfigService(
@@ -145,7 +147,7 @@
             self.log.start()
             self.config.start()
             self.started = True
-            while not life.dead:
+            while not process.dead:
                 timers.sleep(0.05)
                 if self.log.failure() is not None:
                     cluster.note(f"{self.name} stops: {self.log.failure()}")
@@ -154,22 +156,26 @@
         except errors.MintcleatError as error:
             cluster.failures.append(f"{self.name}: {error.detail}")
             cluster.note(f"{self.name} can't start: {error.detail}")
-            if not life.dead:
+            if not process.dead:
                 self.kill()
                 eventlet.spawn_after(0.3, self.start)
 
     def running(self) -> bool:
-        return self.started and not self.life.dead and not self.life.frozen
+        return (
+            self.started
+            and not self.process.dead
+            and not self.process.suspended
+        )
 
     def kill(self) -> None:
         """Ends the process; its files stay as they are."""
-        if self.life.dead:
+        if self.process.dead:
             return
         self.end()
-        self.cluster.network.listening[self.address].lose()
+        self.cluster.network.listening[self.address].abort()
 
     def end(self) -> None:
-        self.life.end()
+        self.process.kill()
         if self.log is not None and self.log.wal.lock >= 0:
             # A process's locks end with it; here they would live on.
             fcntl.flock(self.log.wal.lock, fcntl.LOCK_UN)
@@ -184,7 +190,7 @@
 
     def terminate(self) -> None:
         """Stops the process as its operator does."""
-        life, log, config = self.life, self.log, self.config
+        process, log, config = self.process, self.log, self.config
         if not self.running():
             return
 
@@ -192,7 +198,7 @@
             log.transfer_leadership(1.5)
             config.stop()
             log.stop()
-            if not life.dead:
+            if not process.dead:
                 self.kill()
 
         eventlet.spawn(stop)
@@ -205,18 +211,18 @@
         """
         answers: list[Any] = []
         came = eventlet.Event()
-        life, config = self.life, self.config
+        process, config = self.process, self.config
 
         def serve() -> None:
             try:
-                life.check()
+                process.check()
                 answers.append(config.ask(message, ANSWER))
             except errors.MintcleatError:
                 pass
-            if not life.dead and not came.ready():
+            if not process.dead and not came.ready():
                 came.send()
 
-        if life.dead or not self.started:
+        if process.dead or not self.started:
             eventlet.sleep(0.01)
             return None
         eventlet.spawn(serve)
@@ -394,7 +400,7 @@
                 count = log.propose(OTHER_GROUP, command, 1.0)
             except errors.MintcleatError:
                 return
-            if not instance.life.dead:
+            if not instance.process.dead:
                 self.records_acknowledged = max(
                     self.records_acknowledged, count
                 )
--- a/testing/fakes/service_system.py
+++ b/testing/fakes/service_system.py
@@ -310,7 +310,7 @@
     streams.listener.close()
     streams.open = refuse
     for connection in [*streams.dialled.values(), *streams.accepted]:
-        connection.lose()
+        connection.abort()
     part = process.parts[0]
     if hasattr(part, "follower"):
         part.follower.stop()
--- a/testing/fakes/virtual_disk.py
+++ b/testing/fakes/virtual_disk.py
@@ -46,13 +46,13 @@
         self.sync_seconds = 0.005
         self.stalled = False
         self.full = False
-        self.life = virtual_time.Life()
+        self.process = virtual_time.VirtualProcess()
         self.writes: dict[int, list[Write]] = collections.defaultdict(list)
         self.names: dict[pathlib.Path, dict[str, int]] = {}
         self.shadow = folder.with_name(f"{folder.name}.shadow")
 
     def write(self, descriptor: int, data: bytes) -> None:
-        self.life.check()
+        self.process.check()
         if self.full:
             raise OSError(28, "injected")
         found = os.fstat(descriptor)
@@ -65,9 +65,9 @@
 
     def sync_directory(self, path: pathlib.Path) -> None:
         self._wait()
-        self.keep_names(path)
+        self.sync_names(path)
 
-    def keep_names(self, path: pathlib.Path) -> None:
+    def sync_names(self, path: pathlib.Path) -> None:
         """Makes the names that a directory holds now durable."""
         self.shadow.mkdir(exist_ok=True)
         found = {}
@@ -109,7 +109,7 @@
             self._lose_names(self.folder)
         for path in list(self.names):
             if path.exists():
-                self.keep_names(path)
+                self.sync_names(path)
             else:
                 del self.names[path]
 
@@ -148,25 +148,25 @@
                 return data
 
     def _wait(self) -> None:
-        self.life.check()
+        self.process.check()
         eventlet.sleep(self.rng.uniform(0.5, 1.5) * self.sync_seconds)
-        while self.stalled and not self.life.dead:
+        while self.stalled and not self.process.dead:
             eventlet.sleep(0.02)
-        self.life.check()
+        self.process.check()
 
 
-class VirtualWorker:
+class VirtualDiskWorker:
     """The disk's thread, as a green thread of its own."""
 
-    def __init__(self, life: virtual_time.Life) -> None:
-        self.life = life
+    def __init__(self, process: virtual_time.VirtualProcess) -> None:
+        self.process = process
         self.jobs: collections.deque[Any] = collections.deque()
         self.more = eventlet.Event()
         self.closed = False
         eventlet.spawn(self._work_forever)
 
     def run(self, function: Any, *args: Any) -> Any:
-        self.life.check()
+        self.process.check()
         if self.closed:
             return function(*args)
         ended = eventlet.Event()
@@ -174,7 +174,7 @@
         if not self.more.ready():
             self.more.send()
         value, failed = ended.wait()
-        self.life.check()
+        self.process.check()
         if failed:
             raise value
         return value
@@ -193,7 +193,7 @@
         while True:
             while self.jobs:
                 self._work(self.jobs.popleft())
-            if self.closed or self.life.dead:
+            if self.closed or self.process.dead:
                 return
             self.more = eventlet.Event()
             self.more.wait()
--- a/testing/fakes/virtual_net.py
+++ b/testing/fakes/virtual_net.py
@@ -62,7 +62,7 @@
         for connection in list(self.connections):
             ends = (connection.sides[0].address, connection.sides[1].address)
             if address in ends and self.rng.random() < share:
-                connection.lose()
+                connection.abort()
 
     def _watch(self) -> None:
         """Loses connections over which nothing came for too long."""
@@ -97,8 +97,8 @@
         """Tells whether what this side sent can't be taken now."""
         source, target = self.sides[side], self.sides[1 - side]
         return (
-            target.life.frozen
-            or target.life.dead
+            target.process.suspended
+            or target.process.dead
             or not self.network.passes(source.address, target.address)
         )
 
@@ -128,9 +128,9 @@
         well = not self.blocked(0) and not self.blocked(1)
         self.silent = 0.0 if well else self.silent + step
         if self.silent > SILENCE:
-            self.lose()
+            self.abort()
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         if self.lost:
             return
         self.lost = True
@@ -147,7 +147,7 @@
         self.connection = connection
         self.side = side
         self.peer = connection.sides[1 - side].address
-        self.life = connection.sides[side].life
+        self.process = connection.sides[side].process
         self.other: VirtualExchange | None = None
         self.inbox: collections.deque[Any] = collections.deque()
         self.closed = False
@@ -155,12 +155,12 @@
         connection.exchanges[self] = None
 
     def send(self, message: Any) -> None:
-        self.life.check()
+        self.process.check()
         if not self.try_send(message):
             raise errors.StreamClosed(f"The exchange with {self.peer} closed.")
 
     def try_send(self, message: Any) -> bool:
-        if self.closed or self.life.dead:
+        if self.closed or self.process.dead:
             return False
         body = codec.encode(message)
         other = self.other
@@ -186,8 +186,8 @@
                 if left <= 0:
                     raise errors.StreamTimeout("No message came.")
             self.arrived.wait(left)
-            self.life.check()
-        self.life.check()
+            self.process.check()
+        self.process.check()
         message = self.inbox.popleft()
         if isinstance(message, errors.Failure):
             raise errors.from_failure(message)
@@ -196,7 +196,7 @@
     def close(self) -> None:
         if not self.closed:
             self.end()
-            if not self.life.dead:
+            if not self.process.dead:
                 self.connection.transmit(self.side, self.other.end)
 
     def end(self) -> None:
@@ -209,11 +209,14 @@
     """`ports.streams.Streams` of one life of a process."""
 
     def __init__(
-        self, network: Network, address: str, life: virtual_time.Life
+        self,
+        network: Network,
+        address: str,
+        process: virtual_time.VirtualProcess,
     ) -> None:
         self.network = network
         self.address = address
-        self.life = life
+        self.process = process
         self.handlers: dict[type, stream_ports.Handler] = {}
         self.dialled: dict[str, Connection] = {}
         network.listening[address] = self
@@ -222,7 +225,7 @@
         self.handlers[kind] = handler
 
     def open(self, address: str, message: Any) -> VirtualExchange:
-        self.life.check()
+        self.process.check()
         connection = self.dialled.get(address)
         if connection is None:
             connection = self._dial(address)
@@ -244,24 +247,24 @@
     def serve(self, exchange: VirtualExchange, message: Any) -> None:
         eventlet.spawn(self._serve, exchange, message)
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         """Resets every connection, as the end of a process does."""
         for connection in list(self.network.connections):
             if self in connection.sides:
-                connection.lose()
+                connection.abort()
 
     def stop(self) -> None:
-        self.lose()
+        self.abort()
 
     def _dial(self, address: str) -> Connection:
         waited = 0.0
         while waited < 2.0:
             eventlet.sleep(2 * self.network.delay)
-            self.life.check()
+            self.process.check()
             target = self.network.listening.get(address)
             reached = self.network.passes(self.address, address)
-            if target is not None and reached and not target.life.frozen:
-                if target.life.dead:
+            if target is not None and reached and not target.process.suspended:
+                if target.process.dead:
                     break
                 found = self.dialled.get(address)
                 if found is None:
@@ -275,7 +278,7 @@
         )
 
     def _serve(self, exchange: VirtualExchange, message: Any) -> None:
-        self.life.check()
+        self.process.check()
         handler = self.handlers.get(type(message))
         try:
             if handler is None:
--- a/testing/fakes/virtual_time.py
+++ b/testing/fakes/virtual_time.py
@@ -82,33 +82,33 @@
     return value
 
 
-class Life:
+class VirtualProcess:
     """One life of a process: whether it runs, stands still or is over."""
 
     def __init__(self, rng: random.Random | None = None) -> None:
         self.rng = rng
         self.dead = False
-        self.frozen = False
-        self.thawed = eventlet.Event()
+        self.suspended = False
+        self.resumed = eventlet.Event()
 
-    def freeze(self) -> None:
-        if not self.frozen:
-            self.frozen = True
-            self.thawed = eventlet.Event()
+    def suspend(self) -> None:
+        if not self.suspended:
+            self.suspended = True
+            self.resumed = eventlet.Event()
 
-    def thaw(self) -> None:
-        if self.frozen:
-            self.frozen = False
-            self.thawed.send()
+    def resume(self) -> None:
+        if self.suspended:
+            self.suspended = False
+            self.resumed.send()
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.dead = True
-        self.thaw()
+        self.resume()
 
     def check(self) -> None:
         """Goes on when the process does; never, once it is over."""
-        while self.frozen and not self.dead:
-            self.thawed.wait()
+        while self.suspended and not self.dead:
+            self.resumed.wait()
             if self.rng is not None:
                 # What runs first after a stop is left to chance.
                 eventlet.sleep(self.rng.uniform(0.0, 0.002))
@@ -116,7 +116,7 @@
             raise greenlet.GreenletExit
 
 
-class LifeTimers(timers.EventletTimers):
+class ProcessTimers(timers.EventletTimers):
     """The timers of one life of a process.
 
     Attributes:
@@ -124,8 +124,10 @@
             between two turns of one.
     """
 
-    def __init__(self, life: Life, rng: random.Random, skew: float) -> None:
-        self.life = life
+    def __init__(
+        self, process: VirtualProcess, rng: random.Random, skew: float
+    ) -> None:
+        self.process = process
         self.rng = rng
         self.skew = skew
         self.busy = 0.0
@@ -137,14 +139,14 @@
         return self.now() + self.skew
 
     def sleep(self, seconds: float) -> None:
-        self.life.check()
+        self.process.check()
         held = self.rng.random() * self.busy if self.busy else 0.0
         eventlet.sleep(seconds + held)
-        self.life.check()
+        self.process.check()
 
     def spawn(self, function: Callable[..., None], *args: object) -> None:
         def body() -> None:
-            self.life.check()
+            self.process.check()
             function(*args)
 
         super().spawn(body)
@@ -153,7 +155,7 @@
         self, seconds: float, callback: Callable[[], None]
     ) -> timers.EventletSubscription:
         def body() -> None:
-            self.life.check()
+            self.process.check()
             callback()
 
         return super().after(seconds, body)
--- a/testing/test_driver.py
+++ b/testing/test_driver.py
@@ -83,9 +83,9 @@
         disk: virtual_disk.VirtualDisk | None = None,
     ) -> None:
         rng = random.Random(1)
-        self.life = life = virtual_time.Life()
+        self.process = process = virtual_time.VirtualProcess()
         self.disk = disk or virtual_disk.VirtualDisk(folder, rng)
-        self.disk.life = life
+        self.disk.process = process
         self.journal = Journal()
         self.told: list[Any] = []
         self.links = NoLinks()
@@ -96,11 +96,11 @@
             wal.FileWal(folder / "log", self.disk),
             {"g": self.journal},
             links=self.links,
-            timers=virtual_time.LifeTimers(life, rng, 0.0),
+            timers=virtual_time.ProcessTimers(process, rng, 0.0),
             options=replication_driver.Options(
                 core=types.Settings(founder=False), seed=1
             ),
-            worker=virtual_disk.VirtualWorker(life),
+            worker=virtual_disk.VirtualDiskWorker(process),
             events=self,
         )
 
@@ -113,7 +113,7 @@
         eventlet.sleep(0.001)
 
     def lose_power(self) -> None:
-        self.life.end()
+        self.process.kill()
         fcntl.flock(self.driver.wal.lock, fcntl.LOCK_UN)
         self.disk.lose_power(content_only=True)
 
@@ -153,7 +153,7 @@
         Its own first entry is committed and its lease holds, all told in one
         frame; what that commits waits for the loop's next turn.
         """
-        life = virtual_time.Life()
+        process = virtual_time.VirtualProcess()
         rng = random.Random(1)
         disk = virtual_disk.VirtualDisk(self.folder, rng)
         log = replication.GroupLog(
@@ -163,11 +163,11 @@
             wal.FileWal(self.folder / "log", disk),
             ["g"],
             streams=Nowhere(),
-            timers=virtual_time.LifeTimers(life, rng, 0.0),
+            timers=virtual_time.ProcessTimers(process, rng, 0.0),
             options=replication.Options(
                 core=types.Settings(founder=False), seed=1
             ),
-            worker=virtual_disk.VirtualWorker(life),
+            worker=virtual_disk.VirtualDiskWorker(process),
         )
         self.journal = Journal()
         log.attach("g", self.journal)
--- a/testing/test_event_log.py
+++ b/testing/test_event_log.py
@@ -12,7 +12,7 @@
 
 # The budget is not refilled during a test, so the speed of the machine does
 # not matter.
-SMALL = event_log.Budget(lines=1e-6, burst=20.0, waiting=50)
+SMALL = event_log.Budget(lines_per_second=1e-6, burst=20.0, queue_size=50)
 
 
 def refused(number: int) -> events.CallRefused:
@@ -84,7 +84,7 @@
         log = event_log.EventLog("e1", SMALL, sink)
         for number in range(100):
             log.emit(refused(number))
-        log.room = SMALL.burst
+        log.tokens = SMALL.burst
         log.emit(refused(100))
         lines = self.written(sink, log)
         (report,) = [one for one in lines if one["event"] == "lines_dropped"]
@@ -112,7 +112,7 @@
         for number in range(5000):
             log.emit(refused(number))
         self.assertTrue(time.monotonic() - began < 20.0)
-        self.assertTrue(len(log.waiting) <= SMALL.waiting)
+        self.assertTrue(len(log.queue) <= SMALL.queue_size)
         sink.go = True
         lines = self.written(sink, log)
         shown = [one for one in lines if one["event"] == "call_refused"]
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -71,7 +71,7 @@
 
 
 LIMITS = streams_connection.Limits(
-    message=4096, window=1024, queued=8192, heartbeat=0.02, silence=0.2
+    message=4096, window=1024, queued=8192, heartbeat=0.02, silence_timeout=0.2
 )
 
 
@@ -194,7 +194,7 @@
         )
         self.client.ask(server.address, config_messages.Ping(), 5.0)
         before = self.client.dialled[server.address]
-        eventlet.sleep(2 * LIMITS.silence)
+        eventlet.sleep(2 * LIMITS.silence_timeout)
         self.assertIs(before, self.client.dialled.get(server.address))
 
     def test_dial_that_hangs_does_not_hold_up_other_addresses(self) -> None:
@@ -237,7 +237,7 @@
     def setUp(self) -> None:
         super().setUp()
         # Silence must not be what closes the connection here.
-        limits = LIMITS._replace(silence=60.0)
+        limits = LIMITS._replace(silence_timeout=60.0)
         self.server = streams.TcpStreams("127.0.0.1:0", limits)
         self.addCleanup(self.server.stop)
         self.server.handle(
--- a/testing/test_streams_flow.py
+++ b/testing/test_streams_flow.py
@@ -55,10 +55,10 @@
         for _ in range(5):
             exchange.send(frame)
         for _ in range(100):
-            if server.held_bytes()["untaken_bytes"] > 50_000:
+            if server.buffer_usage()["untaken_bytes"] > 50_000:
                 break
             eventlet.sleep(0.01)
-        held = server.held_bytes()
+        held = server.buffer_usage()
         self.assertTrue(50_000 < held["untaken_bytes"] < 51_000, held)
         self.assertEqual(1, held["exchanges"])
 
@@ -80,7 +80,7 @@
             lambda exchange, _: exchange.send(identities.Done()),
         )
         client.ask(server.address, config_messages.Ping(), 2.0)
-        client.dialled[server.address].lose()
+        client.dialled[server.address].abort()
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -177,7 +177,7 @@
         moved = self.folder.parent / (self.folder.name + "-moved")
         shutil.copytree(self.folder, moved)
         self.addCleanup(shutil.rmtree, moved)
-        log = wal.FileWal(moved, tells_copies=False)
+        log = wal.FileWal(moved, detect_copies=False)
         found = log.open(NODE._replace(epoch=9))
         self.addCleanup(log.close)
         self.assertEqual([b"kept"], list(found.records))
--- a/testing/test_wal_power.py
+++ b/testing/test_wal_power.py
@@ -17,7 +17,7 @@
 from testing.fakes import virtual_time
 import testtools
 
-from mintcleat.adapters import tokens
+from mintcleat.adapters import admin_token
 from mintcleat.adapters import wal
 from mintcleat.domain import identities
 
@@ -36,20 +36,20 @@
         self.folder = folder / "data"
         self.folder.mkdir()
         self.disk = virtual_disk.VirtualDisk(self.folder, self.rng)
-        self.disk.keep_names(self.folder)
+        self.disk.sync_names(self.folder)
         self.acknowledged = 0
         self.story: list[str] = []
 
     def live(self) -> None:
         """Runs one life and ends it at a moment of its own."""
-        life = virtual_time.Life()
-        self.disk.life = life
+        process = virtual_time.VirtualProcess()
+        self.disk.process = process
         log = wal.FileWal(
-            self.folder / "log", self.disk, SEGMENT, tells_copies=False
+            self.folder / "log", self.disk, SEGMENT, detect_copies=False
         )
         thread = eventlet.spawn(self._work, log)
         eventlet.sleep(self.rng.choice((0.01, 0.05, 0.3)) * self.rng.random())
-        life.end()
+        process.kill()
         eventlet.sleep(0.1)
         if log.lock >= 0:
             fcntl.flock(log.lock, fcntl.LOCK_UN)
@@ -123,10 +123,10 @@
                 folder = self.folder / str(seed)
                 folder.mkdir()
                 disk = virtual_disk.VirtualDisk(folder, random.Random(seed))
-                disk.keep_names(folder)
-                made = tokens.load_or_make(folder, disk)
+                disk.sync_names(folder)
+                made = admin_token.load_or_create(folder, disk)
                 disk.lose_power()
-                again = tokens.load_or_make(folder, disk)
+                again = admin_token.load_or_create(folder, disk)
                 found.add("same" if again == made else "other")
                 assert again, "an empty token"
             return found
