--- a/src/mintcleat/adapters/http1_client.py
+++ b/src/mintcleat/adapters/http1_client.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 to upstreams, on h11 and eventlet: one request a connection.
+"""An HTTP/1.1 client for upstreams, on h11 and eventlet.
 
-urllib3 reads no answer before the whole body is sent, joins an answer to the
-next request on its connection whatever it answers, and does not tell a body
-that a reset cut short from one that ended with its connection. Upstreams do
-all three, so the exchange is made here, with h11 for parsing and framing.
+urllib3 is not used here, because it does not read a response before the
+request body is sent, because it cannot skip a repeated response to an earlier
+request on the connection, and because it does not distinguish a body cut off
+by a reset from one that ends with its connection. Upstreams do all three.
 """
 
 import contextlib
@@ -18,30 +18,31 @@
 from mintcleat.adapters import streams
 from mintcleat.domain import errors
 
-_BLOCK = 64 * 1024
-# A connection takes one round trip; an upstream that is gone answers never.
+_READ_BYTES = 64 * 1024
+# Connecting takes one round trip; an upstream that is down may never answer.
 CONNECT_SECONDS = 0.5
-# Sent bytes that are not acknowledged for so long, or probes of a silent
-# peer: an upstream that lost its power never closes a connection.
+# Unacknowledged data and keepalive probes detect an upstream that lost power,
+# which never closes its connections.
 _USER_TIMEOUT_MS = 1500
-_PROBE_SECONDS = 1
-_PROBES = 2
-# Larger bodies are sent beside the reading: an upstream may answer before it
-# has read them, and read on later.
-_INLINE_BODY = 16 * 1024
-# Idle connections that are kept for one upstream.
+_KEEPALIVE_SECONDS = 1
+_KEEPALIVE_PROBES = 2
+# Larger requests are sent concurrently with reading, because an upstream may
+# respond before it has read the whole body.
+_INLINE_REQUEST_BYTES = 16 * 1024
+# Maximum number of idle connections of one upstream.
 _MAX_IDLE = 64
-# Without a word of the upstream, an idle connection is kept for so long.
+# Idle timeout if the upstream does not announce one.
 _IDLE_SECONDS = 4.0
-# A request must not meet the upstream's own closing of an idle connection.
-_IDLE_MARGIN = 0.5
+# Keeps a request from being sent while the upstream closes the idle connection.
+_IDLE_MARGIN_SECONDS = 0.5
 
 
 class Connection:
-    """One connection to an upstream; all failures are typed errors.
+    """One connection to an upstream; failures raise `domain.errors`.
 
     Attributes:
-        usable_until: Clock until which it may be used again.
+        usable_until: Monotonic time until which the connection may be
+            reused.
     """
 
     def __init__(self, address: str) -> None:
@@ -55,15 +56,15 @@
                 self.sock = eventlet.connect(streams.split_address(address))
         except (OSError, TimeoutError) as error:
             raise errors.NoUpstream(
-                f"{address} cannot be reached: {error}."
+                f"{address} is unreachable: {error}."
             ) from None
         options = (
             (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_SECONDS),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_SECONDS),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_SECONDS),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_SECONDS),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
         )
         for option in options:
             with contextlib.suppress(OSError):
@@ -76,10 +77,11 @@
         headers: list[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Sends a request; a large body goes on while the answer is read.
+        """Sends a request; a large one is sent in the background.
 
         Raises:
-            errors.StreamClosed: Part of it may have been delivered.
+            errors.StreamClosed: The connection is lost; part of the request
+                may have been delivered.
         """
         if body or method in ("POST", "PUT", "PATCH"):
             headers = [*headers, ("content-length", str(len(body)))]
@@ -91,44 +93,46 @@
         if body:
             data += self.http.send(h11.Data(data=body))
         data += self.http.send(h11.EndOfMessage())
-        if len(data) > _INLINE_BODY:
-            self.sender = eventlet.spawn(self._send_beside, data)
+        if len(data) > _INLINE_REQUEST_BYTES:
+            self.sender = eventlet.spawn(self._send_in_background, data)
             return
         try:
             self.sock.sendall(data)
         except OSError as error:
-            raise self._broken(error) from None
+            raise self._connection_lost(error) from None
 
     def read_head(self) -> h11.Response:
-        """Returns the head of the answer; interim answers are skipped."""
+        """Returns the head of the response; skips informational responses."""
         while True:
-            event = self._next()
+            event = self._next_event()
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise self._broken("no answer came")
+                raise self._connection_lost("no response was received")
 
     def read_data(self) -> bytes | None:
-        """Returns the next piece of the body; None at its whole end."""
+        """Returns the next chunk of the body; None at its proper end."""
         while True:
-            event = self._next()
+            event = self._next_event()
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage):
                 return None
-            raise self._broken("the answer is cut short")
+            raise self._connection_lost("the response is incomplete")
 
     def skip_response(self) -> None:
-        """Reads the answer at hand to its end, and waits for the next one.
+        """Reads the current response to its end and prepares for the next.
 
-        An upstream may answer an earlier request once more; the answer to
-        the request at hand comes behind it.
+        An upstream may repeat the response to an earlier request; the response
+        to the current request follows it.
         """
         while self.read_data() is not None:
             pass
         rest, closed = self.http.trailing_data
         if closed or self.http.their_state is not h11.DONE:
-            raise self._broken("the answer to another request was its last")
+            raise self._connection_lost(
+                "it closed after the response to another request"
+            )
         self.http = h11.Connection(h11.CLIENT)
         self.http.send(self.request)
         if self.body:
@@ -138,11 +142,14 @@
             self.http.receive_data(rest)
 
     def prepare_reuse(self, keep_alive: float) -> bool:
-        """Readies the connection for another request; False to close it.
+        """Prepares the connection for another request.
 
         Args:
-            keep_alive: Seconds for which the upstream keeps it; 0 when it
-                did not say.
+            keep_alive: The upstream's idle timeout in seconds; 0 if it did
+                not announce one.
+
+        Returns:
+            Whether the connection can be reused; if not, it must be closed.
         """
         sent = self.sender is None or bool(self.sender.dead)
         done = (
@@ -154,14 +161,14 @@
             return False
         self.sender = None
         self.http.start_next_cycle()
-        seconds = (keep_alive or _IDLE_SECONDS) - _IDLE_MARGIN
+        seconds = (keep_alive or _IDLE_SECONDS) - _IDLE_MARGIN_SECONDS
         self.usable_until = time.monotonic() + seconds
         return seconds > 0
 
-    def quiet(self) -> bool:
-        """Tells whether an idle connection may carry a request.
+    def is_usable(self) -> bool:
+        """Returns whether an idle connection can carry a request.
 
-        Bytes that nobody asked for, or an end, make it unusable.
+        It cannot if it received unsolicited bytes or was closed.
         """
         if self.closed or time.monotonic() > self.usable_until:
             return False
@@ -174,7 +181,7 @@
         return False
 
     def close(self) -> None:
-        """Closes the socket; the upstream drops what it was at."""
+        """Closes the connection; the upstream then cancels the request."""
         if self.closed:
             return
         self.closed = True
@@ -184,7 +191,7 @@
             self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
 
-    def _next(self) -> Any:
+    def _next_event(self) -> Any:
         try:
             while True:
                 event = self.http.next_event()
@@ -192,67 +199,69 @@
                     return event
                 self.http.receive_data(_receive(self.sock))
         except (OSError, EOFError, h11.ProtocolError) as error:
-            raise self._broken(error) from None
+            raise self._connection_lost(error) from None
 
-    def _send_beside(self, data: bytes) -> None:
-        # A failure shows in the answer, or in that none comes.
+    def _send_in_background(self, data: bytes) -> None:
+        # A failure to send shows as a failure to read the response.
         with contextlib.suppress(OSError):
             self.sock.sendall(data)
 
-    def _broken(self, reason: object) -> errors.StreamClosed:
-        return errors.StreamClosed(f"{self.address} broke off: {reason}.")
+    def _connection_lost(self, reason: object) -> errors.StreamClosed:
+        return errors.StreamClosed(
+            f"The connection to {self.address} was lost: {reason}."
+        )
 
 
 def _receive(sock: Any) -> bytes:
-    """Returns what has come, or nothing at the peer's orderly end.
+    """Returns received bytes, or none if the peer closed the connection.
 
-    eventlet's own `recv` returns nothing after a reset too. A body without a
-    length that a reset cut short would then pass for a whole one.
+    Unlike eventlet's `recv`, it raises an error after a reset. Otherwise a
+    body without a length that a reset cut off would look complete.
     """
     while True:
         try:
-            return sock.fd.recv(_BLOCK)
+            return sock.fd.recv(_READ_BYTES)
         except BlockingIOError:
             hubs.trampoline(sock.fileno(), read=True)
 
 
 class Pool:
-    """Idle connections by upstream, the last used first."""
+    """Idle connections by upstream; the last used is reused first."""
 
     def __init__(self) -> None:
         self.idle: dict[str, list[Connection]] = {}
 
     def acquire(self, upstream: str, address: str) -> Connection:
-        """Returns a quiet connection, or a new one.
+        """Returns a usable idle connection, or a new one.
 
         Raises:
-            errors.NoUpstream: It cannot be reached.
+            errors.NoUpstream: The upstream is unreachable.
         """
-        held = self.idle.get(upstream, [])
-        while held:
-            connection = held.pop()
-            if connection.quiet():
+        connections = self.idle.get(upstream, [])
+        while connections:
+            connection = connections.pop()
+            if connection.is_usable():
                 return connection
             connection.close()
         return Connection(address)
 
     def release(self, upstream: str, connection: Connection) -> None:
-        """Takes a connection back."""
-        held = self.idle.setdefault(upstream, [])
-        if len(held) >= _MAX_IDLE:
+        """Returns a connection to the pool; closes it if the pool is full."""
+        connections = self.idle.setdefault(upstream, [])
+        if len(connections) >= _MAX_IDLE:
             connection.close()
             return
-        held.append(connection)
+        connections.append(connection)
 
     def discard(self, upstream: str) -> None:
-        """Closes the idle connections of an upstream that is gone."""
+        """Closes an upstream's idle connections."""
         for connection in self.idle.pop(upstream, []):
             connection.close()
 
     def close_stale(self) -> None:
-        """Closes connections that can't be used any more."""
-        for held in self.idle.values():
-            for connection in list(held):
-                if not connection.quiet():
-                    held.remove(connection)
+        """Closes idle connections that are not usable any more."""
+        for connections in self.idle.values():
+            for connection in list(connections):
+                if not connection.is_usable():
+                    connections.remove(connection)
                     connection.close()
--- a/src/mintcleat/adapters/http1_server.py
+++ b/src/mintcleat/adapters/http1_server.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 server for requests that are passed on, on h11 and eventlet.
+"""An HTTP/1.1 server for forwarded requests, on h11 and eventlet.
 
-eventlet's WSGI server can't tell that a caller has left while an answer is
-being made, can't break an answer off, and hides header fields; the entry
-needs all three. h11 does the parsing and the framing.
+eventlet's WSGI server cannot detect that a caller disconnects before its
+response is complete, cannot abort a response and does not expose all header
+fields; the entry needs all three.
 """
 
 from collections.abc import Callable
@@ -21,22 +21,27 @@
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 
-_BLOCK = 64 * 1024
-_CLOSING = ("connection", "close")
-# A caller that takes nothing for so long keeps its answer's memory for good.
-_WRITE_SECONDS = 20.0
+_READ_BYTES = 64 * 1024
+_CONNECTION_CLOSE = ("connection", "close")
+# Bounds how long a caller that does not read holds the memory of its response.
+_WRITE_TIMEOUT_SECONDS = 20.0
 
 
-class CallerLeft(BaseException):
-    """The caller closed its connection while its request was under way.
+class CallerDisconnected(BaseException):
+    """The caller closed its connection before its request was answered.
 
-    Not an Exception, so that no handler on the way takes it for a failure of
-    what it asked and goes on.
+    Not an Exception, so that no `except Exception` clause of a handler mistakes
+    it for a failed call and continues.
     """
 
 
 class Request(NamedTuple):
-    """A request as it came; header names in lower case."""
+    """A received request.
+
+    Attributes:
+        headers: Names in lower case, and values.
+        peer: `IP:PORT` of the caller.
+    """
 
     method: str
     target: str
@@ -45,7 +50,7 @@
     peer: str
 
     def header(self, name: str) -> str:
-        """Returns the first value of a header, or an empty text."""
+        """Returns the first value of a header, or an empty string."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -53,11 +58,11 @@
 
 
 class Reply:
-    """The answer to one request.
+    """The response to one request.
 
     Attributes:
-        started: Whether its head was sent.
-        ended: Whether it was sent whole.
+        started: Whether the head has been sent.
+        ended: Whether the whole response has been sent.
     """
 
     def __init__(self, connection: "_Connection") -> None:
@@ -72,7 +77,7 @@
         body: bytes,
         reason: str = "",
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response."""
         length = ("content-length", str(len(body)))
         self.start(status, [*headers, length], reason, body)
         self.end()
@@ -84,16 +89,16 @@
         reason: str = "",
         body: bytes = b"",
     ) -> None:
-        """Sends the head; without a length among them the body is chunked."""
+        """Sends the head; without a Content-Length the body is chunked."""
         self.started = True
         self.connection.start(status, headers, reason, body)
 
     def write(self, data: bytes) -> None:
-        """Sends a piece of the body at once."""
+        """Sends a part of the body at once."""
         self.connection.write(data)
 
     def end(self) -> None:
-        """Ends the answer."""
+        """Ends the response."""
         self.connection.end()
         self.ended = True
 
@@ -102,12 +107,13 @@
 
 
 class HttpListener:
-    """Serves one address.
+    """An HTTP server on one address.
 
     Attributes:
-        address: `IP:PORT` that it listens on.
-        active: Requests that were read and are not answered yet.
-        keeps: Asked at each answer: whether its connection stays open.
+        address: `IP:PORT` that the server listens on.
+        active: Number of requests that are being handled.
+        keep_alive: Called for each response; returns whether its connection
+            stays open.
     """
 
     def __init__(
@@ -115,13 +121,13 @@
         listen: str,
         handler: Handler,
         limits: Callable[[], manifest.Limits] = manifest.Limits,
-        keeps: Callable[[], bool] = lambda: True,
+        keep_alive: Callable[[], bool] = lambda: True,
     ) -> None:
         self.handler = handler
         self.limits = limits
-        self.keeps = keeps
-        # Seconds pass before a caller tries again to open a connection that
-        # found the queue full.
+        self.keep_alive = keep_alive
+        # If the backlog is full, a caller retransmits its connection request
+        # only after seconds.
         self.listener = eventlet.listen(
             streams.split_address(listen), backlog=2048
         )
@@ -133,25 +139,29 @@
         self.acceptor = eventlet.spawn(self._accept_forever)
 
     def close_idle(self) -> None:
-        """Stops accepting, and closes the connections without a request."""
+        """Stops accepting connections and closes those that are idle."""
         self.acceptor.kill()
         self.listener.close()
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def stop(self) -> None:
-        """Closes everything."""
+        """Stops accepting connections and closes all."""
         self.close_idle()
         for connection in list(self.connections):
-            connection.hang_up()
+            connection.shut_down()
 
     def _accept_forever(self) -> None:
         while True:
             try:
                 sock, peer = self.listener.accept()
             except OSError as error:
-                # Out of descriptors, or the caller left before the accept.
-                logger.warning("accept on {}: {}", self.address, error)
+                # Out of file descriptors, or the caller closed before accept.
+                logger.warning(
+                    "Accepting a connection on {} failed: {}",
+                    self.address,
+                    error,
+                )
                 eventlet.sleep(0.05)
                 continue
             connection = _Connection(self, sock, f"{peer[0]}:{peer[1]}")
@@ -160,7 +170,7 @@
 
 
 class _Connection:
-    """One caller's connection; one request at a time."""
+    """A caller's connection, which carries one request at a time."""
 
     def __init__(self, listener: HttpListener, sock: Any, peer: str) -> None:
         self.listener = listener
@@ -175,21 +185,21 @@
         self.closed = False
 
     def serve(self) -> None:
-        """Answers requests until one side closes."""
+        """Handles requests until one side closes the connection."""
         try:
-            while self._serve_one():
+            while self._serve_request():
                 self.http.start_next_cycle()
         except (OSError, h11.ProtocolError, EOFError, TimeoutError):
             return
-        except CallerLeft:
+        except CallerDisconnected:
             return
         except Exception:
-            logger.exception("A connection of {} failed.", self.peer)
+            logger.exception("The connection from {} failed.", self.peer)
         finally:
             self.close()
 
     def close(self) -> None:
-        """Closes the socket; safe to repeat."""
+        """Closes the socket; closing it again has no effect."""
         if self.closed:
             return
         self.closed = True
@@ -201,75 +211,73 @@
     def close_if_idle(self) -> None:
         """Closes the connection unless it carries a request.
 
-        Bytes that wait unread are a request that crosses the close: it is
+        Unread bytes belong to a request that was sent at the same time; it is
         read and answered first.
         """
         if not self.idle or self.http.trailing_data[0]:
             return
         with contextlib.suppress(OSError):
-            waiting = self.sock.fd.recv(
-                1, socket.MSG_PEEK | socket.MSG_DONTWAIT
-            )
-            if waiting:
+            unread = self.sock.fd.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            if unread:
                 return
-        self.hang_up()
+        self.shut_down()
 
-    def hang_up(self) -> None:
-        """Ends the connection; the thread that serves it closes the socket.
+    def shut_down(self) -> None:
+        """Ends the connection; the green thread serving it closes the socket.
 
-        Closed under a thread that waits on it, the descriptor's number goes
-        to the next connection while the hub still holds the old waiter.
+        If the socket were closed while that thread waits on it, its file
+        descriptor could be reused while the hub still has the old listener.
         """
         self.ended = True
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
-    def _serve_one(self) -> bool:
-        """Answers one request; tells whether another may follow."""
+    def _serve_request(self) -> bool:
+        """Handles one request; returns whether another may follow."""
         limits = self.listener.limits()
         self.idle = True
         try:
             request = self._read(limits)
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint, str(error))
+            self._send_error(error.error_status_hint, str(error))
             return False
         except errors.TooLarge as error:
-            self._refuse(error.status, error.detail)
+            self._send_error(error.status, error.detail)
             return False
         if request is None or self.ended:
-            # A request that came as the connection was closed has no way back
-            # for its answer, so it must not run.
+            # A request that arrived while the connection was being closed can
+            # no longer be answered, so it must not run.
             return False
         self.idle = False
         self.listener.active += 1
         try:
-            self._answer(request)
+            self._handle(request)
         finally:
             self.listener.active -= 1
         done = self.http.our_state is h11.DONE
         return done and self.http.their_state is h11.DONE
 
-    def _answer(self, request: Request) -> None:
+    def _handle(self, request: Request) -> None:
         reply = Reply(self)
         thread = eventlet.getcurrent()
-        watcher = eventlet.spawn(self._watch, thread)
+        watcher = eventlet.spawn(self._watch_caller, thread)
         try:
             self.listener.handler(request, reply)
         finally:
             watcher.kill()
 
-    def _watch(self, thread: Any) -> None:
-        """Ends the handler when the caller leaves; bytes end the watch."""
+    def _watch_caller(self, thread: Any) -> None:
+        """Kills the handler if the caller disconnects; ends if data comes."""
         try:
             hubs.trampoline(self.sock.fileno(), read=True)
             if self.sock.fd.recv(1, socket.MSG_PEEK):
                 return
         except OSError:
             pass
-        greenthread.kill(thread, CallerLeft())
+        greenthread.kill(thread, CallerDisconnected())
 
     def _read(self, limits: manifest.Limits) -> Request | None:
-        """Returns the next request; None when the caller is done."""
+        """Returns the next request, or None if the caller closed."""
         head = None
         body: list[bytes] = []
         size = 0
@@ -277,7 +285,7 @@
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 if self.http.they_are_waiting_for_100_continue:
-                    self._send(
+                    self._send_event(
                         h11.InformationalResponse(status_code=100, headers=[])
                     )
                 self._receive(limits, head is not None)
@@ -288,7 +296,7 @@
                 size += len(event.data)
                 if size > limits.body_bytes:
                     raise errors.TooLarge(
-                        f"A body of over {limits.body_bytes} bytes."
+                        f"The body exceeds {limits.body_bytes} bytes."
                     )
                 body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -296,11 +304,11 @@
             else:
                 return None
 
-    def _receive(self, limits: manifest.Limits, begun: bool) -> None:
-        begun = begun or bool(self.http.trailing_data[0])
-        seconds = limits.header_seconds if begun else limits.idle_seconds
+    def _receive(self, limits: manifest.Limits, started: bool) -> None:
+        started = started or bool(self.http.trailing_data[0])
+        seconds = limits.header_seconds if started else limits.idle_seconds
         with eventlet.Timeout(seconds, TimeoutError):
-            self.http.receive_data(self.sock.recv(_BLOCK))
+            self.http.receive_data(self.sock.recv(_READ_BYTES))
 
     def start(
         self,
@@ -309,45 +317,45 @@
         reason: str,
         body: bytes,
     ) -> None:
-        """Sends the head and what there is of the body in one write."""
-        if not self.listener.keeps():
-            headers = [*headers, _CLOSING]
+        """Sends the head and the first part of the body in one write."""
+        if not self.listener.keep_alive():
+            headers = [*headers, _CONNECTION_CLOSE]
         head = h11.Response(
             status_code=status, headers=headers, reason=reason.encode()
         )
         data = self.http.send(head)
         if body:
             data += self.http.send(h11.Data(data=body))
-        self._write(data)
+        self._send_bytes(data)
 
     def write(self, data: bytes) -> None:
-        """Sends a piece of the body."""
-        self._send(h11.Data(data=data))
+        """Sends a part of the body."""
+        self._send_event(h11.Data(data=data))
 
     def end(self) -> None:
-        """Ends the body."""
-        self._send(h11.EndOfMessage())
+        """Ends the response."""
+        self._send_event(h11.EndOfMessage())
 
-    def _send(self, event: Any) -> None:
+    def _send_event(self, event: Any) -> None:
         data = self.http.send(event)
         if data:
-            self._write(data)
+            self._send_bytes(data)
 
-    def _write(self, data: bytes) -> None:
+    def _send_bytes(self, data: bytes) -> None:
         with contextlib.suppress(BlockingIOError):
             data = data[self.sock.fd.send(data) :]
         if not data:
             return
-        with eventlet.Timeout(_WRITE_SECONDS, TimeoutError):
+        with eventlet.Timeout(_WRITE_TIMEOUT_SECONDS, TimeoutError):
             self.sock.sendall(data)
 
-    def _refuse(self, status: int, text: str) -> None:
-        """Answers what could not be read, and closes."""
+    def _send_error(self, status: int, text: str) -> None:
+        """Sends an error response to a request that could not be read."""
         body = (text + "\n").encode()
         headers = [
             ("content-type", "text/plain"),
             ("content-length", str(len(body))),
-            _CLOSING,
+            _CONNECTION_CLOSE,
         ]
         with contextlib.suppress(OSError, h11.ProtocolError, TimeoutError):
             self.start(status, headers, "", body)
--- a/src/mintcleat/adapters/streams.py
+++ b/src/mintcleat/adapters/streams.py
@@ -1,8 +1,8 @@
 """Multiplexed msgpack streams over TCP, on eventlet.
 
-One connection between two processes carries every exchange that one of them
-opened. Each exchange has its own credit, so a slow reader holds back its own
-sender and nobody else's.
+One connection between two processes carries all exchanges that one of them
+opened. Flow control is per exchange, so a slow reader blocks only its own
+sender.
 """
 
 import contextlib
@@ -28,13 +28,14 @@
 
 
 class TcpStreams:
-    """Dials and serves; see `ports.streams.Streams`.
+    """Implements `ports.streams.Streams` over TCP.
 
     Attributes:
         address: `IP:PORT` that this instance listens on.
-        dialled: Connections that this side opened, by address.
+        dialled: Connections that this process opened, by address.
         accepted: Connections that peers opened.
-        dials: Dials under way, by address.
+        pending_dials: Dials in progress, by address. The event is sent the
+            connection or the error.
     """
 
     def __init__(
@@ -47,10 +48,10 @@
         self.handlers: dict[type, streams.Handler] = {}
         self.dialled: dict[str, streams_connection.Connection] = {}
         self.accepted: set[streams_connection.Connection] = set()
-        self.dials: dict[str, event.Event] = {}
+        self.pending_dials: dict[str, event.Event] = {}
         self.stopped = False
         eventlet.spawn(self._accept_forever)
-        eventlet.spawn(self._beat_forever)
+        eventlet.spawn(self._heartbeat_forever)
 
     def open(
         self, address: str, message: Any
@@ -59,7 +60,7 @@
         return self._connection(address).open(message)
 
     def ask(self, address: str, message: Any, timeout: float) -> Any:
-        """Sends one message and returns the one reply."""
+        """Sends a message and returns the peer's first reply."""
         exchange = self.open(address, message)
         try:
             return exchange.receive(timeout)
@@ -67,7 +68,7 @@
             exchange.close()
 
     def handle(self, kind: type, handler: streams.Handler) -> None:
-        """Runs `handler` for each exchange that opens with `kind`."""
+        """Registers the handler of exchanges opened by a message type."""
         self.handlers[kind] = handler
 
     def serve(
@@ -78,13 +79,13 @@
         try:
             if handler is None:
                 raise errors.BadRequest(
-                    f"No handler here for {type(message).__name__}."
+                    f"This process has no handler for {type(message).__name__}."
                 )
             handler(exchange, message)
         except errors.MintcleatError as error:
             self._send_failure(exchange, error)
         except Exception:
-            logger.exception("A handler failed.")
+            logger.exception("The handler of an exchange failed.")
             self._send_failure(
                 exchange, errors.MintcleatError("A handler failed.")
             )
@@ -92,9 +93,9 @@
             exchange.close()
 
     def stop(self) -> None:
-        """Closes the listener and, once written out, every connection."""
+        """Closes the listener, and all connections once they are flushed."""
         self.stopped = True
-        # The accept loop closes it: see Connection._leave for why.
+        # The accept loop closes the socket; see Connection._thread_ended.
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         until = time.monotonic() + _FLUSH_SECONDS
@@ -103,7 +104,7 @@
             connection.abort()
 
     def buffer_usage(self) -> dict[str, int]:
-        """Returns the bytes that wait to be written, and to be taken."""
+        """Returns the bytes in send and receive buffers, for diagnostics."""
         connections = [*self.dialled.values(), *self.accepted]
         exchanges = [e for c in connections for e in c.exchanges.values()]
         return {
@@ -112,8 +113,8 @@
             "exchanges": len(exchanges),
         }
 
-    def drop(self, connection: streams_connection.Connection) -> None:
-        """Forgets a lost connection."""
+    def remove(self, connection: streams_connection.Connection) -> None:
+        """Removes a lost connection."""
         self.accepted.discard(connection)
         if self.dialled.get(connection.peer) is connection:
             del self.dialled[connection.peer]
@@ -129,17 +130,17 @@
             return
 
     def _connection(self, address: str) -> streams_connection.Connection:
-        """Returns the connection to an address; all callers share one dial.
+        """Returns the connection to an address; concurrent calls share a dial.
 
         Raises:
-            errors.StreamClosed: The address cannot be reached.
+            errors.StreamClosed: The address is unreachable.
         """
         found = self.dialled.get(address)
         if found is not None:
             return found
-        pending = self.dials.get(address)
+        pending = self.pending_dials.get(address)
         if pending is None:
-            pending = self.dials[address] = event.Event()
+            pending = self.pending_dials[address] = event.Event()
             eventlet.spawn(self._dial, address, pending)
         result = pending.wait()
         if isinstance(result, errors.MintcleatError):
@@ -156,10 +157,10 @@
             result: Any = connection
         except (OSError, TimeoutError, ValueError) as error:
             result = errors.StreamClosed(
-                f"{address} cannot be reached: {error}.",
+                f"{address} is unreachable: {error}.",
                 outcome=errors.NOT_RUN,
             )
-        del self.dials[address]
+        del self.pending_dials[address]
         pending.send(result)
 
     def _new_connection(
@@ -167,7 +168,7 @@
     ) -> streams_connection.Connection:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return streams_connection.Connection(
-            sock, peer, self.limits, self.serve, self.drop
+            sock, peer, self.limits, self.serve, self.remove
         )
 
     def _accept_forever(self) -> None:
@@ -183,7 +184,7 @@
             except OSError:
                 if self.stopped:
                     return
-                # Out of file descriptors, or the peer left before the accept.
+                # Out of file descriptors, or the peer closed before the accept.
                 eventlet.sleep(0.1)
                 continue
             if len(self.accepted) >= self.limits.connections:
@@ -194,7 +195,7 @@
             self.accepted.add(connection)
             connection.start()
 
-    def _beat_forever(self) -> None:
+    def _heartbeat_forever(self) -> None:
         period = self.limits.heartbeat / 2
         expected = time.monotonic() + period
         while not self.stopped:
@@ -204,7 +205,7 @@
             expected = now + period
             for connection in [*self.dialled.values(), *self.accepted]:
                 if late:
-                    # This process stood still; the peers' bytes wait unread,
-                    # and their silence would be our own fault.
-                    connection.heard = now
-                connection.beat(now)
+                    # This process was suspended, so data of the peers may be
+                    # unread; they must not be considered silent.
+                    connection.last_received = now
+                connection.check_heartbeat(now)
--- a/src/mintcleat/adapters/streams_connection.py
+++ b/src/mintcleat/adapters/streams_connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection of a stream and the exchanges on it."""
+"""One TCP connection between two processes, and the exchanges on it."""
 
 import collections
 from collections.abc import Callable
@@ -16,27 +16,27 @@
 from mintcleat.domain import codec
 from mintcleat.domain import errors
 
-_BLOCK = 256 * 1024
-# A lone frame is written at once; frames that follow one another faster than
-# this are gathered into one system call.
-_GATHER_SECONDS = 50e-6
-_BLOCKS_IN_A_ROW = 16
+_READ_BYTES = 256 * 1024
+# Frames that follow one another faster than this are coalesced into one system
+# call; a single frame is written at once.
+_COALESCE_SECONDS = 50e-6
+_BLOCKS_PER_TURN = 16
 
 
 class Limits(NamedTuple):
     """Limits of streams; sizes in bytes, times in seconds.
 
     Attributes:
-        message: Largest message that is sent or taken.
-        window: Bytes in flight on one exchange that its reader has not yet
-            taken. A message larger than what is left of it may still go.
-        queued: Bytes that wait for a connection's socket before senders
-            block.
-        exchanges: Exchanges that one peer may hold open.
-        connections: Connections that are accepted at once.
-        heartbeat: Longest time for which a connection is quiet.
-        silence_timeout: Time without a byte after which a peer counts as lost.
-        connect_timeout: Time within which a peer takes a new connection.
+        message: Maximum message size, sent or received.
+        window: Flow control window: bytes on one exchange that its reader has
+            not consumed. The last message may exceed it.
+        queued: Bytes in a connection's send queue from which senders block.
+        exchanges: Maximum number of open exchanges of one connection.
+        connections: Maximum number of accepted connections.
+        heartbeat: Time without sending after which a heartbeat is sent.
+        silence_timeout: Time without receiving a byte after which the
+            connection is closed.
+        connect_timeout: Time within which a connection must be established.
     """
 
     message: int = 64 * 1024 * 1024
@@ -50,31 +50,31 @@
 
 
 class Signal:
-    """Wakes every green thread that waits for a change."""
+    """Wakes all green threads that wait for a change."""
 
     def __init__(self) -> None:
         self.waiting: event.Event | None = None
 
     def wait(self, timeout: float | None = None) -> None:
-        """Waits for the next `send`, or until the time is over."""
+        """Waits for the next `send` or the timeout in seconds."""
         if self.waiting is None:
             self.waiting = event.Event()
         self.waiting.wait(timeout)
 
     def send(self) -> None:
-        """Wakes all."""
+        """Wakes all waiting green threads."""
         waiting, self.waiting = self.waiting, None
         if waiting is not None:
             waiting.send()
 
 
 class TcpExchange:
-    """One exchange on a connection; see `ports.streams.Exchange`.
+    """Implements `ports.streams.Exchange` on a connection.
 
     Attributes:
-        credit: Bytes that may still be sent.
-        unread: Bytes that came and were not yet taken by `receive`.
-        taken: Bytes taken since the peer last got credit.
+        credit: Bytes that may be sent before the peer grants more.
+        unread: Bytes received that `receive` has not yet returned.
+        consumed: Bytes consumed since credit was last granted to the peer.
     """
 
     def __init__(self, connection: "Connection", number: int) -> None:
@@ -85,102 +85,110 @@
         self.closed = False
         self.credit = connection.limits.window
         self.unread = 0
-        self.taken = 0
+        self.consumed = 0
         self.arrived = Signal()
         self.credited = Signal()
 
     def send(self, message: Any) -> None:
-        """Sends a message; waits while the peer gives no credit."""
+        """Sends a message; blocks while there is no credit."""
         body = self.connection.encode(message)
         while self.credit <= 0 and not self.closed:
             self.credited.wait()
         if self.closed:
-            raise errors.StreamClosed(f"The exchange with {self.peer} closed.")
+            raise errors.StreamClosed(
+                f"The exchange with {self.peer} is closed."
+            )
         self.credit -= len(body)
         self.connection.write(self.number, streams_frames.DATA, body)
 
     def try_send(self, message: Any) -> bool:
-        """Sends a message if that needs no waiting; tells whether it did."""
+        """Sends a message unless that would block; returns whether it did."""
         body = self.connection.encode(message)
         if self.closed or self.credit <= 0 or self.connection.is_full():
             return False
         self.credit -= len(body)
         frame = streams_frames.pack(self.number, streams_frames.DATA, body)
-        self.connection.push(frame)
+        self.connection.enqueue(frame)
         return True
 
     def receive(self, timeout: float | None = None) -> Any:
-        """Returns the next message; a Failure is raised as its error."""
+        """Returns the next message; raises the error if it is a Failure."""
         until = None if timeout is None else time.monotonic() + timeout
         while not self.inbox:
             if self.closed:
                 raise errors.StreamClosed(
-                    f"The exchange with {self.peer} closed."
+                    f"The exchange with {self.peer} is closed."
                 )
             left = None if until is None else until - time.monotonic()
             if left is not None and left <= 0:
                 raise errors.StreamTimeout(
-                    f"No message from {self.peer} within {timeout} s."
+                    f"No message arrived from {self.peer} within {timeout} s."
                 )
             self.arrived.wait(left)
         message, size = self.inbox.popleft()
-        self._take(size)
+        self._mark_read(size)
         if isinstance(message, errors.Failure):
             raise errors.from_failure(message)
         return message
 
     def close(self) -> None:
-        """Ends the exchange for both sides."""
+        """Closes the exchange on both sides."""
         if not self.closed:
             self.end()
-            self.connection.forget(self.number)
+            self.connection.close_exchange(self.number)
 
     def end(self) -> None:
-        """Marks the exchange as closed and wakes whoever waits on it."""
+        """Marks the exchange as closed and wakes its waiting green threads."""
         self.closed = True
         self.arrived.send()
         self.credited.send()
 
     def deliver(self, message: Any, size: int) -> None:
-        """Takes in a message from the peer.
+        """Queues a received message for `receive`.
 
         Raises:
-            errors.BadRequest: The peer sent without credit. Only a faulty
-                peer does, and it would fill this process's memory.
+            errors.BadRequest: The peer sent without credit. It is faulty, and
+                would exhaust this process's memory.
         """
         if self.unread >= self.connection.limits.window:
-            raise errors.BadRequest("The peer sends without credit.")
+            raise errors.BadRequest("The peer sent data without credit.")
         self.unread += size
         self.inbox.append((message, size))
         self.arrived.send()
 
     def add_credit(self, size: int) -> None:
-        """Lets `send` go on."""
+        """Adds credit that the peer granted, and wakes blocked senders."""
         self.credit += size
         self.credited.send()
 
-    def _take(self, size: int) -> None:
+    def _mark_read(self, size: int) -> None:
         self.unread -= size
-        self.count_taken(size)
+        self.consume(size)
 
-    def count_taken(self, size: int) -> None:
-        """Gives the peer credit for what was taken, half a window at once."""
-        self.taken += size
-        if self.closed or self.taken < self.connection.limits.window // 2:
+    def consume(self, size: int) -> None:
+        """Counts consumed bytes; grants credit in steps of half a window."""
+        self.consumed += size
+        if self.closed or self.consumed < self.connection.limits.window // 2:
             return
-        taken, self.taken = self.taken, 0
-        self.connection.push(streams_frames.pack_credit(self.number, taken))
+        consumed, self.consumed = self.consumed, 0
+        self.connection.enqueue(
+            streams_frames.pack_credit(self.number, consumed)
+        )
 
 
 Serve = Callable[[TcpExchange, Any], None]
 
 
 class Connection:
-    """One TCP connection, read and written by a green thread each.
+    """One TCP connection, with a green thread each for reading and writing.
 
     Attributes:
-        heard: Monotonic time of the last byte from the peer.
-        written: Monotonic time of the last byte to the peer.
+        threads: Number of those green threads that are running.
+        queued: Bytes in `outgoing` or being written.
+        writer_wake: Signalled when `outgoing` has frames.
+        writable: Signalled when the send queue has shrunk.
+        last_received: Monotonic time of the last byte from the peer.
+        last_sent: Monotonic time of the last byte to the peer.
     """
 
     def __init__(
@@ -202,15 +210,15 @@
         self.threads = 0
         self.outgoing: list[bytes] = []
         self.queued = 0
-        self.work = Signal()
-        self.room = Signal()
-        self.heard = time.monotonic()
-        self.written = self.heard
+        self.writer_wake = Signal()
+        self.writable = Signal()
+        self.last_received = time.monotonic()
+        self.last_sent = self.last_received
 
     def start(self) -> None:
-        """Begins to read and write."""
-        # After a silent partition the kernel would wait for its own backoff,
-        # minutes long, before it sends again; a new dial is quicker.
+        """Starts the reading and the writing green thread."""
+        # After a network partition the kernel's retransmission backoff may
+        # reach minutes; a new connection is quicker.
         with contextlib.suppress(OSError, AttributeError):
             self.sock.setsockopt(
                 socket.IPPROTO_TCP,
@@ -222,7 +230,7 @@
         eventlet.spawn(self._read_forever)
 
     def open(self, message: Any) -> TcpExchange:
-        """Opens an exchange from this side."""
+        """Opens an exchange with a first message."""
         body = self.encode(message)
         number = self.next_number
         self.next_number += 1
@@ -233,72 +241,79 @@
         return exchange
 
     def encode(self, message: Any) -> bytes:
-        """Returns a message as bytes.
+        """Returns an encoded message.
 
         Raises:
-            errors.TooLarge: It is over the limit; the connection lives on.
+            errors.TooLarge: It exceeds the limit; the connection stays open.
         """
         body = codec.encode(message)
         if len(body) > self.limits.message:
-            raise errors.TooLarge(f"A message of {len(body)} bytes.")
+            raise errors.TooLarge(
+                f"A message has {len(body)} bytes; the limit is "
+                f"{self.limits.message}."
+            )
         return body
 
     def write(self, number: int, kind: int, body: bytes) -> None:
-        """Queues one frame; waits while too much is queued.
+        """Queues one frame; blocks while the send queue is full.
 
         Raises:
             errors.StreamClosed: The connection is lost.
         """
         while self.is_full() and not self.lost:
-            self.room.wait()
+            self.writable.wait()
         if self.lost:
-            raise errors.StreamClosed(f"{self.peer} is lost.")
-        self.push(streams_frames.pack(number, kind, body))
+            raise errors.StreamClosed(f"The connection to {self.peer} is lost.")
+        self.enqueue(streams_frames.pack(number, kind, body))
 
     def is_full(self) -> bool:
-        """Tells whether so much is queued that senders must wait."""
+        """Returns whether the send queue is full, so that senders block."""
         return self.queued >= self.limits.queued
 
-    def push(self, frame: bytes) -> None:
-        """Writes or queues a frame without waiting, as the reader has to."""
+    def enqueue(self, frame: bytes) -> None:
+        """Writes or queues a frame; never blocks, even if the queue is full."""
         if self.lost:
             return
         if not self.queued:
             now = time.monotonic()
-            if now - self.written > _GATHER_SECONDS:
-                self.written = now
-                frame = frame[self._write_now(frame) :]
+            if now - self.last_sent > _COALESCE_SECONDS:
+                self.last_sent = now
+                frame = frame[self._send_nonblocking(frame) :]
                 if not frame:
                     return
         self.outgoing.append(frame)
         self.queued += len(frame)
-        self.work.send()
+        self.writer_wake.send()
 
-    def forget(self, number: int) -> None:
-        """Drops an exchange and tells the peer."""
+    def close_exchange(self, number: int) -> None:
+        """Removes an exchange and sends the peer a CLOSE frame."""
         if self.exchanges.pop(number, None) is not None and not self.lost:
-            self.push(streams_frames.pack(number, streams_frames.CLOSE))
+            self.enqueue(streams_frames.pack(number, streams_frames.CLOSE))
 
-    def beat(self, now: float) -> None:
-        """Sends a heartbeat when quiet; loses a peer that is silent.
+    def check_heartbeat(self, now: float) -> None:
+        """Sends a heartbeat if one is due; closes a silent connection.
 
-        A peer behind a silent partition, or one that was powered off, never
-        closes the connection, so only its silence tells.
+        A peer that was powered off, or that a network partition cut off, does
+        not close the connection, so its loss is detected by a timeout.
         """
-        if now - self.heard > self.limits.silence_timeout:
-            logger.warning("{} is silent; closing the connection", self.peer)
+        if now - self.last_received > self.limits.silence_timeout:
+            logger.warning(
+                "Closing the connection to {}: no data received for {} s",
+                self.peer,
+                self.limits.silence_timeout,
+            )
             self.abort()
-        elif now - self.written >= self.limits.heartbeat and not self.queued:
-            self.push(streams_frames.pack(0, streams_frames.PING))
+        elif now - self.last_sent >= self.limits.heartbeat and not self.queued:
+            self.enqueue(streams_frames.pack(0, streams_frames.PING))
 
     def flush(self, limit: float) -> None:
-        """Waits until everything queued is written, or `limit` seconds."""
+        """Waits up to `limit` seconds until the send queue is written."""
         until = time.monotonic() + limit
         while self.queued and not self.lost and time.monotonic() < until:
             eventlet.sleep(0.002)
 
     def abort(self) -> None:
-        """Closes the socket and every exchange."""
+        """Closes the connection and all its exchanges."""
         if self.lost:
             return
         self.lost = True
@@ -307,86 +322,93 @@
             exchange.end()
         self.exchanges.clear()
         self.outgoing.clear()
-        self.work.send()
-        self.room.send()
+        self.writer_wake.send()
+        self.writable.send()
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
         if not self.threads:
             self.sock.close()
 
-    def _leave(self) -> None:
-        """Ends one of the two threads; the last one closes the socket.
+    def _thread_ended(self) -> None:
+        """Counts the end of a green thread; the last one closes the socket.
 
-        Closed under a thread that still waits on it, the descriptor's number
-        goes to the next connection while the hub holds the old waiter, and
-        that connection fails with "Second simultaneous read".
+        If the socket were closed while a green thread waits on it, its file
+        descriptor could be reused while the hub still has the old listener,
+        and the new user would fail with "Second simultaneous read".
         """
         self.abort()
         self.threads -= 1
         if not self.threads:
             self.sock.close()
 
-    def _write_now(self, frame: bytes) -> int:
-        """Writes what the socket takes without waiting; returns how much."""
+    def _send_nonblocking(self, frame: bytes) -> int:
+        """Sends what fits into the socket's buffer; returns the byte count."""
         try:
             return self.sock.fd.send(frame)
         except OSError:
-            # Full, or lost: the writer's own attempt will tell which.
+            # The buffer is full or the connection lost; the writer finds out.
             return 0
 
     def _write_forever(self) -> None:
         try:
             self._write_queued()
         finally:
-            self._leave()
+            self._thread_ended()
 
     def _write_queued(self) -> None:
         while not self.lost:
             if not self.outgoing:
-                self.work.wait()
+                self.writer_wake.wait()
                 continue
             frames, self.outgoing = self.outgoing, []
             data = b"".join(frames)
             try:
                 self.sock.sendall(data)
             except (OSError, EOFError) as error:
-                logger.info("{} is lost: {}", self.peer, error)
+                logger.info(
+                    "The connection to {} is lost: {}", self.peer, error
+                )
                 self.abort()
                 return
             self.queued -= len(data)
-            self.written = time.monotonic()
-            self.room.send()
+            self.last_sent = time.monotonic()
+            self.writable.send()
 
     def _read_forever(self) -> None:
         buffer = streams_frames.FrameBuffer(self.limits.message)
         blocks = 0
         try:
             while not self.lost:
-                block = self.sock.recv(_BLOCK)
+                block = self.sock.recv(_READ_BYTES)
                 if not block:
                     return
-                self.heard = time.monotonic()
+                self.last_received = time.monotonic()
                 for frame in buffer.feed(block):
-                    self._take(frame)
+                    self._handle_frame(frame)
                 blocks += 1
-                if blocks % _BLOCKS_IN_A_ROW == 0:
-                    # A peer that never pauses must not keep the loop.
+                if blocks % _BLOCKS_PER_TURN == 0:
+                    # Yields, so that a peer that sends all the time does not
+                    # starve other green threads.
                     eventlet.sleep(0)
         except (OSError, EOFError):
-            # EOFError is how eventlet tells that this side closed.
+            # eventlet raises EOFError if this side closed the socket.
             return
         except errors.MintcleatError as error:
-            logger.warning("Closing {}: {}", self.peer, error.detail)
+            logger.warning(
+                "Closing the connection to {}: {}", self.peer, error.detail
+            )
         except Exception:
-            logger.exception("Closing {}: its bytes can't be read", self.peer)
+            logger.exception(
+                "Closing the connection to {}: reading failed", self.peer
+            )
         finally:
-            self._leave()
+            self._thread_ended()
 
-    def _take(self, frame: streams_frames.Frame) -> None:
+    def _handle_frame(self, frame: streams_frames.Frame) -> None:
         if frame.kind == streams_frames.PING:
             return
         if frame.kind == streams_frames.OPEN:
-            self._take_open(frame)
+            self._handle_open(frame)
             return
         exchange = self.exchanges.get(frame.exchange)
         if exchange is None:
@@ -402,15 +424,20 @@
             case _:
                 raise errors.BadRequest(f"Unknown frame kind {frame.kind}.")
 
-    def _take_open(self, frame: streams_frames.Frame) -> None:
+    def _handle_open(self, frame: streams_frames.Frame) -> None:
         if frame.exchange in self.exchanges:
-            raise errors.BadRequest(f"Exchange {frame.exchange} is open.")
+            raise errors.BadRequest(
+                f"The peer opened exchange {frame.exchange} twice."
+            )
         if len(self.exchanges) >= self.limits.exchanges:
-            raise errors.BadRequest("Too many exchanges are open.")
+            raise errors.BadRequest(
+                f"The peer has {self.limits.exchanges} exchanges open already."
+            )
         message = codec.decode(frame.body)
         exchange = TcpExchange(self, frame.exchange)
         self.exchanges[frame.exchange] = exchange
-        # The first message is taken at once. If it fills the window and its
-        # credit waited for a second one, neither side could ever go on.
-        exchange.count_taken(len(frame.body))
+        # The first message is consumed at once. If it filled the window and
+        # credit were granted only after a second message, the exchange would
+        # deadlock.
+        exchange.consume(len(frame.body))
         eventlet.spawn(self.serve, exchange, message)
--- a/src/mintcleat/adapters/streams_frames.py
+++ b/src/mintcleat/adapters/streams_frames.py
@@ -1,7 +1,7 @@
-"""Frames on the wire of a stream.
+"""The frame format of streams.
 
 A frame is a header of 9 bytes (body length, exchange number, kind; all
-big-endian) and a body: a msgpack message, a credit of 4 bytes, or nothing.
+big-endian) and a body: a msgpack message, a 4-byte credit, or nothing.
 """
 
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 
 
 class Frame(NamedTuple):
-    """One frame as it was read."""
+    """One decoded frame."""
 
     exchange: int
     kind: int
@@ -29,45 +29,50 @@
 
 
 def pack(exchange: int, kind: int, body: bytes = b"") -> bytes:
-    """Returns the bytes of one frame."""
+    """Returns an encoded frame."""
     return _HEADER.pack(len(body), exchange, kind) + body
 
 
 def pack_credit(exchange: int, size: int) -> bytes:
-    """Returns a frame that lets the peer send `size` more bytes."""
+    """Returns a frame that grants the peer credit for `size` bytes."""
     return pack(exchange, CREDIT, _CREDIT.pack(size))
 
 
 def read_credit(frame: Frame) -> int:
-    """Returns the size of a credit.
+    """Returns the bytes that a CREDIT frame grants.
 
     Raises:
         errors.BadRequest: The frame is malformed.
     """
     if len(frame.body) != _CREDIT.size:
-        raise errors.BadRequest("A credit has the wrong length.")
+        raise errors.BadRequest(
+            f"A credit has {len(frame.body)} bytes instead of {_CREDIT.size}."
+        )
     return _CREDIT.unpack(frame.body)[0]
 
 
 class FrameBuffer:
-    """Cuts a byte stream into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self, max_body: int) -> None:
         self.max_body = max_body
         self.data = bytearray()
 
     def feed(self, block: bytes) -> Iterator[Frame]:
-        """Takes in bytes and yields every frame that is whole now.
+        """Adds received bytes and yields all complete frames.
 
         Raises:
-            errors.TooLarge: A header announces a body over the limit.
+            errors.TooLarge: A frame's body exceeds the limit.
         """
         self.data += block
         start = 0
         while len(self.data) - start >= _HEADER.size:
             length, exchange, kind = _HEADER.unpack_from(self.data, start)
             if length > self.max_body:
-                raise errors.TooLarge(f"A frame announces {length} bytes.")
+                raise errors.TooLarge(
+                    f"A frame has a body of {length} bytes; the limit is "
+                    f"{self.max_body}."
+                )
             end = start + _HEADER.size + length
             if len(self.data) < end:
                 break
--- a/src/mintcleat/adapters/wal_disk.py
+++ b/src/mintcleat/adapters/wal_disk.py
@@ -1,4 +1,4 @@
-"""The real disk, and files that are replaced in one step."""
+"""Disk operations, and atomic replacement of files."""
 
 from collections.abc import Callable
 import os
@@ -6,21 +6,21 @@
 
 from mintcleat.ports import wal
 
-# A sync of this much holds the loop for a few milliseconds.
+# Syncing this many bytes takes a few milliseconds.
 STEP_BYTES = 1024 * 1024
 
 
 class SystemDisk:
-    """Calls the operating system; see `ports.wal.Disk`."""
+    """Implements `ports.wal.Disk` with system calls."""
 
     def write(self, descriptor: int, data: bytes) -> None:
-        """Writes all bytes; a short write goes on where it stopped."""
+        """Writes all bytes; continues after short writes."""
         view = memoryview(data)
         while view:
             view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Syncs data and what is needed to read it again."""
+        """Syncs the data and the metadata needed to read it."""
         os.fdatasync(descriptor)
 
     def sync_directory(self, path: pathlib.Path) -> None:
@@ -33,19 +33,19 @@
 
 
 def make_folder(disk: wal.Disk, folder: pathlib.Path) -> None:
-    """Makes a folder and its parents, with names that a power loss keeps.
+    """Creates a folder and its parents durably.
 
-    A file's own sync keeps its content, not the names on the way to it: with
-    a lost name an instance would come back with an empty disk, on top of the
-    disks that the fault itself took.
+    Syncing a file makes its content durable, but not the directory entries on
+    the path to it. If a power loss removed such an entry, the instance would
+    restart with an empty disk.
     """
-    made = []
-    step = folder
-    while not step.exists():
-        made.append(step)
-        step = step.parent
+    created = []
+    ancestor = folder
+    while not ancestor.exists():
+        created.append(ancestor)
+        ancestor = ancestor.parent
     folder.mkdir(parents=True, exist_ok=True)
-    for path in reversed(made):
+    for path in reversed(created):
         disk.sync_directory(path.parent)
 
 
@@ -56,14 +56,15 @@
     pause: Callable[[], None] | None = None,
     head: bytes = b"",
 ) -> None:
-    """Writes a file so that a crash leaves the old one or the new one.
+    """Replaces a file atomically and durably.
 
     Args:
-        disk: Where to write.
-        path: Its name.
-        data: Its content, which is written in steps.
-        pause: Called between two steps, each synced by itself then.
-        head: Bytes before `data`, which is not copied to put them there.
+        disk: The disk to write to.
+        path: Path of the file.
+        data: Content, written in steps of STEP_BYTES.
+        pause: Called after each step; each step is then synced.
+        head: Bytes that precede `data`. Given separately, so that `data` is
+            not copied.
     """
     draft = path.with_suffix(".draft")
     descriptor = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
--- a/src/mintcleat/adapters/wal_identity.py
+++ b/src/mintcleat/adapters/wal_identity.py
@@ -1,4 +1,4 @@
-"""The replica identity on a disk."""
+"""The file that holds the identity of the replica on a disk."""
 
 import os
 import pathlib
@@ -12,35 +12,40 @@
 from mintcleat.domain import identities
 from mintcleat.ports import wal
 
-FILE = "identity"
+FILE_NAME = "identity"
 
 
 def read(
     folder: pathlib.Path, instance: str, detect_copies: bool = True
 ) -> identities.Incarnation | None:
-    """Returns the identity, or None when this disk must be formatted.
+    """Returns the stored identity, or None if the disk must be formatted.
 
-    The file holds its own inode number. A restored backup is a copy, whose
-    inode differs: it has forgotten votes and entries that it acknowledged, so
-    it must not speak under the old identity. Its files are set aside.
+    The file contains its own inode number, which differs in a copy such as a
+    restored backup. A copy lacks votes and entries that the replica has
+    acknowledged since, so it must not use the old identity. Its files are
+    moved to a subfolder.
 
     Args:
         folder: The data folder.
-        instance: Who it must belong to.
-        detect_copies: Whether files keep their inode numbers over a restart.
-            Where they don't, each restart would look like a copy, and a
-            restart of all instances would lose everything.
+        instance: Instance that the folder must belong to.
+        detect_copies: Whether to compare inode numbers. Must be False where
+            they change on a restart: each restart would look like a copy, and
+            a restart of all instances would lose all data.
 
     Raises:
-        errors.StorageDamaged: The file is unreadable or another instance's.
+        errors.StorageDamaged: The file is corrupt or belongs to another
+            instance.
     """
-    path = folder / FILE
+    path = folder / FILE_NAME
     if not path.exists():
         return None
     data = path.read_bytes()
     body = data[4:]
     if data[:4] != zlib.crc32(body).to_bytes(4, "big"):
-        raise errors.StorageDamaged(f"{FILE} in the data folder is unreadable.")
+        raise errors.StorageDamaged(
+            f"The file {FILE_NAME!r} in the data folder is corrupt: its"
+            " checksum does not match."
+        )
     name, epoch, inode = msgpack.unpackb(body)
     if name != instance:
         raise errors.StorageDamaged(
@@ -48,7 +53,7 @@
             remedy="Give each instance a data folder of its own.",
         )
     if detect_copies and inode != path.stat().st_ino:
-        _set_aside(folder, epoch)
+        _move_files_aside(folder, epoch)
         return None
     return identities.Incarnation(name, epoch)
 
@@ -56,8 +61,8 @@
 def write(
     disk: wal.Disk, folder: pathlib.Path, identity: identities.Incarnation
 ) -> None:
-    """Stores the identity durably; the disk is formatted from then on."""
-    draft = folder / f"{FILE}.draft"
+    """Stores the identity durably, which completes formatting."""
+    draft = folder / f"{FILE_NAME}.draft"
     descriptor = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         inode = os.fstat(descriptor).st_ino
@@ -66,17 +71,17 @@
         disk.sync(descriptor)
     finally:
         os.close(descriptor)
-    draft.replace(folder / FILE)
+    draft.replace(folder / FILE_NAME)
     disk.sync_directory(folder)
 
 
-def _set_aside(folder: pathlib.Path, epoch: int) -> None:
+def _move_files_aside(folder: pathlib.Path, epoch: int) -> None:
     aside = folder / f"copied-{epoch}"
-    logger.warning("The data folder is a copy; its files move to {}", aside)
+    logger.warning("The data folder is a copy; moving its files to {}", aside)
     shutil.rmtree(aside, ignore_errors=True)
     aside.mkdir()
-    # The identity goes last: a start in between must find the copy again, and
-    # not a log without an identity.
-    for path in sorted(folder.iterdir(), key=lambda p: p.name == FILE):
+    # The identity is moved last: a process that starts after a crash in between
+    # must detect the copy again instead of finding a log without an identity.
+    for path in sorted(folder.iterdir(), key=lambda p: p.name == FILE_NAME):
         if path != aside and path.name != "lock":
             path.rename(aside / path.name)
--- a/src/mintcleat/adapters/wal_segment.py
+++ b/src/mintcleat/adapters/wal_segment.py
@@ -1,10 +1,10 @@
-"""One segment file: its header, its records and the scan that reads it.
+"""The format of a segment file of the write-ahead log.
 
-A segment is a 24-byte header and records. A record is a 20-byte header
-`magic, batch start, length, CRC-32` and its payload. The batch start is the
-offset at which the unsynced bytes began when the record was written; it is
-what tells a torn tail from damage. The CRC starts from the segment's random
-salt: a payload that a caller made to look like a record is not one.
+A segment consists of a 24-byte header and records. A record consists of a
+20-byte header (magic, batch start, length, CRC-32) and its payload. The batch
+start is the offset of the first byte that was not synced when the record was
+written; it distinguishes a torn write from corruption. The CRC includes the
+segment's random salt, so that a payload cannot pass for a record.
 """
 
 from collections.abc import Iterator
@@ -16,14 +16,14 @@
 
 SEGMENT_MAGIC = b"mcleatW1"
 RECORD_MAGIC = b"\xc9mcr"
-# A base segment starts the log: whatever lies in lower numbers is obsolete.
+# A base segment starts the log; segments with lower numbers are obsolete.
 BASE = 1
 NEXT = 0
 MAX_RECORD = 64 * 1024 * 1024
-_SEGMENT = struct.Struct(">8sIQI")
-_LEAD = struct.Struct(">QQI")
-_RECORD = struct.Struct(">4sQII")
-HEADER_SIZE = _SEGMENT.size
+_SEGMENT_HEADER = struct.Struct(">8sIQI")
+_CRC_PREFIX = struct.Struct(">QQI")
+_RECORD_HEADER = struct.Struct(">4sQII")
+HEADER_SIZE = _SEGMENT_HEADER.size
 
 
 class Header(NamedTuple):
@@ -31,7 +31,7 @@
 
     Attributes:
         kind: BASE or NEXT.
-        salt: Random number that its records' CRCs start from.
+        salt: Random number that the CRCs of its records include.
     """
 
     kind: int
@@ -40,88 +40,90 @@
 
 def header(kind: int, salt: int) -> bytes:
     """Returns the header of a new segment."""
-    data = _SEGMENT.pack(SEGMENT_MAGIC, kind, salt, 0)[:-4]
+    data = _SEGMENT_HEADER.pack(SEGMENT_MAGIC, kind, salt, 0)[:-4]
     return data + zlib.crc32(data).to_bytes(4, "big")
 
 
 def parse_header(data: bytes) -> Header | None:
-    """Returns the header, or None when it is not whole."""
+    """Returns the header, or None if it is incomplete or corrupt."""
     if len(data) < HEADER_SIZE:
         return None
-    magic, kind, salt, crc = _SEGMENT.unpack_from(data)
-    whole = crc == zlib.crc32(data[: HEADER_SIZE - 4])
-    if not whole or magic != SEGMENT_MAGIC or kind not in (BASE, NEXT):
+    magic, kind, salt, crc = _SEGMENT_HEADER.unpack_from(data)
+    intact = crc == zlib.crc32(data[: HEADER_SIZE - 4])
+    if not intact or magic != SEGMENT_MAGIC or kind not in (BASE, NEXT):
         return None
     return Header(kind, salt)
 
 
 def frame(salt: int, batch_start: int, payload: bytes) -> bytes:
-    """Returns a record as it lies in the file."""
+    """Returns an encoded record."""
     size = len(payload)
     crc = _crc(salt, batch_start, payload)
-    return _RECORD.pack(RECORD_MAGIC, batch_start, size, crc) + payload
+    return _RECORD_HEADER.pack(RECORD_MAGIC, batch_start, size, crc) + payload
 
 
 def records(data: bytes, name: str) -> Iterator[bytes]:
-    """Yields the records of a segment that has no torn tail.
+    """Yields the records of a segment other than the last.
 
     Raises:
-        errors.StorageDamaged: A record is unreadable.
+        errors.StorageDamaged: A record is corrupt.
     """
     end = HEADER_SIZE
-    for offset, record in _whole(data, _salt(data, name)):
+    for offset, record in _scan(data, _salt(data, name)):
         yield record
         end = offset
     if end < len(data):
-        raise _damaged(name, end)
+        raise _corrupt(name, end)
 
 
 def last_records(data: bytes, name: str) -> tuple[list[bytes], int]:
-    """Returns the whole records of the last segment, and where they end.
+    """Returns the records of the last segment and the offset of their end.
 
-    Only the last segment may end in a torn tail, which was never synced and
-    so never acknowledged. A batch is written only after the one before it was
-    synced. So a whole record whose batch starts after the unreadable one
-    proves that the unreadable one had been synced, and perhaps acknowledged:
-    cutting there would lose a vote or a committed entry without a word.
+    The last segment may end in a torn write, which was never synced and thus
+    never acknowledged. A batch is written only after the previous one has been
+    synced. An intact record of a batch that starts after an invalid record
+    therefore proves that the invalid one had been synced, and perhaps
+    acknowledged: truncating there would silently lose a vote or a committed
+    entry.
 
     Raises:
-        errors.StorageDamaged: A record that had been synced is unreadable.
+        errors.StorageDamaged: A record that had been synced is corrupt.
     """
     found = []
     end = HEADER_SIZE
     salt = _salt(data, name)
-    for offset, record in _whole(data, salt):
+    for offset, record in _scan(data, salt):
         found.append(record)
         end = offset
-    if end < len(data) and _synced_after(data, salt, end):
-        raise _damaged(name, end)
+    if end < len(data) and _has_later_batch(data, salt, end):
+        raise _corrupt(name, end)
     return found, end
 
 
-def _whole(data: bytes, salt: int) -> Iterator[tuple[int, bytes]]:
-    """Yields where each record ends, and it, up to the first unreadable one."""
+def _scan(data: bytes, salt: int) -> Iterator[tuple[int, bytes]]:
+    """Yields end offset and payload of each record before an invalid one."""
     offset = HEADER_SIZE
     while offset < len(data):
         found = _record_at(data, salt, offset)
         if found is None:
             return
-        offset += _RECORD.size + len(found[1])
+        offset += _RECORD_HEADER.size + len(found[1])
         yield offset, found[1]
 
 
 def _salt(data: bytes, name: str) -> int:
     found = parse_header(data)
     if found is None:
-        raise errors.StorageDamaged(f"Segment {name} has no header.")
+        raise errors.StorageDamaged(f"Segment {name} has no valid header.")
     return found.salt
 
 
-def _damaged(name: str, offset: int) -> errors.StorageDamaged:
-    return errors.StorageDamaged(f"Segment {name} is damaged at byte {offset}.")
+def _corrupt(name: str, offset: int) -> errors.StorageDamaged:
+    return errors.StorageDamaged(f"Segment {name} is corrupt at byte {offset}.")
 
 
-def _synced_after(data: bytes, salt: int, bad: int) -> bool:
+def _has_later_batch(data: bytes, salt: int, bad: int) -> bool:
+    """Returns whether an intact record's batch starts after offset `bad`."""
     offset = data.find(RECORD_MAGIC, bad + 1)
     while offset >= 0:
         found = _record_at(data, salt, offset)
@@ -132,10 +134,11 @@
 
 
 def _record_at(data: bytes, salt: int, offset: int) -> tuple[int, bytes] | None:
-    if offset + _RECORD.size > len(data):
+    """Returns batch start and payload of the record, or None if invalid."""
+    if offset + _RECORD_HEADER.size > len(data):
         return None
-    magic, start, size, crc = _RECORD.unpack_from(data, offset)
-    begin = offset + _RECORD.size
+    magic, start, size, crc = _RECORD_HEADER.unpack_from(data, offset)
+    begin = offset + _RECORD_HEADER.size
     if magic != RECORD_MAGIC or size > MAX_RECORD or begin + size > len(data):
         return None
     payload = data[begin : begin + size]
@@ -143,5 +146,5 @@
 
 
 def _crc(salt: int, start: int, payload: bytes) -> int:
-    lead = _LEAD.pack(salt, start, len(payload))
-    return zlib.crc32(payload, zlib.crc32(lead))
+    prefix = _CRC_PREFIX.pack(salt, start, len(payload))
+    return zlib.crc32(payload, zlib.crc32(prefix))
