--- a/src/mintcleat/adapters/admin_http.py
+++ b/src/mintcleat/adapters/admin_http.py
@@ -21,19 +21,19 @@
 from mintcleat.domain import registrations
 
 PREFIX = "/admin/v1/"
-# Manifests reach 5 MB; twice that leaves room and bounds what a client costs.
-MAX_BODY = 10 * 1024 * 1024
-PROGRAM_SECONDS = 10.0
-PAGE = 100
+# Manifests have up to 5 MB.
+MAX_BODY_BYTES = 10 * 1024 * 1024
+PROGRAM_TIMEOUT_SECONDS = 10.0
+PAGE_SIZE = 100
 
 StartResponse = Callable[[str, list[tuple[str, str]]], Any]
 
 
 class Programs(Protocol):
-    """How the program groups are asked; see `roles.control_client`."""
+    """Client of the program groups; see `roles.control_client`."""
 
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
-        """Asks the group of a program."""
+        """Sends a message to the group of a program; returns the reply."""
 
     def list_programs(
         self, message: program_messages.ListPrograms, timeout: float
@@ -42,25 +42,25 @@
 
 
 class ControlActions(Protocol):
-    """What operators do with the control instances and their logs."""
+    """Operators' actions on the control instances and their logs."""
 
     def status(self) -> list[dict[str, Any]]:
-        """Returns one row for each group: `group`, `leader` and more."""
+        """Returns the status of each group, with its name and leader."""
 
     def replace(
         self, old: str, new: str, address: str, failure_domain: str
     ) -> str:
-        """Replaces a lost control instance; returns what was started."""
+        """Starts replacing a lost control instance; returns a description."""
 
     def snapshot(self) -> str:
-        """Takes snapshots of all groups here; returns what was done."""
+        """Snapshots all groups on this instance; returns a description."""
 
 
 class Request(NamedTuple):
     """An authorized request.
 
     Attributes:
-        parts: The path after the prefix, split at slashes and decoded.
+        parts: The decoded path after the prefix, split at slashes.
         origin: IP address of the client.
     """
 
@@ -70,28 +70,31 @@
     body: dict[str, Any]
     origin: str
 
-    def text(self, name: str, default: str | None = None) -> str:
-        """Returns a text field of the body."""
+    def string(self, name: str, default: str | None = None) -> str:
+        """Returns a string field of the body."""
         value = self.body.get(name, default)
         if not isinstance(value, str):
-            raise errors.BadRequest(f"The field {name!r} must be a text.")
+            raise errors.BadRequest(f"The field {name!r} must be a string.")
         return value
 
-    def number(self, name: str, default: int) -> int:
-        """Returns a whole number of the query."""
+    def integer(self, name: str, default: int) -> int:
+        """Returns a non-negative integer parameter of the query."""
         value = self.query.get(name, str(default))
         if not value.isdecimal():
-            raise errors.BadRequest(f"{name!r} must be a whole number.")
+            raise errors.BadRequest(
+                f"{name!r} must be a non-negative integer, not {value!r}."
+            )
         return int(value)
 
 
 class AdminApp:
-    """Routes operators' requests to the config leader and the programs.
+    """Routes operators' requests to the configuration leader and the programs.
 
     Attributes:
-        ask: Asks the config leader, from any control instance.
-        programs: Asks the program groups.
+        ask: Sends a message to the configuration leader; returns the reply.
+        programs: Client of the program groups.
         groups: Returns the names of the program groups.
+        control: Actions on the control instances; None if not offered.
     """
 
     def __init__(
@@ -112,23 +115,24 @@
     def __call__(
         self, environ: dict[str, Any], start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answers one request; every failure is problem+json."""
+        """Handles a request; errors are returned as problem+json."""
         try:
             self._authorize(environ)
-            answer = self._route(_request(environ))
-            return _answer(start_response, answer)
+            answer = self._route(_parse_request(environ))
+            return _send_json(start_response, answer)
         except errors.MintcleatError as error:
-            return _refuse(start_response, error)
+            return _send_error(start_response, error)
         except Exception:
-            logger.exception("An admin request failed.")
-            return _refuse(
-                start_response, errors.MintcleatError("A fault in the daemon.")
+            logger.exception("Handling an admin request failed.")
+            return _send_error(
+                start_response,
+                errors.MintcleatError("An internal error occurred."),
             )
 
     def _authorize(self, environ: dict[str, Any]) -> None:
         given = environ.get("HTTP_AUTHORIZATION", "")
         expected = f"Bearer {self.token}"
-        # The comparison takes the same time wherever the texts differ.
+        # Compares in constant time.
         if not self.token or not hmac.compare_digest(
             given.encode("latin-1", "replace"), expected.encode()
         ):
@@ -137,9 +141,9 @@
     def _route(self, request: Request) -> Any:
         match request.method, request.parts:
             case "GET", ["manifest"]:
-                return self._manifest()
+                return self._read_manifest()
             case "POST", ["manifest"]:
-                return self._push(request)
+                return self._push_manifest(request)
             case "GET", ["status"]:
                 return self._status()
             case "GET", ["instances"]:
@@ -147,8 +151,8 @@
             case "GET", ["audit"]:
                 return self.ask(
                     operator_messages.ShowAudit(
-                        request.number("after", 0),
-                        request.number("limit", 1000),
+                        request.integer("after", 0),
+                        request.integer("limit", 1000),
                     )
                 )
             case "GET", ["upstreams"]:
@@ -164,15 +168,15 @@
             case "GET", ["quarantine"]:
                 return self.ask(operator_messages.ShowQuarantine())
             case "DELETE", ["quarantine", digest]:
-                return self._release(request, digest)
+                return self._release_quarantine(request, digest)
             case _, ["programs", *_]:
                 return self._route_programs(request)
             case "POST", ["control", "empty"]:
-                return self._empty(request)
+                return self._evacuate(request)
             case _, ["control", *_]:
                 return self._route_control(request)
             case _:
-                raise _unknown(request)
+                raise _unknown_path(request)
 
     def _route_programs(self, request: Request) -> Any:
         match request.method, request.parts:
@@ -182,22 +186,22 @@
                 return self.programs.ask(
                     program,
                     program_messages.ShowProgram(program),
-                    PROGRAM_SECONDS,
+                    PROGRAM_TIMEOUT_SECONDS,
                 )
             case "DELETE", [_, program]:
                 return self.programs.ask(
                     program,
                     program_messages.CloseProgram(program),
-                    PROGRAM_SECONDS,
+                    PROGRAM_TIMEOUT_SECONDS,
                 )
             case _:
-                raise _unknown(request)
+                raise _unknown_path(request)
 
     def _route_control(self, request: Request) -> Any:
         if self.control is None:
             raise errors.BadRequest(
-                "This instance offers no control actions.",
-                remedy="Ask the admin port of a control instance.",
+                "This instance does not offer control actions.",
+                remedy="Use the admin address of a control instance.",
             )
         match request.method, request.parts:
             case "GET", [_]:
@@ -205,38 +209,38 @@
             case "POST", [_, "snapshot"]:
                 return {"detail": self.control.snapshot()}
             case "POST", [_, "replace"]:
-                return self._replace(request, self.control)
+                return self._replace_instance(request, self.control)
             case _:
-                raise _unknown(request)
+                raise _unknown_path(request)
 
     def _route_registrations(self, request: Request) -> Any:
-        """Upstreams register, renew and leave by themselves."""
+        """Handles upstreams that register, renew or deregister themselves."""
         match request.method, request.parts:
             case "PUT", [_, upstream]:
                 registration = registrations.parse(upstream, request.body)
                 return self.ask(member_messages.RegisterUpstream(registration))
             case "DELETE", [_, upstream]:
-                started = request.number("started", 0)
+                started = request.integer("started", 0)
                 return self.ask(
                     member_messages.DeregisterUpstream(upstream, started)
                 )
             case _:
-                raise _unknown(request)
+                raise _unknown_path(request)
 
-    def _empty(self, request: Request) -> Any:
+    def _evacuate(self, request: Request) -> Any:
         start = request.body.get("start", True)
         if not isinstance(start, bool):
             raise errors.BadRequest("'start' must be true or false.")
         return self.ask(
             operator_messages.EvacuateControl(
-                request.text("instance"),
+                request.string("instance"),
                 start,
-                request.text("operator", "unnamed"),
+                request.string("operator", "unnamed"),
                 request.origin,
             )
         )
 
-    def _manifest(self) -> dict[str, Any]:
+    def _read_manifest(self) -> dict[str, Any]:
         view = self.ask(config_messages.ReadManifest())
         return {
             "revision": view.revision,
@@ -245,22 +249,22 @@
             "source": view.source,
         }
 
-    def _push(self, request: Request) -> Any:
+    def _push_manifest(self, request: Request) -> Any:
         expected = request.body.get("expected")
         if type(expected) is not int or expected < 0:
-            raise errors.BadRequest("'expected' must be a revision.")
+            raise errors.BadRequest("'expected' must be a revision number.")
         version = request.body.get("version", 0)
         if type(version) is not int or version < 0:
-            raise errors.BadRequest("'version' must be a whole number.")
-        text = request.text("manifest")
+            raise errors.BadRequest("'version' must be a non-negative integer.")
+        text = request.string("manifest")
         message = config_messages.PushManifest(
             expected,
-            request.text("push_id"),
+            request.string("push_id"),
             text,
-            request.text("operator"),
+            request.string("operator"),
             request.origin,
             version,
-            request.text("source", ""),
+            request.string("source", ""),
         )
         if not message.push_id:
             raise errors.BadRequest("'push_id' must not be empty.")
@@ -277,20 +281,20 @@
         drain = request.body.get("drain", True)
         if not isinstance(drain, bool):
             raise errors.BadRequest("'drain' must be true or false.")
-        scope, name = request.text("scope"), request.text("name")
+        scope, name = request.string("scope"), request.string("name")
         if drain and not request.body.get("ahead", False):
-            self._check_listed(scope, name)
+            self._check_name(scope, name)
         return self.ask(
             operator_messages.DrainScope(
-                scope, name, drain, request.text("operator"), request.origin
+                scope, name, drain, request.string("operator"), request.origin
             )
         )
 
-    def _check_listed(self, scope: str, name: str) -> None:
-        """Refuses a name that no announced upstream bears.
+    def _check_name(self, scope: str, name: str) -> None:
+        """Raises an error if no announced upstream has the name.
 
-        A slip in a name would otherwise look like a drain that holds, and
-        the upstream be stopped while it gets new work.
+        With a mistyped name, the drain would seem to be in force, and the
+        operator would stop an upstream that still gets new requests.
         """
         views = self.ask(operator_messages.ShowUpstreams()).upstreams
         announced = [view.announcement for view in views]
@@ -298,43 +302,49 @@
         if scope == "failure_domain":
             names = {item.failure_domain for item in announced}
         if name not in names:
-            raise errors.UnknownUpstream(f"No {scope} {name} is announced.")
+            raise errors.UnknownUpstream(
+                f"No upstream with {scope} {name!r} is announced."
+            )
 
-    def _release(self, request: Request, digest: str) -> Any:
+    def _release_quarantine(self, request: Request, digest: str) -> Any:
         try:
             raw = bytes.fromhex(digest)
         except ValueError:
-            raise errors.BadRequest(f"{digest!r} is no digest.") from None
+            raise errors.BadRequest(
+                f"The digest {digest!r} is not hexadecimal."
+            ) from None
         operator = request.query.get("operator", "unnamed")
         return self.ask(
             operator_messages.ReleaseQuarantine(raw, operator, request.origin)
         )
 
     def _list_programs(self, request: Request) -> Any:
-        """Merges the groups' pages; each group lists in id order."""
+        """Merges the pages of all groups, each sorted by id."""
         after = request.query.get("after", "")
-        limit = max(1, request.number("limit", PAGE))
+        limit = max(1, request.integer("limit", PAGE_SIZE))
         found = []
         for group in self.groups():
             page = self.programs.list_programs(
                 program_messages.ListPrograms(group, after, limit),
-                PROGRAM_SECONDS,
+                PROGRAM_TIMEOUT_SECONDS,
             )
             found.extend(page.programs)
         found.sort(key=lambda item: item.program)
         return program_messages.Programs(found[:limit])
 
-    def _replace(self, request: Request, control: ControlActions) -> Any:
-        old, new = request.text("old"), request.text("new")
-        address = request.text("address")
-        domain = request.text("failure_domain", "")
-        operator = request.text("operator")
+    def _replace_instance(
+        self, request: Request, control: ControlActions
+    ) -> Any:
+        old, new = request.string("old"), request.string("new")
+        address = request.string("address")
+        domain = request.string("failure_domain", "")
+        operator = request.string("operator")
         detail = control.replace(old, new, address, domain)
         origin = request.origin
         self.ask(
             operator_messages.SetControl(new, address, domain, operator, origin)
         )
-        # An instance whose disk was emptied is replaced by itself.
+        # An instance that lost its disk is replaced by itself, so `old == new`.
         if old != new:
             self.ask(
                 operator_messages.SetControl(old, "", "", operator, origin)
@@ -342,49 +352,59 @@
         return {"detail": detail}
 
 
-def _unknown(request: Request) -> errors.MintcleatError:
+def _unknown_path(request: Request) -> errors.MintcleatError:
     path = "/".join(request.parts)
     return errors.BadRequest(
-        f"No {request.method} {PREFIX}{path}.",
+        f"{request.method} {PREFIX}{path} does not exist.",
         remedy="See the operators' reference for the paths.",
     )
 
 
-def _request(environ: dict[str, Any]) -> Request:
+def _parse_request(environ: dict[str, Any]) -> Request:
     path = environ.get("PATH_INFO", "")
     if not path.startswith(PREFIX):
-        raise errors.BadRequest(f"The admin interface is at {PREFIX}.")
+        raise errors.BadRequest(
+            f"The path {path!r} does not start with {PREFIX}."
+        )
     query = url.parse_qsl(environ.get("QUERY_STRING", ""))
     return Request(
         environ["REQUEST_METHOD"],
         path[len(PREFIX) :].strip("/").split("/"),
         dict(query),
-        _body(environ),
+        _read_body(environ),
         environ.get("REMOTE_ADDR", ""),
     )
 
 
-def _body(environ: dict[str, Any]) -> dict[str, Any]:
+def _read_body(environ: dict[str, Any]) -> dict[str, Any]:
     length = environ.get("CONTENT_LENGTH") or "0"
     if not length.isdecimal():
-        raise errors.BadRequest("Content-Length must be a number.")
-    if int(length) > MAX_BODY:
-        raise errors.TooLarge(f"A body of {length} bytes, over {MAX_BODY}.")
+        raise errors.BadRequest(
+            f"Content-Length must be a number, not {length!r}."
+        )
+    if int(length) > MAX_BODY_BYTES:
+        raise errors.TooLarge(
+            f"The body has {length} bytes; the limit is {MAX_BODY_BYTES}."
+        )
     if int(length) == 0:
         return {}
     data = environ["wsgi.input"].read(int(length))
     if len(data) < int(length):
-        raise errors.BadRequest("The body was cut short.")
+        raise errors.BadRequest(
+            f"The body ended after {len(data)} of {length} bytes."
+        )
     try:
         body = msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeError) as error:
-        raise errors.BadRequest(f"The body is no JSON: {error}.") from None
+        raise errors.BadRequest(
+            f"The body is not valid JSON: {error}."
+        ) from None
     if not isinstance(body, dict):
         raise errors.BadRequest("The body must be a JSON object.")
     return body
 
 
-def _answer(start_response: StartResponse, answer: Any) -> list[bytes]:
+def _send_json(start_response: StartResponse, answer: Any) -> list[bytes]:
     data = msgspec.json.encode(admin_views.plain(answer))
     headers = [
         ("Content-Type", "application/json"),
@@ -394,7 +414,7 @@
     return [data]
 
 
-def _refuse(
+def _send_error(
     start_response: StartResponse, error: errors.MintcleatError
 ) -> list[bytes]:
     data = problems.body(error, "")
--- a/src/mintcleat/adapters/admin_token.py
+++ b/src/mintcleat/adapters/admin_token.py
@@ -1,4 +1,4 @@
-"""The operators' bearer token, kept in a file of its own."""
+"""The bearer token of the operators' interface."""
 
 import pathlib
 import secrets
@@ -12,10 +12,10 @@
 
 
 def load(token_file: str, folder: pathlib.Path) -> str:
-    """Returns the token in the named file, or the one in the data folder.
+    """Returns the token in `token_file`, or else in the data folder.
 
     Raises:
-        errors.InvalidSettings: The named file can't be read or is empty.
+        errors.InvalidSettings: `token_file` cannot be read or is empty.
     """
     if not token_file:
         return load_or_create(folder)
@@ -23,7 +23,7 @@
         token = pathlib.Path(token_file).read_text().strip()
     except OSError as error:
         raise errors.InvalidSettings(
-            f"control_role.token_file: {error.strerror}."
+            f"control_role.token_file: can't be read: {error.strerror}."
         ) from None
     if not token:
         raise errors.InvalidSettings("control_role.token_file: is empty.")
@@ -31,16 +31,16 @@
 
 
 def load_or_create(folder: pathlib.Path, disk: wal.Disk | None = None) -> str:
-    """Returns the token in `folder`, making it on first use.
+    """Returns the token in the data folder; creates it on first use.
 
-    The file is made with mode 0600, synced and only then named: an empty file
-    after a loss of power would make the empty token a valid one.
+    The file gets mode 0600 and is replaced atomically: if it were empty after
+    a power loss, an empty token would be accepted.
     """
     path = folder / TOKEN_FILE
     disk = disk or wal_disk.SystemDisk()
-    held = path.read_text().strip() if path.exists() else ""
-    if held:
-        return held
+    existing = path.read_text().strip() if path.exists() else ""
+    if existing:
+        return existing
     wal_disk.make_folder(disk, folder)
     token = secrets.token_urlsafe(_TOKEN_BYTES)
     wal_disk.replace_file(disk, path, f"{token}\n".encode())
--- a/src/mintcleat/adapters/admin_views.py
+++ b/src/mintcleat/adapters/admin_views.py
@@ -1,4 +1,4 @@
-"""Messages as plain data for the operators' JSON."""
+"""Conversion of messages to JSON data for operators."""
 
 from typing import Any
 
@@ -6,17 +6,17 @@
 
 from mintcleat.domain import operator_messages
 
-# A field that can't have its name in Python.
-_SHOWN = {"klass": "class"}
+# JSON names of fields whose names are keywords in Python.
+_JSON_NAMES = {"klass": "class"}
 
 
 def plain(value: Any) -> Any:
-    """Returns data for JSON: messages as objects, digests in hex."""
+    """Returns JSON data: named tuples as objects, bytes in hexadecimal."""
     if isinstance(value, msgspec.Raw):
         return value
     if hasattr(value, "_asdict"):
         return {
-            _SHOWN.get(name, name): plain(item)
+            _JSON_NAMES.get(name, name): plain(item)
             for name, item in value._asdict().items()
         }
     if isinstance(value, bytes):
@@ -34,10 +34,10 @@
     rollouts: operator_messages.Rollouts,
     listed: operator_messages.QuarantineList,
 ) -> dict[str, Any]:
-    """Returns the operators' overview.
+    """Returns the status overview for operators.
 
-    `in_force` counts the live nodes that applied the revision; `late` names
-    those that hold a lease on an older one.
+    `in_force` is the number of live nodes that have applied the current
+    revision; `late` lists the live nodes with an older one.
     """
     revision = instances.revision
     live = [node for node in instances.nodes if node.lease > 0]
--- a/src/mintcleat/adapters/caller_http.py
+++ b/src/mintcleat/adapters/caller_http.py
@@ -28,7 +28,7 @@
     ("Content-Type", "text/event-stream"),
     ("Cache-Control", "no-store"),
 ]
-# Hop-by-hop headers belong to one connection and are never passed on.
+# Hop-by-hop headers apply to a single connection and are not forwarded.
 _NOT_FORWARDED = frozenset(
     (
         "host",
@@ -48,7 +48,7 @@
 
 
 class CallerApp:
-    """Routes requests of callers to the entry role."""
+    """Routes callers' requests to the entry role."""
 
     def __init__(
         self,
@@ -61,26 +61,30 @@
     def __call__(
         self, environ: http_request.Environ, start: StartResponse
     ) -> Iterable[bytes]:
-        """Answers one request; every failure is a typed refusal."""
+        """Handles a request; errors are returned as problem+json."""
         request_id = f"req-{uuid.uuid4().hex[:16]}"
         started = time.monotonic()
         try:
             return self._route(environ, start, request_id)
         except errors.MintcleatError as error:
-            return self._refuse(error, start, request_id)
+            return self._send_error(error, start, request_id)
         except Exception:
-            logger.bind(request=request_id).exception("A request failed.")
-            error = errors.MintcleatError("The entry failed.")
-            return self._refuse(error, start, request_id)
+            logger.bind(request=request_id).exception(
+                "Handling a request failed."
+            )
+            error = errors.MintcleatError(
+                "An internal error occurred in the entry."
+            )
+            return self._send_error(error, start, request_id)
         finally:
             logger.bind(request=request_id).debug(
-                "{} {} took {:.4f} s to its first byte",
+                "{} {}: first byte after {:.4f} s",
                 environ["REQUEST_METHOD"],
                 environ["PATH_INFO"],
                 time.monotonic() - started,
             )
 
-    def _refuse(
+    def _send_error(
         self,
         error: errors.MintcleatError,
         start: StartResponse,
@@ -90,7 +94,7 @@
             "refusals_total", kind=error.kind, outcome=error.outcome
         )
         logger.bind(request=request_id).info(
-            "Refused as {} ({})", error.kind, error.outcome
+            "Request refused: {} ({})", error.kind, error.outcome
         )
         start(problems.status_line(error.status), problems.headers(error))
         return [problems.body(error, request_id)]
@@ -105,48 +109,50 @@
         parts = environ["PATH_INFO"].strip("/").split("/")
         match method, *parts:
             case "GET", "healthz":
-                return reply(start, 200, {"status": "alive"})
+                return send_json(start, 200, {"status": "alive"})
             case "GET", "readyz":
                 return self._readyz(start)
             case "GET", "metrics":
                 return self._scrape(start)
-            case _, "v1", *rest:
-                calls = self.calls.authenticate(bearer_key(environ), request_id)
-                return self._serve(calls, rest, environ, start, request_id)
-        raise no_such_path(environ)
-
-    def _serve(
+            case _, "v1", *path_parts:
+                calls = self.calls.authenticate(key_digest(environ), request_id)
+                return self._route_api(
+                    calls, path_parts, environ, start, request_id
+                )
+        raise unknown_path(environ)
+
+    def _route_api(
         self,
         calls: calls_port.EntryApi,
-        rest: list[str],
+        path_parts: list[str],
         environ: http_request.Environ,
         start: StartResponse,
         request_id: str,
     ) -> Iterable[bytes]:
-        """Answers a request below `/v1` under its customer."""
-        match environ["REQUEST_METHOD"], *rest:
+        """Handles a request below `/v1` for its authenticated customer."""
+        match environ["REQUEST_METHOD"], *path_parts:
             case "GET", "models":
                 return self._models(calls, start)
             case "POST", "programs":
                 return self._create(calls, environ, start)
             case "GET", "programs", program:
                 view = calls.show_program(program)
-                return reply(start, 200, view_body(view))
+                return send_json(start, 200, view_body(view))
             case "GET", "programs", program, "history":
                 history = calls.history(program)
-                return reply(start, 200, history_body(history))
+                return send_json(start, 200, history_body(history))
             case "DELETE", "programs", program:
                 calls.close_program(program)
-                return reply(start, 200, {"id": program, "state": "closed"})
+                return send_json(start, 200, {"id": program, "state": "closed"})
             case "POST", "chat", "completions":
                 return self._chat(calls, environ, start, request_id)
             case _, "services", service, *_:
                 return self._service(calls, environ, start, request_id, service)
-        raise no_such_path(environ)
+        raise unknown_path(environ)
 
     def _readyz(self, start: StartResponse) -> Iterable[bytes]:
         ready = self.calls.ready()
-        return reply(start, 200 if ready else 503, {"ready": ready})
+        return send_json(start, 200 if ready else 503, {"ready": ready})
 
     def _scrape(self, start: StartResponse) -> Iterable[bytes]:
         body, content_type = self.metrics.render()
@@ -160,7 +166,7 @@
             {"id": name, "object": "model", "owned_by": "mintcleat"}
             for name in calls.models()
         ]
-        return reply(start, 200, {"object": "list", "data": models})
+        return send_json(start, 200, {"object": "list", "data": models})
 
     def _create(
         self,
@@ -170,7 +176,7 @@
     ) -> Iterable[bytes]:
         body = http_request.read_object(environ)
         view = calls.create_program(parse_program(body))
-        return reply(start, 201, view_body(view))
+        return send_json(start, 201, view_body(view))
 
     def _chat(
         self,
@@ -181,16 +187,16 @@
     ) -> Iterable[bytes]:
         call = chat_http.parse(environ, request_id)
         events = calls.chat(call)
-        # The first event is awaited before the status line goes out, so
-        # that a refusal still has a status of its own.
+        # Waits for the first event before the status line is sent, so that an
+        # error before it is reported with its own status.
         first = next(events)
         events = itertools.chain([first], events)
         if not call.streamed:
-            body = chat_http.whole_answer(call, events)
+            body = chat_http.completion_body(call, events)
             start("200 OK", _JSON)
             return [body]
         start("200 OK", _EVENTS)
-        return chat_http.streamed_answer(call, events)
+        return chat_http.stream_events(call, events)
 
     def _service(
         self,
@@ -209,8 +215,8 @@
         return [answer.body]
 
 
-def bearer_key(environ: http_request.Environ) -> str:
-    """Returns the digest of the caller's bearer key; empty for none."""
+def key_digest(environ: http_request.Environ) -> str:
+    """Returns the digest of the caller's bearer key; empty if there is none."""
     scheme, _, key = http_request.header(environ, "Authorization").partition(
         " "
     )
@@ -219,55 +225,57 @@
     )
 
 
-def no_such_path(environ: http_request.Environ) -> errors.BadRequest:
-    """Returns the refusal of a path that is none of this interface."""
+def unknown_path(environ: http_request.Environ) -> errors.BadRequest:
+    """Returns the error for an unknown method and path."""
     method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"][:80]
     return errors.BadRequest(
-        f"There is no {method} {path}.",
+        f"{method} {path} does not exist.",
         remedy="See docs/reference/http.md for the paths.",
     )
 
 
-def reply(start: StartResponse, status: int, body: Any) -> list[bytes]:
-    """Sends a JSON answer."""
+def send_json(start: StartResponse, status: int, body: Any) -> list[bytes]:
+    """Sends a JSON response."""
     start(problems.status_line(status), _JSON)
     return [json.dumps(body).encode()]
 
 
 def parse_program(body: dict[str, Any]) -> requests.NewProgram:
-    """Returns the program that a body asks for."""
-    budget = http_request.typed(body.get("budget"), "budget", dict, {})
-    klass = text(body, "class")
+    """Returns the program described in a request's body."""
+    budget = http_request.checked(body.get("budget"), "budget", dict, {})
+    klass = string_field(body, "class")
     if klass not in ("", "interactive", "batch"):
         raise errors.BadRequest("`class` must be interactive or batch.")
     return requests.NewProgram(
-        program=text(body, "id"),
-        customer=text(body, "customer"),
-        agent=text(body, "agent"),
+        program=string_field(body, "id"),
+        customer=string_field(body, "customer"),
+        agent=string_field(body, "agent"),
         klass=klass,
-        parent=text(body, "parent"),
+        parent=string_field(body, "parent"),
         budget=identities.Budget(
-            tokens=amount(budget, "tokens", int),
-            turns=amount(budget, "turns", int),
-            seconds=amount(budget, "seconds", float),
+            tokens=budget_limit(budget, "tokens", int),
+            turns=budget_limit(budget, "turns", int),
+            seconds=budget_limit(budget, "seconds", float),
         ),
     )
 
 
-def text(body: dict[str, Any], name: str) -> str:
-    """Returns a text field or an empty text."""
-    return http_request.typed(body.get(name), name, str, "")
+def string_field(body: dict[str, Any], name: str) -> str:
+    """Returns a string field, or an empty string if it is absent."""
+    return http_request.checked(body.get(name), name, str, "")
 
 
-def amount(budget: dict[str, Any], name: str, kind: type) -> Any:
-    """Returns a limit of a budget; 0 for none."""
-    return http_request.typed(budget.get(name), f"budget.{name}", kind, kind(0))
+def budget_limit(budget: dict[str, Any], name: str, kind: type) -> Any:
+    """Returns a limit of a budget; 0 if it is absent."""
+    return http_request.checked(
+        budget.get(name), f"budget.{name}", kind, kind(0)
+    )
 
 
 def parse_service(
     environ: http_request.Environ, request_id: str, service: str
 ) -> requests.ServiceCall:
-    """Returns the plain service call that a request asks for."""
+    """Returns the plain service call described by a request."""
     prefix = f"/v1/services/{service}"
     path = environ["PATH_INFO"][len(prefix) :] or "/"
     query = environ.get("QUERY_STRING", "")
@@ -287,7 +295,7 @@
 
 
 def forwarded_headers(environ: http_request.Environ) -> Iterator[list[str]]:
-    """Yields the headers that a plain service may see."""
+    """Yields the headers that are forwarded to a plain service."""
     if environ.get("CONTENT_TYPE"):
         yield ["content-type", environ["CONTENT_TYPE"]]
     for key, value in environ.items():
@@ -299,7 +307,7 @@
 
 
 def view_body(view: program_messages.ProgramView) -> dict[str, Any]:
-    """Returns a program as callers see it."""
+    """Returns the JSON representation of a program for callers."""
     return {
         "id": view.program,
         "customer": view.customer,
@@ -318,7 +326,7 @@
 
 
 def history_body(history: program_messages.History) -> dict[str, Any]:
-    """Returns a history as callers see it."""
+    """Returns the JSON representation of a history for callers."""
     return {
         "id": history.program,
         "turns": [
--- a/src/mintcleat/adapters/chat_http.py
+++ b/src/mintcleat/adapters/chat_http.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible shapes of chat requests and answers."""
+"""The OpenAI-compatible format of chat requests and responses."""
 
 from collections.abc import Iterator
 import json
@@ -16,7 +16,7 @@
     """Returns the chat call that a request asks for.
 
     Raises:
-        errors.BadRequest: A header or a field is malformed.
+        errors.BadRequest: A header or a field is missing or invalid.
     """
     body = http_request.read_object(environ)
     program = http_request.header(environ, "Mintcleat-Program")
@@ -25,7 +25,7 @@
     )
     if program and turn < 1:
         raise errors.BadRequest(
-            "A call of a program needs Mintcleat-Turn: 1, 2, ..."
+            "A call of a program needs the header Mintcleat-Turn, 1 or more."
         )
     deadline = http_request.header(environ, "Mintcleat-Deadline")
     messages = parse_messages(body.pop("messages", None))
@@ -33,44 +33,46 @@
         request=request_id,
         program=program,
         customer=http_request.header(environ, "Mintcleat-Customer"),
-        model=http_request.typed(body.get("model"), "model", str, ""),
+        model=http_request.checked(body.get("model"), "model", str, ""),
         turn=turn,
         key=http_request.header(environ, "Idempotency-Key"),
         messages=messages,
         parameters=json.dumps(body, sort_keys=True),
         deadline=http_request.number(deadline, "Mintcleat-Deadline"),
         max_tokens=max_tokens(body),
-        streamed=http_request.typed(body.get("stream"), "stream", bool, False),
+        streamed=http_request.checked(
+            body.get("stream"), "stream", bool, False
+        ),
     )
 
 
 def parse_messages(value: Any) -> list[str]:
-    """Returns the messages, each as JSON text."""
+    """Returns the messages, each serialized as JSON."""
     if not isinstance(value, list) or not value:
-        raise errors.BadRequest("`messages` must be a list that is not empty.")
+        raise errors.BadRequest("`messages` must be a non-empty list.")
     for message in value:
         if not isinstance(message, dict) or "role" not in message:
             raise errors.BadRequest(
-                "Each message must be an object with a role."
+                "Each message must be an object with the field `role`."
             )
     return [json.dumps(message, sort_keys=True) for message in value]
 
 
 def max_tokens(body: dict[str, Any]) -> int:
-    """Returns the completion limit under either of OpenAI's names."""
+    """Returns the completion limit, given in either of OpenAI's fields."""
     value = body.get("max_completion_tokens", body.get("max_tokens"))
-    return http_request.typed(value, "max_tokens", int, 0)
+    return http_request.checked(value, "max_tokens", int, 0)
 
 
-def whole_answer(
+def completion_body(
     call: requests.ChatCall,
     events: Iterator[requests.AnswerText | requests.AnswerEnd],
 ) -> bytes:
-    """Returns the body of an answer that is not streamed."""
+    """Returns the body of a response that is not streamed."""
     for event in events:
         if isinstance(event, requests.AnswerEnd):
             return json.dumps(completion(call, event)).encode()
-    raise errors.UpstreamFailed("The answer had no end.")
+    raise errors.UpstreamFailed("The response ended without its last event.")
 
 
 def completion(
@@ -102,14 +104,14 @@
     }
 
 
-def streamed_answer(
+def stream_events(
     call: requests.ChatCall,
     events: Iterator[requests.AnswerText | requests.AnswerEnd],
 ) -> Iterator[bytes]:
-    """Yields server-sent events; an error ends the stream as an event.
+    """Yields server-sent events; an error is sent as the last event.
 
-    A stream that failed has no `[DONE]`, so a client can't take the part it
-    has for the whole.
+    A failed stream has no `[DONE]`, so that a client does not mistake an
+    incomplete response for a complete one.
     """
     try:
         for event in events:
--- a/src/mintcleat/adapters/disk_thread.py
+++ b/src/mintcleat/adapters/disk_thread.py
@@ -1,7 +1,7 @@
-"""A thread for the disk, so that the loop never waits for a sync.
+"""A thread for disk operations, so that they do not block the event loop.
 
-A sync takes milliseconds, seconds on a disk that stalls. On the one loop it
-would hold every heartbeat and every answer for as long.
+A sync takes milliseconds, or seconds if the disk stalls. On the event loop it
+would delay all heartbeats and responses for as long.
 """
 
 import collections
@@ -17,15 +17,18 @@
 
 _threading = patcher.original("threading")
 _queue = patcher.original("queue")
-_WAKE_BYTES = 4096
+_WAKE_READ_BYTES = 4096
 
 
 class DiskThread:
-    """Runs calls in order on one thread; see `ports.wal.DiskWorker`.
+    """Runs calls in order on one thread; implements `ports.wal.DiskWorker`.
 
     Attributes:
-        jobs: Calls that wait for the thread.
-        done: Calls that have ended and whose green thread is to be woken.
+        jobs: Queued calls; None ends the thread.
+        done: Finished calls whose green threads are yet to be woken: event,
+            result or exception, and whether it is an exception.
+        wake_reader: Pipe end that the event loop waits on.
+        wake_writer: Pipe end that the thread writes to after each call.
     """
 
     def __init__(
@@ -34,7 +37,8 @@
         """Starts the thread.
 
         Args:
-            observe: Takes the seconds of each call, waiting included.
+            observe: Called with the duration of each call in seconds,
+                including the time in the queue.
         """
         self.observe = observe
         self.closed = False
@@ -42,74 +46,76 @@
         self.done: collections.deque[tuple[event.Event, Any, bool]] = (
             collections.deque()
         )
-        self.wakes, self.wake_end = os.pipe()
-        os.set_blocking(self.wakes, False)
-        os.set_blocking(self.wake_end, False)
-        # The hub may still hold a waiter of an earlier file of this number.
-        hubs.notify_opened(self.wakes)
+        self.wake_reader, self.wake_writer = os.pipe()
+        os.set_blocking(self.wake_reader, False)
+        os.set_blocking(self.wake_writer, False)
+        # The hub may have a stale listener if this file descriptor is reused.
+        hubs.notify_opened(self.wake_reader)
         eventlet.spawn(self._wake_forever)
-        self.thread = _threading.Thread(target=self._work_forever, daemon=True)
+        self.thread = _threading.Thread(target=self._run_forever, daemon=True)
         self.thread.start()
 
     def run(self, function: Callable[..., Any], *args: Any) -> Any:
-        """Returns what the function returns, or raises what it raises.
+        """Runs a function; returns its result or raises its exception.
 
-        After `close` the call is made on the caller's own thread, once the
-        disk's thread has ended: queued there, nobody would ever make it.
+        After `close` the function runs on the caller's thread, once the disk
+        thread has finished, which would never run a queued call.
         """
         if self.closed:
             self.thread.join()
             return function(*args)
-        ended = event.Event()
-        began = time.monotonic()
-        self.jobs.put((function, args, ended))
-        value, failed = ended.wait()
-        self.observe(time.monotonic() - began)
+        finished = event.Event()
+        start = time.monotonic()
+        self.jobs.put((function, args, finished))
+        value, failed = finished.wait()
+        self.observe(time.monotonic() - start)
         if failed:
             raise value
         return value
 
     def pause(self) -> None:
-        """Runs the calls that wait; a long call makes room with it."""
+        """Runs the queued calls; to be called within a long operation."""
         while not self.jobs.empty():
             job = self.jobs.get()
             if job is None:
                 self.jobs.put(None)
                 return
-            self._work(job)
+            self._run_job(job)
 
     def blocks_caller(self) -> bool:
-        """Returns False: only the calling green thread waits."""
+        """Returns False, because only the calling green thread waits."""
         return False
 
     def close(self) -> None:
-        """Ends the thread after the calls that wait; safe to repeat."""
+        """Ends the thread after the queued calls; can be called again."""
         if self.closed:
             return
         self.closed = True
         self.jobs.put(None)
 
-    def _work_forever(self) -> None:
+    def _run_forever(self) -> None:
         while (job := self.jobs.get()) is not None:
-            self._work(job)
+            self._run_job(job)
 
-    def _work(self, job: tuple[Callable[..., Any], Any, event.Event]) -> None:
-        function, args, ended = job
+    def _run_job(
+        self, job: tuple[Callable[..., Any], Any, event.Event]
+    ) -> None:
+        function, args, finished = job
         try:
-            outcome = (ended, function(*args), False)
+            outcome = (finished, function(*args), False)
         except Exception as error:
-            outcome = (ended, error, True)
+            outcome = (finished, error, True)
         self.done.append(outcome)
         try:
-            os.write(self.wake_end, b"x")
+            os.write(self.wake_writer, b"x")
         except BlockingIOError:
-            # The pipe is full of wakes that were not taken yet.
+            # The pipe is full, so the event loop will be woken anyway.
             return
 
     def _wake_forever(self) -> None:
         while True:
-            hubs.trampoline(self.wakes, read=True)
-            os.read(self.wakes, _WAKE_BYTES)
+            hubs.trampoline(self.wake_reader, read=True)
+            os.read(self.wake_reader, _WAKE_READ_BYTES)
             while self.done:
-                ended, value, failed = self.done.popleft()
-                ended.send((value, failed))
+                finished, value, failed = self.done.popleft()
+                finished.send((value, failed))
--- a/src/mintcleat/adapters/engine_http.py
+++ b/src/mintcleat/adapters/engine_http.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP: completions and the control surface."""
+"""An adapter for model engines over HTTP: completions and control API."""
 
 import collections
 from collections.abc import Iterator
@@ -14,11 +14,11 @@
 from mintcleat.domain import identities
 from mintcleat.ports import upstream
 
-_CONTROL_SECONDS = 5.0
-_ORDER_SECONDS = 600.0
+_CONTROL_TIMEOUT_SECONDS = 5.0
+_ORDER_TIMEOUT_SECONDS = 600.0
 _OK = 200
 _CONFLICT = 409
-_BLOCK = 65536
+_READ_BYTES = 65536
 
 
 class _Delta(TypedDict, total=False):
@@ -50,21 +50,22 @@
 
 
 class HttpEngine:
-    """See `ports.upstream.ModelEngine`.
+    """Implements `ports.upstream.ModelEngine`.
 
     Attributes:
-        stall: Seconds without a byte after which a stream counts as lost.
+        read_timeout: Time in seconds without data after which a stream counts
+            as lost.
     """
 
     def __init__(
-        self, address: str, connections: int = 64, stall: float = 30.0
+        self, address: str, connections: int = 64, read_timeout: float = 30.0
     ) -> None:
         self.base = f"http://{address}"
         self.pool = http_errors.new_pool(connections)
-        self.stall = stall
+        self.read_timeout = read_timeout
 
     def info(self) -> upstream.EngineInfo:
-        """Returns what the engine announces."""
+        """Returns the engine's model and capabilities."""
         return self._get("info", upstream.EngineInfo)
 
     def load(self) -> upstream.EngineLoad:
@@ -74,7 +75,7 @@
     def run(
         self, call: upstream.EngineCall
     ) -> Iterator[upstream.TextChunk | upstream.End]:
-        """Runs a call as a stream of server-sent events."""
+        """Runs a call and yields its streamed result."""
         headers = {
             "Content-Type": "application/json",
             "X-Request-Id": call.request,
@@ -86,7 +87,7 @@
             f"{self.base}/v1/chat/completions",
             body=request_body(call),
             headers=headers,
-            timeout=self.stall,
+            timeout=self.read_timeout,
             stream=True,
         )
         return self._events(response, 0)
@@ -94,61 +95,61 @@
     def resume(
         self, request: str, offset: int
     ) -> Iterator[upstream.TextChunk | upstream.End]:
-        """Follows a running call again, from a character offset."""
+        """Resumes the stream of a running call at a character offset."""
         response = http_errors.request(
             self.pool,
             "GET",
             f"{self.base}/control/streams/{request}?offset={offset}",
-            timeout=self.stall,
+            timeout=self.read_timeout,
             stream=True,
         )
         return self._events(response, offset)
 
     def cancel(self, request: str) -> None:
-        """Stops a call."""
+        """Cancels a call."""
         self._call("DELETE", f"streams/{request}")
 
     def events(self, after: int, wait: float) -> upstream.CacheEvents:
-        """Returns cache events above `after`."""
+        """Returns cache events with sequence numbers above `after`."""
         return self._get(
             f"events?after={after}&wait={wait}", upstream.CacheEvents, wait
         )
 
     def cache_listing(self) -> upstream.CacheListing:
-        """Returns everything that the cache holds."""
+        """Returns the content of the prefix cache."""
         return self._get("cache", upstream.CacheListing)
 
     def release(self, programs: list[str]) -> None:
-        """Frees what the programs hold."""
+        """Evicts the programs' caches."""
         self._post("release", {"programs": programs})
 
     def truncate(self, program: str, keep: int) -> None:
-        """Frees what a program holds beyond its first `keep` tokens."""
+        """Evicts a program's cache beyond its first `keep` tokens."""
         self._post("shorten", {"program": program, "keep": keep})
 
     def pin(self, program: str) -> None:
-        """Keeps a program's cache from eviction until it is released."""
+        """Protects a program's cache from eviction until it is released."""
         self._post("hold", {"program": program})
 
     def export_cache(self, program: str) -> bytes:
-        """Returns a program's cache."""
+        """Returns a program's cache in serialized form."""
         return self._call("GET", f"export?program={program}")
 
     def import_cache(self, exported: bytes) -> None:
-        """Takes in a cache that another engine exported."""
+        """Imports a cache that another engine exported."""
         self._call("POST", "import", exported)
 
     def order(self, fencing_token: int, action: str, model: str) -> None:
-        """Carries out an order."""
+        """Executes an order."""
         body = {"fence": fencing_token, "action": action, "model": model}
-        self._post("orders", body, _ORDER_SECONDS)
+        self._post("orders", body, _ORDER_TIMEOUT_SECONDS)
 
     def _get(self, path: str, kind: type, extra: float = 0.0) -> Any:
-        data = self._call("GET", path, timeout=_CONTROL_SECONDS + extra)
-        return named(kind, msgspec.json.decode(data))
+        data = self._call("GET", path, timeout=_CONTROL_TIMEOUT_SECONDS + extra)
+        return to_named_tuple(kind, msgspec.json.decode(data))
 
     def _post(
-        self, path: str, body: Any, timeout: float = _CONTROL_SECONDS
+        self, path: str, body: Any, timeout: float = _CONTROL_TIMEOUT_SECONDS
     ) -> None:
         self._call("POST", path, msgspec.json.encode(body), timeout)
 
@@ -157,7 +158,7 @@
         method: str,
         path: str,
         body: bytes | None = None,
-        timeout: float = _CONTROL_SECONDS,
+        timeout: float = _CONTROL_TIMEOUT_SECONDS,
     ) -> bytes:
         url = f"{self.base}/control/{path}"
         response = http_errors.request(
@@ -178,17 +179,22 @@
 def read_events(
     response: urllib3.BaseHTTPResponse, offset: int
 ) -> Iterator[upstream.TextChunk | upstream.End]:
-    """Yields the pieces of a stream and its end.
+    """Yields the text chunks of a stream and its end.
 
-    The engine's `[DONE]` is the only proof that an answer is whole; a stream
-    that stops without it raises errors.StreamClosed.
+    Args:
+        response: The response, whose body is not read yet.
+        offset: Number of characters received before, when resuming.
+
+    Raises:
+        errors.StreamClosed: The stream ended without `[DONE]`, which alone
+            shows that a response is complete.
     """
     received = offset
     total = -1
     reason = ""
     usage: _Usage = {}
     done = False
-    body = lines(response)
+    body = read_lines(response)
     try:
         for line in body:
             if line == b"data: [DONE]":
@@ -209,27 +215,28 @@
         raise http_errors.translate(error) from error
     except msgspec.DecodeError as error:
         raise errors.StreamClosed(
-            f"The engine sent no JSON: {error}."
+            f"The engine sent invalid JSON: {error}."
         ) from error
     finally:
         if done:
-            give_back(response, body)
+            release_connection(response, body)
         else:
             response.close()
     if not done:
-        raise errors.StreamClosed("The engine's stream ended too early.")
-    # An engine without the field can't tell whether a piece was lost.
+        raise errors.StreamClosed("The engine's stream ended before `[DONE]`.")
+    # Without the field, lost characters cannot be detected.
     total = received if total < 0 else total
     yield upstream.End(total, reason, to_usage(usage))
 
 
-def give_back(
+def release_connection(
     response: urllib3.BaseHTTPResponse, body: Iterator[bytes]
 ) -> None:
-    """Reads a body's last chunk, so that its connection is used again.
+    """Reads the rest of a body, so that its connection can be reused.
 
-    A connection that was not read to the end is closed, and each call would
-    pay for a new one. The answer is whole already, so a failure is no loss.
+    urllib3 closes a connection whose body was not read to its end, and each
+    call would need a new one. Errors are ignored, because the response is
+    complete already.
     """
     try:
         collections.deque(body, maxlen=0)
@@ -238,10 +245,10 @@
         response.close()
 
 
-def lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yields the lines of a body as they come."""
+def read_lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+    """Yields the lines of a body as they arrive."""
     rest = b""
-    for block in response.stream(_BLOCK):
+    for block in response.stream(_READ_BYTES):
         parts = (rest + block).split(b"\n")
         rest = parts.pop()
         for part in parts:
@@ -249,15 +256,16 @@
 
 
 def check_status(status: int, data: bytes) -> None:
-    """Raises the typed error of an engine's refusal.
+    """Raises the error for an engine's status code, if it is one.
 
-    An engine's 5xx is its own trouble, and another one may do better; a 4xx
-    is about the request and would be the same everywhere.
+    A 5xx status is a failure of the engine, so a retry at another engine may
+    succeed. A 4xx status is caused by the request and would be the same at
+    every engine.
     """
     if status < 400:
         return
     text = data[:200].decode(errors="replace")
-    detail = f"The engine answered {status}: {text}"
+    detail = f"The engine responded with status {status}: {text}"
     if status == _CONFLICT:
         raise errors.FencedOff(detail)
     outcome = errors.UNKNOWN if status >= 500 else errors.RAN
@@ -265,7 +273,7 @@
 
 
 def request_body(call: upstream.EngineCall) -> bytes:
-    """Returns the OpenAI body; the messages are JSON texts already."""
+    """Returns the request body in OpenAI's format."""
     fields = msgspec.json.decode(call.parameters) if call.parameters else {}
     fields["stream"] = True
     fields["stream_options"] = {"include_usage": True}
@@ -276,7 +284,7 @@
 
 
 def to_usage(usage: _Usage) -> identities.Usage:
-    """Returns the usage as the engine reported it."""
+    """Returns the token counts that the engine reported."""
     details = usage.get("prompt_tokens_details") or {}
     return identities.Usage(
         usage.get("prompt_tokens", 0),
@@ -285,11 +293,11 @@
     )
 
 
-def named(kind: type, fields: Any) -> Any:
-    """Returns a NamedTuple from a JSON object, checked against its types.
+def to_named_tuple(kind: type, fields: Any) -> Any:
+    """Returns a named tuple with the fields of a JSON object.
 
     Raises:
-        errors.UpstreamFailed: The engine sent something else.
+        errors.UpstreamFailed: A field is missing or has the wrong type.
     """
     if kind is upstream.CacheEvents:
         fields["events"] = [
@@ -307,5 +315,5 @@
         return msgspec.convert(values, kind)
     except (KeyError, TypeError, msgspec.ValidationError) as error:
         raise errors.UpstreamFailed(
-            f"The engine sent a bad {kind.__name__}: {error!r}."
+            f"The engine sent an invalid {kind.__name__}: {error!r}."
         ) from error
--- a/src/mintcleat/adapters/event_log.py
+++ b/src/mintcleat/adapters/event_log.py
@@ -1,8 +1,9 @@
-"""Events as JSON lines on standard output, bounded and never in the way.
+"""Writes events as JSON lines to standard output, without blocking.
 
-A writer thread holds the only blocking call. Lines wait in a bounded queue;
-when its reader stalls or there are more lines than the budget, lines give way
-by their weight, and what gave way is counted and said.
+A thread does the blocking writes. Lines wait in a bounded queue. If the reader
+of the output stalls, or if there are more lines than the budget allows, lines
+are dropped, those of lower severity first; the number of dropped lines is
+reported as an event.
 """
 
 import collections
@@ -22,15 +23,16 @@
 
 
 class Budget(NamedTuple):
-    """Lines that a process may write.
+    """Limits of the lines that a process writes.
 
     Attributes:
         lines_per_second: Sustained rate. A line takes about 20 microseconds
             of CPU time, so the default uses 1% of a core.
         burst: Lines that may exceed the rate at once.
         queue_size: Lines that may wait for the writer thread.
-        details_share: Above half of the rate, this share of the requests,
-            by id, keeps its details; the same ones in all processes.
+        details_share: Share of the requests whose detail events are kept
+            when half of the burst is used up. Chosen by a hash of the request
+            id, so that all processes keep those of the same requests.
     """
 
     lines_per_second: float = 500.0
@@ -40,14 +42,22 @@
 
 
 DEFAULT_BUDGET = Budget()
-# Lines in one write; more would lie beside the bounded queue.
-_BATCH = 256
-# Room that must be left for a line of each weight, as a share of the burst.
-_RESERVED = {events.STATE: 0.0, events.ERROR: 0.1, events.DETAIL: 0.25}
+# Maximum number of lines in one write. They are no longer counted as queued.
+_BATCH_LINES = 256
+# Share of the burst that must be left over for a line of each severity.
+_RESERVED_SHARE = {events.STATE: 0.0, events.ERROR: 0.1, events.DETAIL: 0.25}
 
 
 class EventLog:
-    """Writes events; see `ports.events.EventReporter`."""
+    """Implements `ports.events.EventReporter`.
+
+    Attributes:
+        queue: Encoded lines that wait for the writer thread.
+        tokens: Lines that may be written now (a token bucket).
+        dropped: Lines dropped since the last LinesDropped event.
+        number: Events reported so far, dropped ones included.
+        broken: Whether writing failed; all later events are dropped.
+    """
 
     def __init__(
         self,
@@ -62,49 +72,49 @@
         self.names = {kind: events.name_of(kind) for kind in events.KINDS}
         self.queue: collections.deque[bytes] = collections.deque()
         self.tokens = budget.burst
-        self.refilled = time.monotonic()
+        self.refilled_at = time.monotonic()
         self.dropped = 0
         self.number = 0
-        self.wake = _threading.Event()
+        self.work_available = _threading.Event()
         self.broken = False
         self.thread = _threading.Thread(target=self._write, daemon=True)
         self.thread.start()
 
     def emit(self, event: Any) -> None:
-        """Takes one event; drops it when it is over the budget."""
+        """Reports one event; drops it if the budget is exceeded."""
         self.number += 1
         if not self._admit(event):
             self.dropped += 1
             return
         if self.dropped and self.tokens > 1.0:
             dropped, self.dropped = self.dropped, 0
-            self._put(events.LinesDropped(dropped, "over the budget"))
-        self._put(event)
+            self._enqueue(events.LinesDropped(dropped, "over the budget"))
+        self._enqueue(event)
 
     def close(self, seconds: float = 0.2) -> None:
-        """Waits until what waits is written, or the time is over."""
+        """Waits up to `seconds` until the queued lines are written."""
         until = time.monotonic() + seconds
         while self.queue and time.monotonic() < until and not self.broken:
-            self.wake.set()
+            self.work_available.set()
             time.sleep(0.005)
 
     def _admit(self, event: Any) -> bool:
         now = time.monotonic()
-        passed, self.refilled = now - self.refilled, now
+        elapsed, self.refilled_at = now - self.refilled_at, now
         budget = self.budget
         self.tokens = min(
-            budget.burst, self.tokens + passed * budget.lines_per_second
+            budget.burst, self.tokens + elapsed * budget.lines_per_second
         )
-        weight = events.severity_of(event)
+        severity = events.severity_of(event)
         if len(self.queue) >= budget.queue_size or self.broken:
             return False
-        if weight == events.DETAIL and self.tokens < budget.burst / 2:
+        if severity == events.DETAIL and self.tokens < budget.burst / 2:
             digest = xxhash.xxh32_intdigest(event.request.encode())
             if digest >= budget.details_share * 2**32:
                 return False
-        return self.tokens >= 1.0 + _RESERVED[weight] * budget.burst
+        return self.tokens >= 1.0 + _RESERVED_SHARE[severity] * budget.burst
 
-    def _put(self, event: Any) -> None:
+    def _enqueue(self, event: Any) -> None:
         self.tokens -= 1.0
         line = {
             "at": round(time.time(), 4),
@@ -114,15 +124,15 @@
             **event._asdict(),
         }
         self.queue.append(self.encoder.encode(line))
-        self.wake.set()
+        self.work_available.set()
 
     def _write(self) -> None:
         while not self.broken:
             if not self.queue:
-                self.wake.wait()
-                self.wake.clear()
+                self.work_available.wait()
+                self.work_available.clear()
             lines = []
-            while self.queue and len(lines) < _BATCH:
+            while self.queue and len(lines) < _BATCH_LINES:
                 lines.append(self.queue.popleft().decode())
             if not lines:
                 continue
@@ -130,5 +140,5 @@
                 self.sink.write("\n".join(lines) + "\n")
                 self.sink.flush()
             except (OSError, ValueError):
-                # Nobody reads any more; the process goes on without.
+                # The reader has closed the output; the process continues.
                 self.broken = True
--- a/src/mintcleat/adapters/event_metrics.py
+++ b/src/mintcleat/adapters/event_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms made from the events that a process tells."""
+"""Counters and histograms derived from the events of a process."""
 
 from typing import Any
 
@@ -6,12 +6,12 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import metrics as metric_ports
 
-# Customers with counters of their own; a scrape of thousands is of no use.
-MOST_CUSTOMERS = 200
+# Limits the number of time series; later customers share the label `other`.
+MAX_CUSTOMER_LABELS = 200
 
 
 class EventMetrics:
-    """Counts each event and passes it on; see `ports.events.EventReporter`."""
+    """Updates metrics for each event and forwards it to the event log."""
 
     def __init__(
         self, metrics: metric_ports.Metrics, log: event_ports.EventReporter
@@ -21,7 +21,7 @@
         self.customers: set[str] = set()
 
     def emit(self, event: Any) -> None:
-        """Takes one event."""
+        """Reports one event."""
         self.log.emit(event)
         metrics = self.metrics
         match event:
@@ -47,7 +47,7 @@
                 if event.customer:
                     metrics.count(
                         "customer_refusals_total",
-                        customer=self._counted(event.customer),
+                        customer=self._customer_label(event.customer),
                         kind=event.kind,
                     )
             case events.CallCounted():
@@ -67,8 +67,8 @@
             case events.LinesDropped():
                 metrics.count("log_drops_total", reason=event.reason)
 
-    def _counted(self, customer: str) -> str:
-        """Returns a customer's label; later ones share one."""
-        if len(self.customers) < MOST_CUSTOMERS:
+    def _customer_label(self, customer: str) -> str:
+        """Returns the label of a customer."""
+        if len(self.customers) < MAX_CUSTOMER_LABELS:
             self.customers.add(customer)
         return customer if customer in self.customers else "other"
--- a/src/mintcleat/adapters/histories.py
+++ b/src/mintcleat/adapters/histories.py
@@ -1,9 +1,8 @@
-"""Histories in files, so that memory holds only where each record is.
+"""A history store in files, with only the records' locations in memory.
 
-Records go to the end of the newest segment file. The kernel's page cache is
-the bounded cache: recent records are read from memory, old ones from disk.
-Nothing is synced: a restart fills the store again from snapshot and log, so
-a lost tail costs nothing and a torn one is never read.
+Records are appended to the newest segment file. The kernel's page cache serves
+as the cache: recent records are read from memory, old ones from disk. Nothing
+is synced, because the store is refilled from snapshot and log on a restart.
 """
 
 import array
@@ -16,12 +15,12 @@
 
 from mintcleat.domain import errors
 
-# Small enough that moving the rest of a segment takes milliseconds, large
-# enough that a group of some gigabytes has hundreds of files, not millions.
+# Compacting one segment takes milliseconds, and a group of some gigabytes has
+# hundreds of files.
 SEGMENT_BYTES = 8 * 1024 * 1024
-# A segment with less than this share alive is emptied into the newest one;
-# the file space is then at most this share's inverse of what is alive.
-_MIN_ALIVE = 0.25
+# A segment whose share of live bytes falls below this is compacted. Files are
+# thus at most four times as large as the live records.
+_MIN_LIVE_SHARE = 0.25
 _HEADER = struct.Struct(">IQ")
 _OFFSET_BITS = 32
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
@@ -31,38 +30,40 @@
     """One append-only file.
 
     Attributes:
-        size: Bytes written.
-        alive: Bytes of records that are not forgotten.
+        size: Size in bytes.
+        live_bytes: Bytes of records that have not been deleted.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
         self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
         self.size = 0
-        self.alive = 0
+        self.live_bytes = 0
 
     def append(self, data: bytes) -> int:
-        """Writes a framed record and returns its offset."""
+        """Appends a record with a header and returns its offset."""
         frame = _HEADER.pack(len(data), xxhash.xxh3_64_intdigest(data)) + data
         offset = self.size
         written = 0
         while written < len(frame):
             written += os.pwrite(self.file, frame[written:], offset + written)
         self.size += len(frame)
-        self.alive += len(frame)
+        self.live_bytes += len(frame)
         return offset
 
     def read(self, offset: int) -> bytes:
-        """Returns the record at an offset, checked against its digest."""
+        """Returns the record at an offset.
+
+        Raises:
+            errors.StorageDamaged: Its digest does not match.
+        """
         header = os.pread(self.file, _HEADER.size, offset)
         if len(header) == _HEADER.size:
             length, digest = _HEADER.unpack(header)
             data = os.pread(self.file, length, offset + _HEADER.size)
             if xxhash.xxh3_64_intdigest(data) == digest:
                 return data
-        raise errors.StorageDamaged(
-            f"{self.path} is damaged at offset {offset}."
-        )
+        raise errors.StorageDamaged(f"{self.path} is corrupt at byte {offset}.")
 
     def remove(self) -> None:
         """Closes and deletes the file."""
@@ -71,57 +72,60 @@
 
 
 class FileHistoryStore:
-    """Records of one group in a folder; see `ports.histories.HistoryStore`.
+    """Implements `ports.histories.HistoryStore` with files in a folder.
 
     Attributes:
-        segments: Files by number; the largest number is written to.
-        places: Segment number and offset of each record, by name.
+        segments: Files by number; records are appended to the highest.
+        locations: Segment number and offset of each record, packed into one
+            integer, by sequence name.
     """
 
     def __init__(
         self, folder: pathlib.Path, segment_bytes: int = SEGMENT_BYTES
     ) -> None:
-        """Starts empty; files of an earlier life are deleted."""
+        """Creates an empty store; deletes files of an earlier process."""
         self.folder = folder
         self.segment_bytes = segment_bytes
         self.segments: dict[int, Segment] = {}
-        self.places: dict[str, array.array[int]] = {}
+        self.locations: dict[str, array.array[int]] = {}
         self.newest = 0
         folder.mkdir(parents=True, exist_ok=True)
         for path in folder.glob("*.history"):
             path.unlink()
 
     def append(self, name: str, record: bytes) -> None:
-        """Adds the next record of a sequence."""
-        place = self._write(name, record)
-        self.places.setdefault(name, array.array("Q")).append(place)
+        """Appends a record to a sequence."""
+        location = self._write(name, record)
+        self.locations.setdefault(name, array.array("Q")).append(location)
 
     def read(self, name: str, first: int, last: int) -> list[bytes]:
-        """Returns the records `first` to `last`, counted from 1."""
-        places = self.places.get(name)
-        if places is None:
+        """Returns the records `first` to `last`, numbered from 1."""
+        locations = self.locations.get(name)
+        if locations is None:
             return []
-        return [self._load(place)[1] for place in places[first - 1 : last]]
+        return [
+            self._load(location)[1] for location in locations[first - 1 : last]
+        ]
 
     def forget(self, name: str) -> None:
-        """Drops a sequence; safe to repeat."""
-        touched = set()
-        for place in self.places.pop(name, ()):
-            segment = self.segments[place >> _OFFSET_BITS]
-            segment.alive -= self._frame_size(place)
-            touched.add(place >> _OFFSET_BITS)
-        for number in sorted(touched):
-            self._reclaim(number)
+        """Deletes a sequence, if it exists."""
+        affected = set()
+        for location in self.locations.pop(name, ()):
+            segment = self.segments[location >> _OFFSET_BITS]
+            segment.live_bytes -= self._frame_size(location)
+            affected.add(location >> _OFFSET_BITS)
+        for number in sorted(affected):
+            self._compact(number)
 
     def clear(self) -> None:
-        """Drops every sequence."""
+        """Deletes all sequences."""
         for segment in self.segments.values():
             segment.remove()
         self.segments.clear()
-        self.places.clear()
+        self.locations.clear()
 
     def file_bytes(self) -> int:
-        """Returns the space that the files take."""
+        """Returns the total size of the files in bytes."""
         return sum(segment.size for segment in self.segments.values())
 
     def _write(self, name: str, record: bytes) -> int:
@@ -133,34 +137,37 @@
         data = msgpack.packb([name, record])
         return self.newest << _OFFSET_BITS | segment.append(data)
 
-    def _load(self, place: int) -> tuple[str, bytes]:
-        segment = self.segments[place >> _OFFSET_BITS]
-        name, record = msgpack.unpackb(segment.read(place & _OFFSET_MASK))
+    def _load(self, location: int) -> tuple[str, bytes]:
+        segment = self.segments[location >> _OFFSET_BITS]
+        name, record = msgpack.unpackb(segment.read(location & _OFFSET_MASK))
         return name, record
 
-    def _frame_size(self, place: int) -> int:
-        segment = self.segments[place >> _OFFSET_BITS]
-        header = os.pread(segment.file, _HEADER.size, place & _OFFSET_MASK)
+    def _frame_size(self, location: int) -> int:
+        segment = self.segments[location >> _OFFSET_BITS]
+        header = os.pread(segment.file, _HEADER.size, location & _OFFSET_MASK)
         return _HEADER.size + _HEADER.unpack(header)[0]
 
-    def _reclaim(self, number: int) -> None:
-        """Deletes a segment, once its few live records have moved."""
+    def _compact(self, number: int) -> None:
+        """Moves a segment's live records and deletes it, if few are live."""
         segment = self.segments[number]
-        if number == self.newest or segment.alive > _MIN_ALIVE * segment.size:
+        if (
+            number == self.newest
+            or segment.live_bytes > _MIN_LIVE_SHARE * segment.size
+        ):
             return
-        if segment.alive:
-            self._move_out(number)
+        if segment.live_bytes:
+            self._move_live_records(number)
         del self.segments[number]
         segment.remove()
 
-    def _move_out(self, number: int) -> None:
-        """Writes a segment's live records anew and updates their places."""
+    def _move_live_records(self, number: int) -> None:
+        """Appends a segment's live records to the newest segment."""
         segment = self.segments[number]
         offset = 0
         while offset < segment.size:
-            place = number << _OFFSET_BITS | offset
-            offset += self._frame_size(place)
-            name, record = self._load(place)
-            places = self.places.get(name)
-            if places is not None and place in places:
-                places[places.index(place)] = self._write(name, record)
+            location = number << _OFFSET_BITS | offset
+            offset += self._frame_size(location)
+            name, record = self._load(location)
+            locations = self.locations.get(name)
+            if locations is not None and location in locations:
+                locations[locations.index(location)] = self._write(name, record)
--- a/src/mintcleat/adapters/http_errors.py
+++ b/src/mintcleat/adapters/http_errors.py
@@ -1,4 +1,4 @@
-"""Requests over urllib3, with failures told apart by what was delivered."""
+"""Requests over urllib3, whose failures raise `domain.errors`."""
 
 import urllib3
 from urllib3 import exceptions
@@ -6,7 +6,7 @@
 from mintcleat.domain import errors
 
 CONNECT_SECONDS = 2.0
-_REFUSED = (
+_NOT_CONNECTED = (
     exceptions.NewConnectionError,
     exceptions.ConnectTimeoutError,
     exceptions.NameResolutionError,
@@ -14,10 +14,10 @@
 
 
 def new_pool(connections: int) -> urllib3.PoolManager:
-    """Returns a pool that never repeats a request by itself.
+    """Returns a connection pool that never retries.
 
-    A repeat by the library could run a non-idempotent request twice, so the
-    decision stays with the sidecar.
+    A retry by urllib3 could run a non-idempotent request twice; the sidecar
+    decides about retries.
     """
     return urllib3.PoolManager(
         num_pools=4, maxsize=connections, retries=False, block=False
@@ -34,12 +34,13 @@
     timeout: float = 0.0,
     stream: bool = False,
 ) -> urllib3.BaseHTTPResponse:
-    """Sends one request; `timeout` of 0 means no limit on reading.
+    """Sends a request; a `timeout` of 0 does not limit reading.
 
     Raises:
-        errors.NoUpstream: No connection, so nothing was delivered.
-        errors.StreamTimeout: Nothing came within `timeout` seconds.
-        errors.StreamClosed: The connection was lost after delivery.
+        errors.NoUpstream: Connecting failed, so nothing was delivered.
+        errors.StreamTimeout: No data arrived within `timeout` seconds.
+        errors.StreamClosed: The connection was lost; the request may have been
+            delivered.
     """
     limit = urllib3.Timeout(connect=CONNECT_SECONDS, read=timeout or None)
     try:
@@ -57,9 +58,13 @@
 
 
 def translate(error: exceptions.HTTPError) -> errors.MintcleatError:
-    """Returns the typed error of a failed request."""
-    if isinstance(error, _REFUSED):
-        return errors.NoUpstream(f"The upstream cannot be reached: {error}.")
+    """Returns the error for an exception of urllib3."""
+    if isinstance(error, _NOT_CONNECTED):
+        return errors.NoUpstream(f"The upstream is unreachable: {error}.")
     if isinstance(error, exceptions.TimeoutError):
-        return errors.StreamTimeout(f"The upstream did not answer: {error}.")
-    return errors.StreamClosed(f"The upstream was lost: {error}.")
+        return errors.StreamTimeout(
+            f"The upstream did not respond in time: {error}."
+        )
+    return errors.StreamClosed(
+        f"The connection to the upstream was lost: {error}."
+    )
--- a/src/mintcleat/adapters/logs.py
+++ b/src/mintcleat/adapters/logs.py
@@ -1,6 +1,6 @@
-"""Structured logs by loguru: text for people, JSON lines for machines.
+"""Configuration of loguru for text or JSON lines.
 
-Message content and tokens never reach the log: roles bind ids only.
+Message contents and tokens are never logged; roles bind only ids.
 """
 
 import json
@@ -19,7 +19,7 @@
 def configure(
     instance: str, level: str, as_json: bool, sink: TextIO = sys.stderr
 ) -> None:
-    """Sends the process's logs to `sink`, each line with its instance."""
+    """Writes the process's logs to `sink`, with the instance in each line."""
     logger.remove()
     logger.configure(extra={"instance": instance})
     if as_json:
@@ -33,7 +33,7 @@
 
 
 def json_line(record: Any) -> str:
-    """Returns one log record as a JSON object in one line."""
+    """Returns a log record as a JSON object on one line."""
     line = {
         "time": record["time"].isoformat(),
         "level": record["level"].name.lower(),
--- a/src/mintcleat/adapters/metrics.py
+++ b/src/mintcleat/adapters/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics by aioprometheus, rendered for a scrape."""
+"""Prometheus metrics, on aioprometheus."""
 
 import aioprometheus
 
-_BUCKETS = [
+_BUCKETS_SECONDS = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
     10.0, 30.0, 120.0, 600.0,
 ]  # fmt: skip
@@ -33,14 +33,14 @@
 
 
 class PrometheusMetrics:
-    """One registry per process; see `ports.metrics.Metrics`."""
+    """Implements `ports.metrics.Metrics` with one registry per process."""
 
     def __init__(self) -> None:
         self.registry = aioprometheus.Registry()
         self.collectors: dict[str, aioprometheus.collectors.Collector] = {}
 
     def count(self, name: str, **labels: str) -> None:
-        """Adds one to a counter."""
+        """Increments a counter by one."""
         self._collector(aioprometheus.Counter, name).inc(labels)
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
@@ -48,11 +48,11 @@
         self._collector(aioprometheus.Gauge, name).set(labels, value)
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Adds one observation to a histogram of seconds."""
+        """Adds a duration to a histogram."""
         self._collector(aioprometheus.Histogram, name).observe(labels, seconds)
 
     def render(self) -> tuple[bytes, str]:
-        """Returns the text of a scrape and its content type."""
+        """Returns the metrics in text format, and the content type."""
         body, headers = aioprometheus.render(self.registry, [])
         return body, headers["Content-Type"]
 
@@ -63,7 +63,7 @@
         if found is None:
             extra = {}
             if kind is aioprometheus.Histogram:
-                extra = {"buckets": _BUCKETS}
+                extra = {"buckets": _BUCKETS_SECONDS}
             found = kind(
                 f"mintcleat_{name}",
                 _HELP.get(name, name),
--- a/src/mintcleat/adapters/metrics_http.py
+++ b/src/mintcleat/adapters/metrics_http.py
@@ -1,4 +1,4 @@
-"""The scrape of a process whose roles have no HTTP for callers."""
+"""The metrics endpoint of processes without a callers' interface."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,7 +10,11 @@
 
 
 class MetricsApp:
-    """Serves /metrics, with the gauges read at that moment."""
+    """A WSGI application that serves /metrics.
+
+    Attributes:
+        refresh: Updates the gauges; called for each request.
+    """
 
     def __init__(
         self,
--- a/src/mintcleat/adapters/plain_http.py
+++ b/src/mintcleat/adapters/plain_http.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""An adapter for plain services over HTTP."""
 
 import eventlet
 import urllib3
@@ -22,7 +22,7 @@
 
 
 class HttpService:
-    """See `ports.upstream.PlainService`."""
+    """Implements `ports.upstream.PlainService`."""
 
     def __init__(self, address: str, connections: int = 64) -> None:
         self.address = address
@@ -30,7 +30,7 @@
         self.pool = http_errors.new_pool(connections)
 
     def alive(self) -> bool:
-        """Tells whether the service takes connections."""
+        """Returns whether the service accepts connections."""
         host, _, port = self.address.rpartition(":")
         try:
             with eventlet.Timeout(http_errors.CONNECT_SECONDS, TimeoutError):
@@ -47,12 +47,12 @@
         body: bytes,
         timeout: float,
     ) -> upstream.Reply:
-        """Sends one request and returns the whole answer."""
+        """Sends a request and returns the complete response."""
         sent = urllib3.HTTPHeaderDict()
         for name, value in end_to_end(headers):
             sent.add(name, value)
-        # urllib3's own limit is for each read, so that a service which sends
-        # a byte now and then would hold the call for ever.
+        # The timeout of urllib3 applies to each read, so a service that sends
+        # a byte now and then would never exceed it.
         try:
             with eventlet.Timeout(timeout or None, TimeoutError):
                 response = http_errors.request(
@@ -64,7 +64,7 @@
                 )
         except TimeoutError:
             raise errors.StreamTimeout(
-                f"The service gave no whole answer within {timeout} s."
+                f"The service did not complete its response within {timeout} s."
             ) from None
         received = [[name, value] for name, value in response.headers.items()]
         return upstream.Reply(
@@ -73,5 +73,5 @@
 
 
 def end_to_end(headers: list[list[str]]) -> list[list[str]]:
-    """Returns the headers that are not about one connection only."""
+    """Returns the headers without hop-by-hop headers."""
     return [pair for pair in headers if pair[0].lower() not in _HOP_HEADERS]
--- a/src/mintcleat/adapters/problems.py
+++ b/src/mintcleat/adapters/problems.py
@@ -1,4 +1,4 @@
-"""Typed errors as `application/problem+json`."""
+"""Errors as `application/problem+json` (RFC 9457)."""
 
 import http
 import json
@@ -10,7 +10,7 @@
 
 
 class Problem(TypedDict):
-    """The body of a refusal."""
+    """The body of an error response."""
 
     type: str
     title: str
@@ -24,7 +24,7 @@
 
 
 def problem(error: errors.MintcleatError, request_id: str) -> Problem:
-    """Returns the body that tells a caller of an error."""
+    """Returns the body of an error response."""
     return Problem(
         type=f"urn:mintcleat:{error.kind}",
         title=error.kind.replace("_", " "),
@@ -39,7 +39,7 @@
 
 
 def status_line(status: int) -> str:
-    """Returns the WSGI status text."""
+    """Returns the WSGI status line, such as `404 Not Found`."""
     try:
         return f"{status} {http.HTTPStatus(status).phrase}"
     except ValueError:
@@ -47,15 +47,15 @@
 
 
 def headers(error: errors.MintcleatError) -> list[tuple[str, str]]:
-    """Returns the headers of a refusal."""
-    found = [("Content-Type", CONTENT_TYPE)]
+    """Returns the headers of an error response."""
+    fields = [("Content-Type", CONTENT_TYPE)]
     if error.retry_after > 0:
-        # The header takes whole seconds; rounding down would send the
-        # caller back too early.
-        found.append(("Retry-After", str(int(error.retry_after + 0.999))))
-    return found
+        # Retry-After is in whole seconds; rounding down would make the caller
+        # retry too early.
+        fields.append(("Retry-After", str(int(error.retry_after + 0.999))))
+    return fields
 
 
 def body(error: errors.MintcleatError, request_id: str) -> bytes:
-    """Returns the encoded problem."""
+    """Returns the encoded body of an error response."""
     return json.dumps(problem(error, request_id)).encode()
--- a/src/mintcleat/adapters/process_memory.py
+++ b/src/mintcleat/adapters/process_memory.py
@@ -1,4 +1,4 @@
-"""How much memory this process has held."""
+"""Memory usage of this process."""
 
 import pathlib
 
@@ -7,14 +7,14 @@
 
 
 def peak_mb(status: pathlib.Path = _STATUS) -> float:
-    """Returns the most resident memory so far, in MB; 0 where nobody says.
+    """Returns the peak resident memory in MB, or 0 if it is not available.
 
-    The kernel's figure for this program alone. That of `getrusage` goes on
-    from the program that started it, and shows a small process as large.
+    Reads VmHWM, because `ru_maxrss` of `getrusage` is inherited from the
+    process that executed this program and may be far too large.
     """
     try:
         lines = status.read_text().splitlines()
     except OSError:
         return 0.0
-    found = [line.split()[1] for line in lines if line.startswith(_PEAK)]
-    return int(found[0]) / 1024 if found else 0.0
+    values = [line.split()[1] for line in lines if line.startswith(_PEAK)]
+    return int(values[0]) / 1024 if values else 0.0
--- a/src/mintcleat/adapters/settings.py
+++ b/src/mintcleat/adapters/settings.py
@@ -1,4 +1,4 @@
-"""A daemon's settings: JSON with comments, every fault reported at once."""
+"""Settings files of daemons: JSON with comments, validated as a whole."""
 
 import pathlib
 from typing import Any
@@ -17,7 +17,11 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A control instance; `address` is that of its streams."""
+    """A control instance.
+
+    Attributes:
+        address: `IP:PORT` of its streams.
+    """
 
     instance: str
     address: str
@@ -28,24 +32,27 @@
 class Times(msgspec.Struct, frozen=True):
     """Times of leases, heartbeats and elections, in seconds.
 
-    Shorter ones bring a change into force sooner after a loss, and cost more
-    messages. The first five are explained in `configuration.lease`.
+    Shorter times make a configuration change take effect sooner after a
+    failure, at the cost of more messages. The first five are explained in
+    `configuration.lease`.
 
     Attributes:
-        heartbeat: Between two heartbeats of the replicated logs.
-        election: Shortest election timeout; the longest is twice this.
-        replace_after: Silence after which a spare replaces a control
-            instance in its groups; 0 for never.
-        balance_after: Time of leading after which a group goes to the
-            instance that should lead it; 0 for never.
-        stream_heartbeat: Longest time for which a stream is quiet.
-        stream_silence: Silence after which a stream's peer counts as lost.
-        stream_connect: Time after which a peer that takes no connection is
-            given up. A packet that is lost on the way is sent again after a
-            second only; a new connection is quicker.
-        control_try: Time after which another control instance is asked.
-        key_grace: Time after the end of its lease for which a node goes on
-            taking customers' keys; 0 for none.
+        heartbeat: Interval of the heartbeats of replicated logs.
+        election: Minimum election timeout; the maximum is twice as long.
+        replace_after: Time without contact after which a spare instance
+            replaces a control instance in its groups; 0 disables this.
+        balance_after: Time after which a group's leadership is transferred to
+            its preferred leader; 0 disables this.
+        stream_heartbeat: Time without sending after which a stream connection
+            carries a heartbeat.
+        stream_silence: Time without receiving a byte after which a stream
+            connection is closed.
+        stream_connect: Timeout for connecting to a peer. A lost packet is
+            retransmitted only after a second; a new connection is quicker.
+        control_try: Time without a reply after which another control instance
+            is asked.
+        key_grace: Time after its lease has expired during which a node still
+            accepts customers' keys; 0 disables this.
     """
 
     max_lease: float = 4.0
@@ -65,21 +72,23 @@
 
 
 class Control(msgspec.Struct, frozen=True):
-    """The control role.
+    """Settings of the control role.
 
     Attributes:
-        data: Folder on the disk; made when missing.
+        data: Path of the data folder, which is created if it does not exist.
         admin: `IP:PORT` of the operators' HTTP interface.
-        members: The control instances that form the groups at first.
-        token_file: File with the operators' token, the same on every control
-            instance; without it each makes one in its data folder.
-        founder: Whether this instance may start the groups. False for one
-            that joins a running system; its `members` only tell where to ask.
-        label: What operators call the instance, if not by its name.
-        group_size: Instances that hold each group, where there are enough;
-            twice the losses to bear, plus one.
-        keeps_inodes: Whether files in `data` keep their inode numbers over a
-            restart; then a restored backup is told from the disk itself.
+        members: The control instances that form the groups initially.
+        token_file: File with the operators' token, which must be the same on
+            all control instances. If empty, each instance creates a token in
+            its data folder.
+        founder: Whether this instance may create the groups. False for an
+            instance that joins a running system; `members` then only lists
+            the instances to contact.
+        label: Name of the instance for operators, if it differs.
+        group_size: Number of replicas of each group, if there are enough
+            instances: 2 * f + 1 to tolerate f failures.
+        keeps_inodes: Whether files in `data` keep their inode numbers when the
+            instance restarts; a restored backup is then detected.
     """
 
     data: str
@@ -93,12 +102,13 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """The entry role.
+    """Settings of the entry role.
 
     Attributes:
-        http: The callers' `IP:PORT`.
-        notice_seconds: Time between a false /readyz and the first refusal on
-            a planned stop; longer than the balancer's polling interval.
+        http: `IP:PORT` of the callers' HTTP interface.
+        notice_seconds: On a planned stop, time from when /readyz reports 503
+            until requests are refused; must exceed the interval at which the
+            load balancer polls it.
     """
 
     http: str
@@ -106,12 +116,12 @@
 
 
 class Sidecar(msgspec.Struct, frozen=True):
-    """The sidecar role.
+    """Settings of the sidecar role.
 
     Attributes:
-        upstream: `IP:PORT` of the upstream beside it.
-        capacity: Calls that the upstream takes at once; 0 asks the engine.
-            What else an engine can do, it announces itself.
+        upstream: `IP:PORT` of the sidecar's upstream.
+        capacity: Maximum number of concurrent calls; 0 uses the number that
+            the engine announces.
     """
 
     upstream: str
@@ -121,22 +131,24 @@
 
 
 class Logs(msgspec.Struct, frozen=True):
-    """Where the line between seen and unseen lies, and the form of a line."""
+    """Minimum level and format of log lines."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     form: Literal["text", "json"] = "text"
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """One process.
+    """Settings of one process.
 
     Attributes:
-        listen: `IP:PORT` for the streams between the system's processes.
+        listen: `IP:PORT` for streams from other processes of the system.
         control: Stream addresses of the control instances.
-        program_groups: The same on every process of a deployment.
-        stop_seconds: Time that a planned stop gives to what is under way.
+        program_groups: Number of program groups; must be the same in all
+            processes of a deployment.
+        stop_seconds: Time that requests in progress get on a planned stop.
         times: Times of leases, heartbeats and elections.
-        metrics: `IP:PORT` of a scrape of its own; an entry has one anyway.
+        metrics: `IP:PORT` of a separate metrics endpoint; empty for none. An
+            entry always serves metrics on its HTTP interface.
     """
 
     instance: str
@@ -155,126 +167,138 @@
     control_role: Control | None = None
 
 
-_SECTION_OF = {
+_SECTIONS = {
     "entry": "entry",
     "sidecar": "sidecar",
     "control": "control_role",
 }
-_MAY_BE_NEVER = ("replace_after", "balance_after", "key_grace")
+_ZERO_ALLOWED = ("replace_after", "balance_after", "key_grace")
 _ADDRESS_FIELDS = {"listen", "http", "upstream", "admin", "address", "metrics"}
 
 
 def load(path: pathlib.Path) -> Settings:
-    """Returns the settings in a file.
+    """Loads a settings file.
 
     Raises:
-        ExceptionGroup: Of `errors.InvalidSettings`, one for each fault.
+        ExceptionGroup: Contains one `errors.InvalidSettings` per error.
     """
     try:
         value = json5.loads(path.read_text())
     except OSError as error:
-        reading = fault(
-            str(path), f"can't be read: {error.strerror}", "Name a file."
+        unreadable = invalid(
+            str(path),
+            f"can't be read: {error.strerror}",
+            "Give the path of a readable settings file.",
         )
-        raise _group([reading]) from None
+        raise _error_group([unreadable]) from None
     except ValueError as error:
-        raise _group([fault("", f"is no JSON: {error}")]) from None
+        raise _error_group(
+            [invalid("", f"is not valid JSON: {error}")]
+        ) from None
     return parse(value)
 
 
 def parse(value: Any) -> Settings:
-    """Returns the settings in a decoded file; faults as in `load`."""
-    faults = list(_struct_faults(Settings, value, ""))
-    if not faults:
-        faults = list(_meaning_faults(value))
-    if faults:
-        raise _group(faults)
+    """Returns the settings in a decoded file; raises errors as `load` does."""
+    found_errors = list(_struct_errors(Settings, value, ""))
+    if not found_errors:
+        found_errors = list(_semantic_errors(value))
+    if found_errors:
+        raise _error_group(found_errors)
     return msgspec.convert(value, Settings)
 
 
-def fault(path: str, what: str, remedy: str = "") -> errors.InvalidSettings:
-    """Returns the error for one field."""
+def invalid(path: str, what: str, remedy: str = "") -> errors.InvalidSettings:
+    """Returns the error of one field."""
     return errors.InvalidSettings(
         f"{path or 'settings'}: {what}.", remedy=remedy
     )
 
 
-def _group(faults: list[errors.InvalidSettings]) -> ExceptionGroup:
-    return ExceptionGroup(f"{len(faults)} faults in the settings", faults)
+def _error_group(found_errors: list[errors.InvalidSettings]) -> ExceptionGroup:
+    return ExceptionGroup(
+        f"{len(found_errors)} errors in the settings", found_errors
+    )
 
 
-def _struct_faults(kind: type, value: Any, path: str) -> Any:
+def _struct_errors(kind: type, value: Any, path: str) -> Any:
     if not isinstance(value, dict):
-        yield fault(path, "must be an object")
+        yield invalid(path, "must be an object")
         return
     hints = get_type_hints(kind)
     for name in sorted(value.keys() - hints.keys()):
         known = ", ".join(sorted(hints))
-        yield fault(_join(path, name), "is unknown", f"Use one of: {known}.")
+        yield invalid(_join(path, name), "is unknown", f"Use one of: {known}.")
     required = {
         field.name for field in msgspec.structs.fields(kind) if field.required
     }
     for name in sorted(required - value.keys()):
-        yield fault(_join(path, name), "is missing", f"Add `{name}`.")
+        yield invalid(_join(path, name), "is missing", f"Add `{name}`.")
     for name in hints.keys() & value.keys():
-        yield from _value_faults(hints[name], value[name], _join(path, name))
+        yield from _value_errors(hints[name], value[name], _join(path, name))
 
 
-def _value_faults(kind: Any, value: Any, path: str) -> Any:
-    kind = _without_none(kind)
+def _value_errors(kind: Any, value: Any, path: str) -> Any:
+    kind = _unwrap_optional(kind)
     if get_origin(kind) is list:
         if not isinstance(value, list):
-            yield fault(path, "must be a list")
+            yield invalid(path, "must be a list")
             return
         (item,) = get_args(kind)
-        for number, one in enumerate(value):
-            yield from _value_faults(item, one, f"{path}[{number}]")
+        for index, element in enumerate(value):
+            yield from _value_errors(item, element, f"{path}[{index}]")
         return
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        yield from _struct_faults(kind, value, path)
+        yield from _struct_errors(kind, value, path)
         return
     try:
         msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        yield fault(path, str(error).rstrip(".").lower())
+        yield invalid(path, str(error).rstrip(".").lower())
         return
     field = path.rpartition(".")[2]
     if field in _ADDRESS_FIELDS and (value or field != "metrics"):
-        yield from _address_faults(value, path)
+        yield from _address_errors(value, path)
 
 
-def _meaning_faults(value: dict[str, Any]) -> Any:
-    for number, address in enumerate(value["control"]):
-        yield from _address_faults(address, f"control[{number}]")
+def _semantic_errors(value: dict[str, Any]) -> Any:
+    for index, address in enumerate(value["control"]):
+        yield from _address_errors(address, f"control[{index}]")
     if not value["roles"]:
-        yield fault("roles", "is empty", "Name entry, sidecar or control.")
+        yield invalid("roles", "is empty", "Add entry, sidecar or control.")
     if not value["control"]:
-        yield fault("control", "is empty", "Name the control instances.")
+        yield invalid(
+            "control", "is empty", "Add the addresses of the control instances."
+        )
     for role in value["roles"]:
-        section = _SECTION_OF[role]
+        section = _SECTIONS[role]
         if value.get(section) is None:
-            yield fault(section, f"is missing for the role {role}")
+            yield invalid(section, f"is missing for the role {role}")
     for name, seconds in (value.get("times") or {}).items():
-        if seconds < 0 or (seconds == 0 and name not in _MAY_BE_NEVER):
-            yield fault(f"times.{name}", "must be more than 0")
+        if seconds < 0 or (seconds == 0 and name not in _ZERO_ALLOWED):
+            yield invalid(f"times.{name}", "must be more than 0")
     if value.get("program_groups", 1) < 1:
-        yield fault("program_groups", "must be 1 or more")
+        yield invalid("program_groups", "must be 1 or more")
     if value.get("stop_seconds", 0) < 0:
-        yield fault("stop_seconds", "must not be negative")
+        yield invalid("stop_seconds", "must not be negative")
 
 
-def _address_faults(value: str, path: str) -> Any:
+def _address_errors(value: str, path: str) -> Any:
     try:
         host, port = streams.split_address(value)
         numbers = [int(part) for part in host.split(".")]
     except ValueError:
         numbers, port = [], -1
-    right = len(numbers) == 4 and all(0 <= part < 256 for part in numbers)
-    if not right or not 0 <= port < 65536:
-        yield fault(path, f"{value!r} is no IP:PORT", "Write 127.0.0.1:8080.")
+    valid = len(numbers) == 4 and all(0 <= part < 256 for part in numbers)
+    if not valid or not 0 <= port < 65536:
+        yield invalid(
+            path,
+            f"{value!r} is not of the form IP:PORT",
+            "Use an address such as 127.0.0.1:8080.",
+        )
 
 
-def _without_none(kind: Any) -> Any:
+def _unwrap_optional(kind: Any) -> Any:
     args = [arg for arg in get_args(kind) if arg is not type(None)]
     if type(None) in get_args(kind) and len(args) == 1:
         return args[0]
--- a/src/mintcleat/adapters/timers.py
+++ b/src/mintcleat/adapters/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: on eventlet, and on virtual time for tests."""
+"""Timers on eventlet, and timers in virtual time for tests."""
 
 from collections.abc import Callable
 import heapq
@@ -10,17 +10,17 @@
 
 
 class EventletSubscription:
-    """A pending callback of `EventletTimers`."""
+    """A scheduled callback of `EventletTimers`."""
 
     def __init__(self) -> None:
         self.active = True
         self.thread: eventlet.greenthread.GreenThread | None = None
 
     def cancel(self) -> None:
-        """Stops further callbacks; safe to repeat.
+        """Prevents further calls; cancelling again has no effect.
 
-        A callback that has not begun is taken off the hub, so that long
-        timers which are rarely due hold no memory.
+        A one-time callback that has not started is removed from the hub, so
+        that cancelled long timers do not use memory.
         """
         self.active = False
         if self.thread is not None:
@@ -28,35 +28,35 @@
 
 
 class EventletTimers:
-    """Real time on the one eventlet loop."""
+    """Implements `ports.timers.Timers` on the eventlet loop."""
 
     def now(self) -> float:
-        """Returns monotonic seconds, time in suspension included.
+        """Returns the seconds of a monotonic clock that includes suspension.
 
-        The plain monotonic clock stands still while a machine is suspended.
-        A leader that wakes would take a lease for valid that ended long ago,
-        and answer reads that a new leader's writes have overtaken.
+        CLOCK_MONOTONIC stops while the machine is suspended. After resuming, a
+        leader would consider its expired lease valid and answer reads without
+        the writes of a new leader.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall_time(self) -> float:
-        """Returns seconds since 1970."""
+        """Returns the Unix time in seconds."""
         return time.time()
 
     def after(
         self, seconds: float, callback: Callable[[], None]
     ) -> EventletSubscription:
-        """Calls back once, `seconds` from now."""
+        """Calls `callback` once, in `seconds` from now."""
         subscription = EventletSubscription()
         subscription.thread = eventlet.spawn_after(
-            seconds, self._fire, subscription, callback
+            seconds, self._run_once, subscription, callback
         )
         return subscription
 
     def every(
         self, seconds: float, callback: Callable[[], None]
     ) -> EventletSubscription:
-        """Calls back each `seconds`, first after one period."""
+        """Calls `callback` every `seconds`, first after one period."""
         subscription = EventletSubscription()
         eventlet.spawn(self._repeat, subscription, seconds, callback)
         return subscription
@@ -66,15 +66,15 @@
         eventlet.sleep(seconds)
 
     def spawn(self, function: Callable[..., None], *args: object) -> None:
-        """Runs the function in a green thread of its own."""
-        eventlet.spawn(_guarded, function, *args)
+        """Runs a function in a new green thread."""
+        eventlet.spawn(_run_and_log, function, *args)
 
-    def _fire(
+    def _run_once(
         self, subscription: EventletSubscription, callback: Callable[[], None]
     ) -> None:
         if subscription.active:
             subscription.active = False
-            _guarded(callback)
+            _run_and_log(callback)
 
     def _repeat(
         self,
@@ -86,11 +86,11 @@
             eventlet.sleep(seconds)
             if not subscription.active:
                 return
-            _guarded(callback)
+            _run_and_log(callback)
 
 
-def _guarded(function: Callable[..., None], *args: object) -> None:
-    """Runs a callback; its failure is logged and must not end the loop."""
+def _run_and_log(function: Callable[..., None], *args: object) -> None:
+    """Runs a function; logs its exception, so that the loop continues."""
     try:
         function(*args)
     except Exception:
@@ -98,7 +98,11 @@
 
 
 class VirtualSubscription:
-    """A pending callback of `VirtualTimers`."""
+    """A scheduled callback of `VirtualTimers`.
+
+    Attributes:
+        period: Seconds between calls; 0 for a one-time callback.
+    """
 
     def __init__(self, callback: Callable[[], None], period: float) -> None:
         self.callback = callback
@@ -106,12 +110,15 @@
         self.active = True
 
     def cancel(self) -> None:
-        """Stops further callbacks; safe to repeat."""
+        """Prevents further calls; cancelling again has no effect."""
         self.active = False
 
 
 class VirtualTimers:
-    """Time that moves only when a test says so; no green threads."""
+    """Timers in virtual time, which advances only on request.
+
+    There are no green threads: callbacks run within `advance`.
+    """
 
     def __init__(self, start: float = 1000.0) -> None:
         self.clock = start
@@ -119,35 +126,35 @@
         self.numbers = itertools.count()
 
     def now(self) -> float:
-        """Returns virtual monotonic seconds."""
+        """Returns the virtual time in seconds."""
         return self.clock
 
     def wall_time(self) -> float:
-        """Returns virtual seconds since 1970."""
+        """Returns the virtual time in seconds."""
         return self.clock
 
     def after(
         self, seconds: float, callback: Callable[[], None]
     ) -> VirtualSubscription:
-        """Calls back once, `seconds` from now."""
+        """Calls `callback` once, in `seconds` from now."""
         return self._add(seconds, VirtualSubscription(callback, 0.0))
 
     def every(
         self, seconds: float, callback: Callable[[], None]
     ) -> VirtualSubscription:
-        """Calls back each `seconds`, first after one period."""
+        """Calls `callback` every `seconds`, first after one period."""
         return self._add(seconds, VirtualSubscription(callback, seconds))
 
     def sleep(self, seconds: float) -> None:
-        """Moves virtual time on, running what comes due."""
+        """Advances virtual time and runs due callbacks."""
         self.advance(seconds)
 
     def spawn(self, function: Callable[..., None], *args: object) -> None:
-        """Runs the function when time next moves."""
+        """Runs a function when virtual time next advances."""
         self.after(0.0, lambda: function(*args))
 
     def advance(self, seconds: float) -> None:
-        """Moves time on and runs every callback that comes due, in order."""
+        """Advances virtual time and runs due callbacks in order."""
         end = self.clock + seconds
         while self.queue and self.queue[0][0] <= end:
             due, _, subscription = heapq.heappop(self.queue)
--- a/src/mintcleat/adapters/wsgi.py
+++ b/src/mintcleat/adapters/wsgi.py
@@ -1,4 +1,4 @@
-"""eventlet's WSGI server with our limits and a graceful stop."""
+"""An HTTP server for WSGI applications, on eventlet's WSGI server."""
 
 import socket
 from typing import Any
@@ -11,10 +11,10 @@
 from mintcleat.adapters import streams
 from mintcleat.domain import errors
 
-# Idle keep-alive connections are closed after this many seconds. It must be
-# longer than the balancer's own idle time, or the balancer may send a request
-# on a connection that is just being closed.
-_SOCKET_SECONDS = 75.0
+# Idle keep-alive connections are closed after this time. It must exceed the
+# load balancer's idle timeout, or the balancer may send a request on a
+# connection that is being closed.
+_IDLE_TIMEOUT_SECONDS = 75.0
 _MAX_CONNECTIONS = 10_000
 
 
@@ -22,8 +22,8 @@
     """Serves one WSGI application.
 
     Attributes:
-        address: `IP:PORT` that it listens on.
-        active: Requests that are being answered, streams included.
+        address: `IP:PORT` that the server listens on.
+        active: Number of requests in progress, including streamed responses.
     """
 
     def __init__(self, listen: str, app: Any) -> None:
@@ -31,9 +31,9 @@
         self.listener = eventlet.listen(
             streams.split_address(listen), backlog=1024
         )
-        # Accepted sockets inherit it. Without it the kernel holds back each
-        # small event until the caller has acknowledged the one before, and
-        # tokens come in bursts of 40 ms.
+        # Accepted sockets inherit the option. Otherwise Nagle's algorithm
+        # delays each small event until the previous one has been acknowledged,
+        # and tokens arrive in bursts of 40 ms.
         self.listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         host, port = self.listener.getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -42,24 +42,24 @@
         self.server = eventlet.spawn(self._serve)
 
     def stop(self) -> None:
-        """Stops accepting; what is under way goes on."""
+        """Stops accepting connections; requests in progress continue."""
         self.server.kill()
         self.listener.close()
 
     def _serve(self) -> None:
         wsgi.server(
             self.listener,
-            self._counted,
+            self._run_app,
             custom_pool=self.pool,
-            protocol=TypedProtocol,
-            log=_Quiet(),
+            protocol=ProblemProtocol,
+            log=_DebugLog(),
             log_output=False,
             debug=False,
-            socket_timeout=_SOCKET_SECONDS,
+            socket_timeout=_IDLE_TIMEOUT_SECONDS,
             minimum_chunk_size=0,
         )
 
-    def _counted(self, environ: Any, start: Any) -> Any:
+    def _run_app(self, environ: Any, start: Any) -> Any:
         self.active += 1
         try:
             body = self.app(environ, start)
@@ -69,10 +69,10 @@
         if isinstance(body, list):
             self.active -= 1
             return body
-        return self._stream(body)
+        return self._count_streamed(body)
 
-    def _stream(self, body: Any) -> Any:
-        """Yields a streamed body and counts it as active until it ends."""
+    def _count_streamed(self, body: Any) -> Any:
+        """Yields a streamed body; it counts as active until it ends."""
         try:
             yield from body
         finally:
@@ -81,24 +81,26 @@
                 body.close()
 
 
-class TypedProtocol(wsgi.HttpProtocol):
-    """Refuses what can't be parsed as problem+json, like everything else."""
+class ProblemProtocol(wsgi.HttpProtocol):
+    """Responds to malformed requests with problem+json."""
 
     def parse_request(self) -> bool:
-        """Reads the request line and the headers; False ends the request."""
+        """Parses the request line and headers; returns whether it succeeded."""
         try:
             return super().parse_request()
         except (wsgi.HeaderLineTooLong, wsgi.HeadersTooLarge):
-            self._refuse(errors.TooLarge("A header is over its size limit."))
+            self._send_problem(
+                errors.TooLarge("The headers exceed the size limit.")
+            )
             return False
 
     def send_error(
         self, code: int, message: str | None = None, explain: str | None = None
     ) -> None:
-        """Answers a malformed request line or header."""
-        self._refuse(errors.BadRequest(f"{message or explain or code}."))
+        """Responds to a malformed request line or header."""
+        self._send_problem(errors.BadRequest(f"{message or explain or code}."))
 
-    def _refuse(self, error: errors.MintcleatError) -> None:
+    def _send_problem(self, error: errors.MintcleatError) -> None:
         body = problems.body(error, "")
         lines = [
             f"HTTP/1.1 {problems.status_line(error.status)}",
@@ -111,15 +113,15 @@
         self.close_connection = 1
 
 
-class _Quiet:
-    """The server's own log lines, passed on at debug level."""
+class _DebugLog:
+    """Forwards the log of eventlet's server at debug level."""
 
     def write(self, text: str) -> None:
-        """Takes a line of the server's log."""
+        """Logs a line at debug level."""
         logger.debug("{}", text.rstrip())
 
     def info(self, text: str) -> None:
-        """Takes a line of the server's log."""
+        """Logs a line at debug level."""
         logger.debug("{}", text.rstrip())
 
     debug = info
