--- a/src/mintcleat/adapters/admin_http.py
+++ b/src/mintcleat/adapters/admin_http.py
@@ -21,7 +21,7 @@
 from mintcleat.domain import registrations
 
 PREFIX = "/admin/v1/"
-# Manifests have up to 5 MB.
+# Manifests have up to 5 MB. The limit bounds the memory that a request uses.
 MAX_BODY_BYTES = 10 * 1024 * 1024
 PROGRAM_TIMEOUT_SECONDS = 10.0
 PAGE_SIZE = 100
--- a/src/mintcleat/adapters/chat_http.py
+++ b/src/mintcleat/adapters/chat_http.py
@@ -13,7 +13,7 @@
 
 
 def parse(environ: http_request.Environ, request_id: str) -> requests.ChatCall:
-    """Returns the chat call that a request asks for.
+    """Returns the chat call described by a request.
 
     Raises:
         errors.BadRequest: A header or a field is missing or invalid.
--- a/src/mintcleat/adapters/metrics.py
+++ b/src/mintcleat/adapters/metrics.py
@@ -7,7 +7,7 @@
     10.0, 30.0, 120.0, 600.0,
 ]  # fmt: skip
 _HELP = {
-    "calls_total": "Calls taken at the entry, by kind.",
+    "calls_total": "Calls accepted at the entry, by kind.",
     "refusals_total": "Refusals by kind and outcome.",
     "placements_total": "Placements by reason.",
     "retries_total": "New attempts by cause.",
@@ -16,18 +16,18 @@
     "routed_calls_total": "Routed requests answered by an upstream.",
     "routed_call_seconds": "Time from a routed request to its last byte.",
     "routed_first_seconds": "Time from a routed request to its first byte.",
-    "routed_gap_seconds": "Longest pause between two events of a stream.",
+    "routed_gap_seconds": "Longest time between two events of a stream.",
     "routed_refusals_total": "Routed requests that this process refused.",
-    "routed_callers_gone_total": "Callers that left before the end.",
+    "routed_callers_gone_total": "Callers that disconnected before the end.",
     "routed_placements_total": "Upstreams chosen, by reason.",
     "routed_failures_total": "Attempts that failed, by kind.",
     "turn_open_seconds": "Time to reserve the tokens of a turn.",
     "turn_settle_seconds": "Time to record the end of a turn.",
     "customer_refusals_total": "Refused requests by customer and kind.",
     "limit_count_seconds": "Time to count a call against a limit.",
-    "unknown_keys_total": "Requests whose key is no customer's.",
+    "unknown_keys_total": "Requests with a key of no known customer.",
     "log_drops_total": "Times that log lines were dropped.",
-    "loop_lag_seconds": "How late the event loop ran a timer.",
+    "loop_lag_seconds": "Delay of timers on the event loop.",
     "disk_call_seconds": "Time of one write and sync of the log.",
 }
 
--- a/src/mintcleat/adapters/wal.py
+++ b/src/mintcleat/adapters/wal.py
@@ -28,6 +28,9 @@
     Attributes:
         folder: The data folder, which is created if it does not exist.
         failure: The first disk failure; all later calls raise it.
+        batch: Encoded records that are not written yet.
+        batch_start: Offset at which the batch will be written.
+        offset: Size of the current segment, including the batch.
     """
 
     def __init__(
@@ -79,10 +82,10 @@
         """Adds records to the batch that the next `sync` writes."""
         self._raise_if_failed()
         for record in records:
-            if len(record) > wal_segment.MAX_RECORD:
+            if len(record) > wal_segment.MAX_RECORD_BYTES:
                 raise errors.TooLarge(
                     f"A record has {len(record)} bytes; the limit is "
-                    f"{wal_segment.MAX_RECORD}."
+                    f"{wal_segment.MAX_RECORD_BYTES}."
                 )
             data = wal_segment.frame(self.salt, self.batch_start, record)
             self.batch.append(data)
--- a/src/mintcleat/adapters/wal_segment.py
+++ b/src/mintcleat/adapters/wal_segment.py
@@ -19,7 +19,7 @@
 # A base segment starts the log; segments with lower numbers are obsolete.
 BASE = 1
 NEXT = 0
-MAX_RECORD = 64 * 1024 * 1024
+MAX_RECORD_BYTES = 64 * 1024 * 1024
 _SEGMENT_HEADER = struct.Struct(">8sIQI")
 _CRC_PREFIX = struct.Struct(">QQI")
 _RECORD_HEADER = struct.Struct(">4sQII")
@@ -139,7 +139,11 @@
         return None
     magic, start, size, crc = _RECORD_HEADER.unpack_from(data, offset)
     begin = offset + _RECORD_HEADER.size
-    if magic != RECORD_MAGIC or size > MAX_RECORD or begin + size > len(data):
+    if (
+        magic != RECORD_MAGIC
+        or size > MAX_RECORD_BYTES
+        or begin + size > len(data)
+    ):
         return None
     payload = data[begin : begin + size]
     return (start, payload) if crc == _crc(salt, start, payload) else None
--- a/testing/fakes/virtual_disk.py
+++ b/testing/fakes/virtual_disk.py
@@ -1,9 +1,9 @@
-"""A disk in virtual time that forgets what was not synced.
+"""A simulated disk in virtual time that loses unsynced data.
 
-Files are real, in a folder of the test; their loss follows what a kernel may
-do when power goes: of the writes since a file's last sync each is there,
-missing or torn, or all of them are gone, and a name that was made, replaced
-or removed since its directory's last sync is as it was before or as it is now.
+Files are real, in a folder of the test. A simulated power loss does what a
+kernel may do: of the writes since a file's last sync, each is kept, lost or
+torn, or all are lost; a directory entry that was created, replaced or removed
+since its directory's last sync is in its old or its new state.
 """
 
 import collections
@@ -29,15 +29,16 @@
 
 
 class VirtualDisk(wal_disk.SystemDisk):
-    """One machine's disk; it outlives the processes that use it.
+    """The disk of one machine, which outlives its processes.
 
     Attributes:
-        sync_seconds: Time that a sync takes.
-        stalled: Set while the disk answers nothing.
-        full: Whether writes are refused.
+        sync_seconds: Mean duration of a sync.
+        stalled: Whether syncs block.
+        full: Whether writes fail with ENOSPC.
+        process: The process that uses the disk.
         writes: Unsynced writes by inode.
-        names: By directory: its names and their inodes at its last sync.
-        shadow: Holds a link to each file that had a durable name.
+        names: Entries of each directory at its last sync: inodes by name.
+        shadow: Folder with a hard link to each file that had a durable name.
     """
 
     def __init__(self, folder: pathlib.Path, rng: random.Random) -> None:
@@ -68,7 +69,7 @@
         self.sync_names(path)
 
     def sync_names(self, path: pathlib.Path) -> None:
-        """Makes the names that a directory holds now durable."""
+        """Makes the current entries of a directory durable."""
         self.shadow.mkdir(exist_ok=True)
         found = {}
         for item in path.iterdir():
@@ -80,12 +81,13 @@
         self.names[path] = found
 
     def lose_power(self, content_only: bool = False) -> None:
-        """Takes back some of what was not synced.
+        """Reverts a random part of what was not synced.
 
         Args:
-            content_only: All unsynced writes are lost, and no names.
+            content_only: Whether all unsynced writes are lost, but no
+                directory entries.
         """
-        forget_all = content_only or self.rng.random() < 0.3
+        lose_all = content_only or self.rng.random() < 0.3
         inodes = {p.stat().st_ino: p for p in self.folder.rglob("*")}
         for inode, writes in self.writes.items():
             path = inodes.get(inode)
@@ -95,12 +97,12 @@
             end = min(w.offset for w in writes)
             del data[end:]
             for write in writes:
-                kept = b"" if forget_all else self._survives(write.data)
+                kept = b"" if lose_all else self._surviving_part(write.data)
                 if kept:
                     missing = write.offset - len(data)
                     data.extend(bytes(max(0, missing)))
                     data[write.offset : write.offset + len(kept)] = kept
-            # In place: a replaced file would get another inode.
+            # Written in place, because a replaced file has another inode.
             with path.open("r+b") as file:
                 file.truncate(0)
                 file.write(data)
@@ -114,7 +116,7 @@
                 del self.names[path]
 
     def _lose_names(self, directory: pathlib.Path) -> None:
-        """Takes back some of the names since a directory's last sync."""
+        """Reverts a random part of a directory's unsynced entries."""
         durable = self.names.get(directory, {})
         now = {item.name: item.stat().st_ino for item in directory.iterdir()}
         for name in sorted({*durable, *now}):
@@ -138,7 +140,7 @@
         shutil.rmtree(self.folder, ignore_errors=True)
         self.folder.mkdir(parents=True)
 
-    def _survives(self, data: bytes) -> bytes:
+    def _surviving_part(self, data: bytes) -> bytes:
         match self.rng.randrange(3):
             case 0:
                 return b""
@@ -156,24 +158,24 @@
 
 
 class VirtualDiskWorker:
-    """The disk's thread, as a green thread of its own."""
+    """A `ports.wal.DiskWorker` on a green thread, in virtual time."""
 
     def __init__(self, process: virtual_time.VirtualProcess) -> None:
         self.process = process
         self.jobs: collections.deque[Any] = collections.deque()
-        self.more = eventlet.Event()
+        self.work_available = eventlet.Event()
         self.closed = False
-        eventlet.spawn(self._work_forever)
+        eventlet.spawn(self._run_forever)
 
     def run(self, function: Any, *args: Any) -> Any:
         self.process.check()
         if self.closed:
             return function(*args)
-        ended = eventlet.Event()
-        self.jobs.append((function, args, ended))
-        if not self.more.ready():
-            self.more.send()
-        value, failed = ended.wait()
+        finished = eventlet.Event()
+        self.jobs.append((function, args, finished))
+        if not self.work_available.ready():
+            self.work_available.send()
+        value, failed = finished.wait()
         self.process.check()
         if failed:
             raise value
@@ -181,7 +183,7 @@
 
     def pause(self) -> None:
         while self.jobs:
-            self._work(self.jobs.popleft())
+            self._run_job(self.jobs.popleft())
 
     def blocks_caller(self) -> bool:
         return False
@@ -189,21 +191,21 @@
     def close(self) -> None:
         self.closed = True
 
-    def _work_forever(self) -> None:
+    def _run_forever(self) -> None:
         while True:
             while self.jobs:
-                self._work(self.jobs.popleft())
+                self._run_job(self.jobs.popleft())
             if self.closed or self.process.dead:
                 return
-            self.more = eventlet.Event()
-            self.more.wait()
+            self.work_available = eventlet.Event()
+            self.work_available.wait()
 
-    def _work(self, job: Any) -> None:
-        function, args, ended = job
+    def _run_job(self, job: Any) -> None:
+        function, args, finished = job
         try:
             outcome = (function(*args), False)
         except greenlet.GreenletExit:
             raise
         except Exception as error:
             outcome = (error, True)
-        ended.send(outcome)
+        finished.send(outcome)
--- a/testing/fakes/virtual_net.py
+++ b/testing/fakes/virtual_net.py
@@ -1,7 +1,7 @@
-"""Streams between processes in virtual time, with the faults of a network.
+"""Streams between processes in virtual time, with network failures.
 
-A cut pair loses nothing at once: bytes are held, as TCP holds them, until the
-cut heals or both sides take the connection for lost.
+A network partition does not lose data at once: as with TCP, it is delivered
+later, unless the connection times out first.
 """
 
 import collections
@@ -17,17 +17,17 @@
 from mintcleat.domain import errors
 from mintcleat.ports import streams as stream_ports
 
-SILENCE = 1.2
-_STEP = 0.1
+SILENCE_TIMEOUT = 1.2
+_WATCH_SECONDS = 0.1
 
 
 class Network:
-    """All connections, and what is wrong with them.
+    """A simulated network with its connections and failures.
 
     Attributes:
-        cut: Ordered pairs of addresses between which nothing passes.
-        delay: Mean seconds of one way.
-        loss: Share of transmissions that take a retransmission longer.
+        cut: Ordered pairs of addresses between which no data passes.
+        delay: Mean one-way delay in seconds.
+        loss: Probability that a transmission needs a retransmission.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -43,7 +43,7 @@
         return (source, target) not in self.cut
 
     def isolate(self, one: str, others: list[str]) -> None:
-        """Cuts an address off from others, without a word."""
+        """Partitions an address from others; no connection is reset."""
         for other in others:
             if other != one:
                 self.cut |= {(one, other), (other, one)}
@@ -54,7 +54,7 @@
             connection.flush()
 
     def flush(self) -> None:
-        """Delivers what was held for a process that runs again."""
+        """Delivers pending data, after a process has been resumed."""
         for connection in list(self.connections):
             connection.flush()
 
@@ -65,15 +65,21 @@
                 connection.abort()
 
     def _watch(self) -> None:
-        """Loses connections over which nothing came for too long."""
+        """Closes connections that could not deliver data for too long."""
         while True:
-            eventlet.sleep(_STEP)
+            eventlet.sleep(_WATCH_SECONDS)
             for connection in list(self.connections):
-                connection.watch(_STEP)
+                connection.watch(_WATCH_SECONDS)
 
 
 class Connection:
-    """One connection; side 0 dialled."""
+    """One connection; side 0 opened it.
+
+    Attributes:
+        silent: Seconds since when one direction has been blocked.
+        pending: For each sender, deliveries that are blocked.
+        last: For each sender, the arrival time of its last transmission.
+    """
 
     def __init__(
         self,
@@ -85,7 +91,7 @@
         self.sides = (dialler, other)
         self.lost = False
         self.silent = 0.0
-        self.held: tuple[
+        self.pending: tuple[
             collections.deque[Callable[[], None]],
             collections.deque[Callable[[], None]],
         ] = (collections.deque(), collections.deque())
@@ -94,7 +100,7 @@
         network.connections.append(self)
 
     def blocked(self, side: int) -> bool:
-        """Tells whether what this side sent can't be taken now."""
+        """Returns whether data of this side cannot be delivered now."""
         source, target = self.sides[side], self.sides[1 - side]
         return (
             target.process.suspended
@@ -103,7 +109,7 @@
         )
 
     def transmit(self, side: int, action: Callable[[], None]) -> None:
-        """Runs `action` at the other side, in the order of sending."""
+        """Runs `action` at the other side after a delay, in sending order."""
         network = self.network
         now = eventlet.hubs.get_hub().time
         delay = network.rng.expovariate(1 / network.delay)
@@ -116,18 +122,20 @@
     def _arrive(self, side: int, action: Callable[[], None]) -> None:
         if self.lost:
             return
-        self.held[side].append(action)
+        self.pending[side].append(action)
         self.flush()
 
     def flush(self) -> None:
         for side in (0, 1):
-            while self.held[side] and not self.blocked(side) and not self.lost:
-                self.held[side].popleft()()
+            while (
+                self.pending[side] and not self.blocked(side) and not self.lost
+            ):
+                self.pending[side].popleft()()
 
     def watch(self, step: float) -> None:
-        well = not self.blocked(0) and not self.blocked(1)
-        self.silent = 0.0 if well else self.silent + step
-        if self.silent > SILENCE:
+        connected = not self.blocked(0) and not self.blocked(1)
+        self.silent = 0.0 if connected else self.silent + step
+        if self.silent > SILENCE_TIMEOUT:
             self.abort()
 
     def abort(self) -> None:
@@ -157,7 +165,9 @@
     def send(self, message: Any) -> None:
         self.process.check()
         if not self.try_send(message):
-            raise errors.StreamClosed(f"The exchange with {self.peer} closed.")
+            raise errors.StreamClosed(
+                f"The exchange with {self.peer} is closed."
+            )
 
     def try_send(self, message: Any) -> bool:
         if self.closed or self.process.dead:
@@ -179,12 +189,12 @@
         until = None if timeout is None else now + timeout
         while not self.inbox:
             if self.closed:
-                raise errors.StreamClosed("The exchange closed.")
+                raise errors.StreamClosed("The exchange is closed.")
             left = None
             if until is not None:
                 left = until - eventlet.hubs.get_hub().time
                 if left <= 0:
-                    raise errors.StreamTimeout("No message came.")
+                    raise errors.StreamTimeout("No message arrived.")
             self.arrived.wait(left)
             self.process.check()
         self.process.check()
@@ -206,7 +216,7 @@
 
 
 class VirtualStreams:
-    """`ports.streams.Streams` of one life of a process."""
+    """Implements `ports.streams.Streams` for a simulated process."""
 
     def __init__(
         self,
@@ -248,7 +258,7 @@
         eventlet.spawn(self._serve, exchange, message)
 
     def abort(self) -> None:
-        """Resets every connection, as the end of a process does."""
+        """Closes all connections, as the end of a process does."""
         for connection in list(self.network.connections):
             if self in connection.sides:
                 connection.abort()
@@ -274,7 +284,7 @@
             eventlet.sleep(0.2)
             waited += 0.2
         raise errors.StreamClosed(
-            f"{address} cannot be reached.", outcome=errors.NOT_RUN
+            f"{address} is unreachable.", outcome=errors.NOT_RUN
         )
 
     def _serve(self, exchange: VirtualExchange, message: Any) -> None:
--- a/testing/fakes/virtual_time.py
+++ b/testing/fakes/virtual_time.py
@@ -1,8 +1,9 @@
-"""An eventlet hub in virtual time, and a process's timers on it.
+"""An eventlet hub in virtual time, and simulated processes on it.
 
-Green threads, events, queues and time-outs run as they do in a process, but
-nobody waits: the clock jumps to the next timer. Timers that are due at once
-fire in the order in which they were set, so a seed is a schedule.
+Green threads, events, queues and timeouts behave as in a real process, but the
+clock jumps to the next timer instead of waiting. Timers that are due at the
+same time fire in the order in which they were set, so that a random seed
+determines the schedule.
 """
 
 from collections.abc import Callable
@@ -23,7 +24,7 @@
 
 
 class _Due(float):
-    """A time that sorts by its number where two are equal."""
+    """A due time; equal times are ordered by their number."""
 
     def __new__(cls, value: float, number: int) -> "_Due":
         due = super().__new__(cls, value)
@@ -43,7 +44,7 @@
 
 
 class VirtualHub(hub.BaseHub):
-    """Fires timers without waiting for them."""
+    """A hub that advances its clock instead of waiting."""
 
     def __init__(self, clock: Callable[[], float] | None = None) -> None:
         self.time = START
@@ -60,9 +61,9 @@
 
 
 def run(function: Callable[[], Any]) -> Any:
-    """Returns what a function returns that runs in virtual time.
+    """Runs a function in virtual time and returns its result.
 
-    It runs on a thread of its own, since a thread has one hub for good.
+    It runs on a new thread, because the hub of a thread cannot be replaced.
     """
     results: list[Any] = []
 
@@ -83,7 +84,7 @@
 
 
 class VirtualProcess:
-    """One life of a process: whether it runs, stands still or is over."""
+    """A simulated process, which can be suspended, resumed and killed."""
 
     def __init__(self, rng: random.Random | None = None) -> None:
         self.rng = rng
@@ -106,22 +107,27 @@
         self.resume()
 
     def check(self) -> None:
-        """Goes on when the process does; never, once it is over."""
+        """Blocks while the process is suspended; raises if it was killed.
+
+        Raises:
+            greenlet.GreenletExit: The process was killed.
+        """
         while self.suspended and not self.dead:
             self.resumed.wait()
             if self.rng is not None:
-                # What runs first after a stop is left to chance.
+                # Randomizes which green thread runs first after a suspension.
                 eventlet.sleep(self.rng.uniform(0.0, 0.002))
         if self.dead:
             raise greenlet.GreenletExit
 
 
 class ProcessTimers(timers.EventletTimers):
-    """The timers of one life of a process.
+    """The timers of a simulated process.
 
     Attributes:
-        busy: Longest time for which another green thread may hold the loop
-            between two turns of one.
+        skew: Difference of the wall clock from virtual time, in seconds.
+        busy: Maximum random delay of a sleep in seconds, which simulates
+            other green threads that occupy the event loop.
     """
 
     def __init__(
@@ -140,8 +146,8 @@
 
     def sleep(self, seconds: float) -> None:
         self.process.check()
-        held = self.rng.random() * self.busy if self.busy else 0.0
-        eventlet.sleep(seconds + held)
+        delay = self.rng.random() * self.busy if self.busy else 0.0
+        eventlet.sleep(seconds + delay)
         self.process.check()
 
     def spawn(self, function: Callable[..., None], *args: object) -> None:
--- a/testing/fakes/waiting_clock.py
+++ b/testing/fakes/waiting_clock.py
@@ -1,13 +1,13 @@
-"""A clock for one thread of control, played without a network."""
+"""A clock for tests with a single thread of control."""
 
 from typing import Any
 
 
 class Clock:
-    """A clock that moves when somebody waits.
+    """A clock that advances only in `sleep`.
 
     Attributes:
-        due: Callbacks and when they are due; none is called.
+        due: Scheduled callbacks with their times; none is called.
     """
 
     def __init__(self) -> None:
@@ -15,20 +15,20 @@
         self.due: list[tuple[float, Any]] = []
 
     def now(self) -> float:
-        """Returns the time."""
+        """Returns the virtual time in seconds."""
         return self.at
 
     def wall_time(self) -> float:
-        """Returns the time."""
+        """Returns the virtual time in seconds."""
         return self.at
 
     def sleep(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the time."""
         self.at += seconds
 
     def spawn(self, function: Any, *args: Any) -> None:
-        """Runs nothing: renewals are of no matter, or the test makes them."""
+        """Does nothing; the test does the renewals that it needs itself."""
 
     def after(self, seconds: float, callback: Any) -> None:
-        """Notes a callback."""
+        """Records a callback."""
         self.due.append((self.at + seconds, callback))
--- a/testing/test_admin_http.py
+++ b/testing/test_admin_http.py
@@ -1,4 +1,4 @@
-"""The admin interface and the command-line tool against a live service."""
+"""Tests the operators' interface with the command-line tool."""
 
 import contextlib
 import io
@@ -43,10 +43,10 @@
 
 
 class FakePrograms:
-    """One program in one group."""
+    """A client of the program groups that knows one program."""
 
     def ask(self, scope: str, message: Any, timeout: float) -> Any:
-        """Answers for the one program."""
+        """Returns the program or the result of closing it."""
         if scope != VIEW.program:
             raise errors.UnknownProgram(f"No program {scope}.")
         if isinstance(message, program_messages.CloseProgram):
@@ -56,14 +56,14 @@
     def list_programs(
         self, message: program_messages.ListPrograms, timeout: float
     ) -> program_messages.Programs:
-        """Lists the one program."""
+        """Returns the program as the only page."""
         return program_messages.Programs(
             [VIEW] if message.after < "1e5" else []
         )
 
 
 class FakeControl:
-    """Control actions that are only noted."""
+    """Control actions that are only recorded."""
 
     def __init__(self) -> None:
         self.replaced: list[tuple[str, ...]] = []
@@ -75,12 +75,12 @@
     def replace(
         self, old: str, new: str, address: str, failure_domain: str
     ) -> str:
-        """Notes the replacement."""
+        """Records the replacement."""
         self.replaced.append((old, new, address, failure_domain))
         return "started"
 
     def snapshot(self) -> str:
-        """Takes no snapshot."""
+        """Does nothing."""
         return "1 group"
 
 
@@ -88,7 +88,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.cluster = config_cluster.Cluster(self, 2)
-        # The second instance does not lead, so every request is passed on.
+        # The second instance is not the leader, so it forwards all requests.
         self.app = admin_http.AdminApp(
             TOKEN,
             ask=self.cluster.control[1].ask,
@@ -109,9 +109,11 @@
         return str(path)
 
     def run_cli(self, *arguments: str, token: str = "") -> tuple[int, str, str]:
-        """Returns exit code, output and errors.
+        """Runs a command; returns exit code, output and errors.
 
-        `token` is the option that says where the operators' token is.
+        Args:
+            arguments: Arguments of the command.
+            token: The option that gives the location of the token.
         """
         out, err = io.StringIO(), io.StringIO()
         options = (
@@ -156,7 +158,7 @@
         self.assertEqual("127.0.0.1", entry["origin"])
         self.assertIn("accepted as 1", entry["outcome"])
 
-    def test_highest_number_wins_whatever_came_last(self) -> None:
+    def test_highest_version_number_wins_in_any_order(self) -> None:
         push = ("manifest", "push")
         self.run_cli(*push, self.file("1"), "--number=7")
         late = self.run_json(*push, self.file("2"), "--number=5")
@@ -189,7 +191,7 @@
         self.assertIn(keys.short_digest(key["digest"]), out)
         self.assertNotIn("plain-key", out)
 
-    def test_key_is_shown_once_and_taken_away_by_its_digest(self) -> None:
+    def test_key_is_shown_once_and_removed_by_its_digest(self) -> None:
         self.push_customers()
         made = self.run_json("customers", "add_key", "farmers")
         listed = self.run_json("customers", "list")["customers"]
@@ -215,7 +217,7 @@
             self.assertEqual(cli_client.NOT_FOUND, code)
             self.assertIn("customers list", err)
 
-    def test_upstream_registers_and_leaves_by_itself(self) -> None:
+    def test_upstream_registers_and_deregisters_itself(self) -> None:
         body = {
             "service": "chat",
             "address": "127.0.0.1:9",
@@ -234,7 +236,7 @@
         self.assertEqual(200, self.ask("DELETE", path).status)
         self.assertEqual({}, leader.entries)
 
-    def test_emptying_an_unknown_instance_names_the_remedy(self) -> None:
+    def test_evacuating_an_unknown_instance_names_the_remedy(self) -> None:
         code, _, err = self.run_cli("control", "empty", "control-9")
         self.assertEqual(cli_client.NOT_FOUND, code)
         self.assertIn("No control instance control-9", err)
@@ -247,10 +249,10 @@
             body=json.dumps(body) if body is not None else None,
         )
 
-    def test_loser_of_a_race_exits_with_conflict_and_is_audited(self) -> None:
-        """Two operators push over revision 0; the second one comes late.
+    def test_conflicting_push_exits_with_conflict_and_is_audited(self) -> None:
+        """Two operators push with the same expected revision.
 
-        He sees exit code 4, the winner's name and what to do next.
+        The second gets exit code 4, the name of the first and a remedy.
         """
         self.run_cli(
             "manifest",
@@ -272,8 +274,8 @@
         _, out, _ = self.run_cli("audit")
         self.assertThat(out, matchers.MatchesRegex("(?s).*bert.*refused"))
 
-    def test_same_command_again_reports_the_first_outcome(self) -> None:
-        """The operator loses the answer and runs his command again."""
+    def test_repeated_command_reports_the_first_outcome(self) -> None:
+        """An operator gets no reply and repeats the command."""
         arguments = ("manifest", "push", self.file("1"), "--expected=0")
         first = self.run_json(*arguments)
         self.run_cli("manifest", "push", self.file("2"))
@@ -289,7 +291,7 @@
             [(c["path"], c["before"], c["after"]) for c in changes],
         )
 
-    def test_check_lists_faults_without_a_daemon(self) -> None:
+    def test_check_lists_errors_without_a_daemon(self) -> None:
         path = self.folder / "bad.json"
         path.write_text('{"services": {"x": {"kind": "odd", "extra": 1}}}')
         code, _, err = self.run_cli("manifest", "check", str(path))
@@ -304,8 +306,8 @@
         self.assertNotIn("wrong-token", out + err)
         self.assertNotIn(TOKEN, out + err)
 
-    def test_program_ids_stay_texts(self) -> None:
-        """An id such as 1e5 must not become a number on the way."""
+    def test_program_ids_stay_strings(self) -> None:
+        """An id such as 1e5 must not be converted to a number."""
         self.assertEqual(
             "1e5", self.run_json("programs", "show", "1e5")["program"]
         )
@@ -316,7 +318,7 @@
         self.assertEqual(cli_client.NOT_FOUND, code)
 
     def announce(self) -> None:
-        """Has an upstream of failure domain fd-1 announce itself."""
+        """Announces an upstream in the failure domain fd-1."""
         announcement = member_messages.Announcement(
             identities.Incarnation("u-1", 1),
             1,
@@ -337,9 +339,9 @@
             lambda: bool(self.run_json("upstreams", "list")["upstreams"])
         )
 
-    def test_drain_of_a_name_that_nobody_bears_is_an_error(self) -> None:
-        # A slip in the name: the drain would seem to hold, and the upstream
-        # be stopped with work on its way to it.
+    def test_drain_of_an_unknown_name_is_an_error(self) -> None:
+        # With a mistyped name, the drain would seem to be in force, and the
+        # operator would stop an upstream that still gets new requests.
         self.announce()
         for scope in ([], ["--failure_domain"]):
             code, _, err = self.run_cli("upstreams", "drain", "typo", *scope)
@@ -348,7 +350,7 @@
         self.assertEqual({}, self.cluster.control[0].machine.drains)
         self.assertEqual(0, self.run_cli("upstreams", "drain", "u-1")[0])
 
-    def test_drain_ahead_takes_a_name_that_is_yet_to_come(self) -> None:
+    def test_drain_ahead_accepts_an_unknown_name(self) -> None:
         code, _, _ = self.run_cli("upstreams", "drain", "later", "--ahead")
         self.assertEqual(0, code)
         state = self.cluster.control[0].machine
@@ -373,7 +375,7 @@
             self.assertEqual((0, ""), (code, err))
             self.assertTrue(out.strip())
 
-    def test_malformed_requests_are_typed_refusals(self) -> None:
+    def test_malformed_requests_get_typed_errors(self) -> None:
         pool = urllib3.PoolManager(retries=False)
         base = f"http://{self.address}/admin/v1/"
         headers = {"Authorization": f"Bearer {TOKEN}"}
@@ -400,7 +402,7 @@
         self.assertEqual(cli_client.UNAVAILABLE, code)
         self.assertIn("remedy:", err)
 
-    def test_replacement_is_started_and_the_members_follow(self) -> None:
+    def test_replacement_is_started_and_changes_the_members(self) -> None:
         control = FakeControl()
         self.app.control = control
         self.assertEqual(
--- a/testing/test_disk_thread.py
+++ b/testing/test_disk_thread.py
@@ -1,4 +1,4 @@
-"""Calls of the disk beside the loop."""
+"""Tests the thread for disk operations."""
 
 import eventlet
 import testtools
@@ -24,22 +24,22 @@
     def test_call_raises_what_the_function_raises(self) -> None:
         self.assertRaises(ZeroDivisionError, self.run_call, lambda: 1 / 0)
 
-    def test_loop_goes_on_during_a_call(self) -> None:
-        begun = disk_thread._threading.Event()
-        go_on = disk_thread._threading.Event()
+    def test_event_loop_runs_during_a_call(self) -> None:
+        started = disk_thread._threading.Event()
+        release = disk_thread._threading.Event()
         found: list[object] = []
 
-        def hold() -> str:
-            begun.set()
-            go_on.wait(20.0)
+        def block() -> str:
+            started.set()
+            release.wait(20.0)
             return "held"
 
-        eventlet.spawn(lambda: found.append(self.run_call(hold)))
+        eventlet.spawn(lambda: found.append(self.run_call(block)))
         with eventlet.Timeout(20.0):
-            while not begun.is_set():
+            while not started.is_set():
                 eventlet.sleep(0.001)
         self.assertEqual([], found)
-        go_on.set()
+        release.set()
         with eventlet.Timeout(20.0):
             while not found:
                 eventlet.sleep(0.001)
@@ -54,18 +54,18 @@
             thread.wait()
         self.assertEqual(list(range(50)), done)
 
-    def test_call_after_the_end_is_made_all_the_same(self) -> None:
-        """A system that was stopped is stopped once more by its owner.
+    def test_call_after_close_runs_on_the_caller(self) -> None:
+        """A system is stopped twice, and the second stop closes the log again.
 
-        The second stop closes the log again, through a thread that had ended:
-        it waited for ever, and with it the whole process.
+        If that call were queued for the thread, which has ended, the process
+        would hang.
         """
         self.run_call(lambda: None)
         self.worker.close()
         self.worker.close()
         self.assertEqual(7, self.run_call(lambda: 7))
 
-    def test_second_worker_of_a_process_works_beside_an_ended_one(
+    def test_second_worker_works_after_the_first_was_closed(
         self,
     ) -> None:
         self.worker.close()
--- a/testing/test_engine_http.py
+++ b/testing/test_engine_http.py
@@ -1,4 +1,4 @@
-"""The HTTP adapter of a model engine."""
+"""Tests the HTTP adapter for model engines."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 
 
 class ConnectionTest(testtools.TestCase):
-    def test_finished_stream_gives_its_connection_back(self) -> None:
+    def test_connection_of_a_finished_stream_is_reused(self) -> None:
         standin = engine.Engine("127.0.0.1:0")
         self.addCleanup(standin.stop)
         adapter = engine_http.HttpEngine(standin.address)
--- a/testing/test_http1_server.py
+++ b/testing/test_http1_server.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP listener by itself."""
+"""Tests the HTTP/1.1 server."""
 
 import socket
 from typing import Any
@@ -12,8 +12,8 @@
 SECONDS = 10.0
 
 
-class LateToPeek:
-    """A socket on which a peek finds nothing, as a moment before arrival."""
+class PeekFindsNothing:
+    """A socket on which a peek finds no data, as just before its arrival."""
 
     def __init__(self, sock: Any) -> None:
         self.sock = sock
@@ -28,9 +28,9 @@
 
 
 class StopTest(testtools.TestCase):
-    def test_request_that_crosses_the_close_is_not_passed_on(self) -> None:
-        # A planned stop closed an idle connection just as a request came. The
-        # request ran at an upstream, and nobody could be told.
+    def test_request_that_arrives_during_the_close_is_not_handled(self) -> None:
+        # A request arrives just as a planned stop closes its idle connection.
+        # If it ran at an upstream, its response could not be delivered.
         handled: list[http1_server.Request] = []
 
         def handle(
@@ -48,9 +48,9 @@
             while not listener.connections:
                 eventlet.sleep(0.005)
         (connection,) = listener.connections
-        # The thread that serves the connection runs only at the next sleep.
+        # The connection's green thread runs only at the next sleep.
         caller.fd.send(REQUEST)
-        connection.sock.fd = LateToPeek(connection.sock.fd)
+        connection.sock.fd = PeekFindsNothing(connection.sock.fd)
         connection.close_if_idle()
         with eventlet.Timeout(SECONDS):
             while listener.connections:
--- a/testing/test_process_memory.py
+++ b/testing/test_process_memory.py
@@ -1,4 +1,4 @@
-"""The memory of this process, as the kernel tells it."""
+"""Tests the memory usage that the kernel reports for this process."""
 
 import pathlib
 import tempfile
@@ -10,22 +10,22 @@
 
 
 class PeakTest(testtools.TestCase):
-    def test_memory_that_was_held_once_counts(self) -> None:
+    def test_freed_memory_counts_towards_the_peak(self) -> None:
         before = process_memory.peak_mb()
-        held = bytearray(64 * 1024 * 1024)
-        held[::4096] = bytes(len(held[::4096]))
-        del held
+        block = bytearray(64 * 1024 * 1024)
+        block[::4096] = bytes(len(block[::4096]))
+        del block
         after = process_memory.peak_mb()
         self.assertThat(after, matchers.GreaterThan(before))
         self.assertThat(after, matchers.GreaterThan(64.0))
 
-    def test_figure_is_the_peak_and_not_what_is_held_now(self) -> None:
+    def test_peak_is_returned_and_not_the_current_usage(self) -> None:
         with tempfile.NamedTemporaryFile("w", suffix="status") as file:
             file.write("Name:\tx\nVmHWM:\t   81920 kB\nVmRSS:\t 40960 kB\n")
             file.flush()
             found = process_memory.peak_mb(pathlib.Path(file.name))
         self.assertEqual(80.0, found)
 
-    def test_system_that_does_not_say_is_no_failure(self) -> None:
-        nowhere = pathlib.Path(tempfile.gettempdir()) / "no-such-status"
-        self.assertEqual(0.0, process_memory.peak_mb(nowhere))
+    def test_missing_status_file_gives_zero(self) -> None:
+        missing = pathlib.Path(tempfile.gettempdir()) / "no-such-status"
+        self.assertEqual(0.0, process_memory.peak_mb(missing))
--- a/testing/test_settings.py
+++ b/testing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault at once, each with its field and remedy."""
+"""Tests settings files: all errors are reported, with field and remedy."""
 
 import pathlib
 import tempfile
@@ -24,7 +24,7 @@
         path.write_text(text)
         return settings.load(path)
 
-    def faults(self, text: str) -> list[str]:
+    def load_errors(self, text: str) -> list[str]:
         group = self.assertRaises(ExceptionGroup, self.load, text)
         for error in group.exceptions:
             self.assertIsInstance(error, errors.InvalidSettings)
@@ -35,8 +35,8 @@
         loaded = self.load(GOOD)
         self.assertEqual("127.0.0.1:0", loaded.entry.http)
 
-    def test_every_fault_is_reported_at_once(self) -> None:
-        found = self.faults(
+    def test_all_errors_are_reported_at_once(self) -> None:
+        found = self.load_errors(
             '{"instance": 3, "failure_domain": "a", "listen": "here",'
             ' "roles": ["cook"], "control": [], "colour": 1}'
         )
@@ -48,8 +48,10 @@
             )
 
     def test_a_role_needs_its_section(self) -> None:
-        found = self.faults(GOOD.replace('["entry"]', '["entry", "sidecar"]'))
+        found = self.load_errors(
+            GOOD.replace('["entry"]', '["entry", "sidecar"]')
+        )
         self.assertEqual(["sidecar: is missing for the role sidecar."], found)
 
-    def test_text_that_is_no_json_is_one_fault(self) -> None:
-        self.assertThat(self.faults("{"), matchers.HasLength(1))
+    def test_invalid_json_is_one_error(self) -> None:
+        self.assertThat(self.load_errors("{"), matchers.HasLength(1))
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams between processes, over loopback sockets."""
+"""Tests streams between processes over loopback sockets."""
 
 import struct
 
@@ -58,7 +58,7 @@
         )
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
-    def test_unreachable_peer_is_a_true_not_run(self) -> None:
+    def test_unreachable_peer_has_the_outcome_not_run(self) -> None:
         gone = streams.TcpStreams("127.0.0.1:0")
         gone.stop()
         error = self.assertRaises(
@@ -94,11 +94,11 @@
     def answer(self, exchange: ports.Exchange, message: object) -> None:
         exchange.send(identities.Done())
 
-    def test_slow_reader_holds_its_own_sender_and_nobody_else(self) -> None:
-        """A caller asks for a long answer and stops reading.
+    def test_slow_reader_blocks_only_its_own_sender(self) -> None:
+        """A caller requests a long response and stops reading.
 
-        Its sender runs out of credit after one window, so nothing piles up
-        in either process, and a neighbour on the same connection is served.
+        Its sender runs out of credit after one window, so buffers stay small
+        in both processes, and other exchanges of the connection are served.
         """
         slow = self.client.open(
             self.server.address, program_messages.ShowProgram("p")
@@ -109,7 +109,7 @@
         self.assertThat(slow.unread, matchers.LessThan(window + 200))
         self.assertThat(self.sent, matchers.LessThan(2 * window // 100))
 
-    def test_reader_that_goes_on_gets_everything_in_order(self) -> None:
+    def test_reader_receives_all_messages_in_order(self) -> None:
         def count(exchange: ports.Exchange, message: object) -> None:
             for number in range(200):
                 exchange.send(identities.Done(f"{number}"))
@@ -139,7 +139,7 @@
         exchange.close()
         self.assertTrue(ended.wait(5.0))
 
-    def test_message_over_the_limit_costs_only_itself(self) -> None:
+    def test_message_over_the_limit_keeps_the_connection_open(self) -> None:
         self.assertRaises(
             errors.TooLarge,
             self.client.open,
@@ -148,11 +148,11 @@
         )
         self.client.ask(self.server.address, config_messages.Ping(), 5.0)
 
-    def test_peer_that_does_not_read_does_not_stop_the_reading(self) -> None:
-        """A peer's socket takes no more bytes while it goes on to ask.
+    def test_peer_that_does_not_read_does_not_block_the_reader(self) -> None:
+        """A peer continues to send requests, but does not read.
 
-        The writer waits for the socket; the reader must go on, or two
-        processes that both write would wait for each other for ever.
+        The writer blocks on the socket; the reader must continue, or two
+        processes that both write would deadlock.
         """
         asked = event.Event()
         self.server.handle(
@@ -173,11 +173,11 @@
         self.client = streams.TcpStreams("127.0.0.1:0", LIMITS)
         self.addCleanup(self.client.stop)
 
-    def test_silent_peer_is_found(self) -> None:
-        """A peer is cut off without a sign: it takes bytes, sends none.
+    def test_connection_to_a_silent_peer_is_closed(self) -> None:
+        """A peer accepts data but sends none, not even heartbeats.
 
-        Nothing closes the connection, so the caller would wait for ever;
-        the missing heartbeats end it.
+        Nothing closes the connection, so without a timeout the caller would
+        wait forever.
         """
         listener = eventlet.listen(("127.0.0.1", 0))
         self.addCleanup(listener.close)
@@ -185,7 +185,7 @@
         exchange = self.client.open(address, config_messages.Ping())
         self.assertRaises(errors.StreamClosed, exchange.receive, 10.0)
 
-    def test_idle_connection_stays(self) -> None:
+    def test_idle_connection_stays_open(self) -> None:
         server = streams.TcpStreams("127.0.0.1:0", LIMITS)
         self.addCleanup(server.stop)
         server.handle(
@@ -197,11 +197,10 @@
         eventlet.sleep(2 * LIMITS.silence_timeout)
         self.assertIs(before, self.client.dialled.get(server.address))
 
-    def test_dial_that_hangs_does_not_hold_up_other_addresses(self) -> None:
-        """One address swallows every packet, as a lost host does.
+    def test_hanging_dial_does_not_block_other_addresses(self) -> None:
+        """A dial to a host that is down takes seconds.
 
-        A dial to it takes seconds; a request to another address goes through
-        in the meantime.
+        Meanwhile a request to another address must be served.
         """
         server = streams.TcpStreams("127.0.0.1:0", LIMITS)
         self.addCleanup(server.stop)
@@ -236,7 +235,7 @@
 class BadPeerTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        # Silence must not be what closes the connection here.
+        # Long enough that the timeout does not close the connection.
         limits = LIMITS._replace(silence_timeout=60.0)
         self.server = streams.TcpStreams("127.0.0.1:0", limits)
         self.addCleanup(self.server.stop)
@@ -259,20 +258,20 @@
         self.addCleanup(other.stop)
         other.ask(self.server.address, config_messages.Ping(), 5.0)
 
-    def test_bytes_that_are_no_frame_cost_the_connection(self) -> None:
+    def test_invalid_frame_closes_the_connection(self) -> None:
         self.assert_closed_after(b"GET / HTTP/1.1\r\n\r\n")
 
-    def test_oversized_header_costs_the_connection(self) -> None:
+    def test_oversized_frame_closes_the_connection(self) -> None:
         header = struct.pack(">IIB", 2**31, 1, streams_frames.OPEN)
         self.assert_closed_after(header)
 
-    def test_unknown_message_costs_the_connection(self) -> None:
+    def test_unknown_message_closes_the_connection(self) -> None:
         body = msgpack.packb([9999])
         self.assert_closed_after(
             streams_frames.pack(1, streams_frames.OPEN, body)
         )
 
-    def test_sending_without_credit_costs_the_connection(self) -> None:
+    def test_sending_without_credit_closes_the_connection(self) -> None:
         self.server.handle(
             config_messages.ReadManifest,
             lambda exchange, _: eventlet.sleep(30.0),
@@ -283,7 +282,7 @@
             frame(1, config_messages.ReadManifest()) + 3 * more
         )
 
-    def test_exchange_opened_twice_costs_the_connection(self) -> None:
+    def test_opening_an_exchange_twice_closes_the_connection(self) -> None:
         self.server.handle(
             config_messages.ReadManifest,
             lambda exchange, _: eventlet.sleep(30.0),
--- a/testing/test_streams_flow.py
+++ b/testing/test_streams_flow.py
@@ -1,4 +1,4 @@
-"""Flow control of streams between processes."""
+"""Tests flow control and connection loss of streams."""
 
 import os
 
@@ -17,11 +17,12 @@
     def test_first_message_over_the_window_lets_the_second_follow(
         self,
     ) -> None:
-        """A sender opens an exchange with a message larger than its credit.
+        """An exchange is opened with a message larger than the window.
 
-        The receiver has taken it and waits for the second; the sender waits
-        for credit. A bulk frame of replication then never ended, and a
-        replica behind a snapshot did not catch up.
+        If the receiver granted credit only after a second message, the sender
+        would wait for credit and the receiver for the message: a large
+        replication frame would never be transferred, and a replica that needs
+        a snapshot would not catch up.
         """
         server = streams.TcpStreams("127.0.0.1:0")
         client = streams.TcpStreams("127.0.0.1:0")
@@ -42,9 +43,9 @@
         self.assertEqual(str(1 << 20), exchange.receive(5.0).detail)
 
 
-class HeldTest(testtools.TestCase):
-    def test_messages_that_nobody_takes_are_told(self) -> None:
-        """A process ends by its memory, and its last lines say what grew."""
+class BufferUsageTest(testtools.TestCase):
+    def test_unread_messages_are_reported(self) -> None:
+        """The figures show what grew if a process is killed for its memory."""
         server = streams.TcpStreams("127.0.0.1:0")
         client = streams.TcpStreams("127.0.0.1:0")
         self.addCleanup(server.stop)
@@ -58,18 +59,18 @@
             if server.buffer_usage()["untaken_bytes"] > 50_000:
                 break
             eventlet.sleep(0.01)
-        held = server.buffer_usage()
-        self.assertTrue(50_000 < held["untaken_bytes"] < 51_000, held)
-        self.assertEqual(1, held["exchanges"])
+        usage = server.buffer_usage()
+        self.assertTrue(50_000 < usage["untaken_bytes"] < 51_000, usage)
+        self.assertEqual(1, usage["exchanges"])
 
 
 class LostConnectionTest(testtools.TestCase):
     def test_lost_connections_descriptor_can_be_waited_on_again(self) -> None:
-        """A silent connection is given up while its reader waits on it.
+        """A connection is closed while its reader waits on it.
 
-        Its descriptor's number went to the next pipe or connection at once,
-        where the hub still held the old reader: whoever waited there failed
-        with "Second simultaneous read".
+        If its file descriptor were reused at once, while the hub still has the
+        old listener, waiting on the new file would fail with "Second
+        simultaneous read".
         """
         server = streams.TcpStreams("127.0.0.1:0")
         client = streams.TcpStreams("127.0.0.1:0")
--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -1,4 +1,4 @@
-"""The write-ahead log on a real folder, with failures of the disk."""
+"""Tests the write-ahead log in a real folder, with disk failures."""
 
 import contextlib
 import errno
@@ -29,7 +29,13 @@
 
 
 class FailingDisk(wal_disk.SystemDisk):
-    """Fails a write or a sync when told to."""
+    """A disk whose writes and syncs can be made to fail.
+
+    Attributes:
+        fail_write: Errno of writes, which write half of the data; 0 for none.
+        fail_sync: Errno of the next sync; 0 for none.
+        syncs: Number of successful syncs.
+    """
 
     def __init__(self) -> None:
         self.fail_write = 0
@@ -91,10 +97,10 @@
         self.assertEqual([b[0] for b in batches], self.opened(size=200)[1])
 
     def test_torn_tail_is_cut_and_the_log_goes_on(self) -> None:
-        """The process dies in the middle of a write.
+        """The process is killed during a write.
 
-        The last record is cut short and nobody was told that it lasts, so it
-        is dropped, and later records are readable after one more start.
+        The incomplete last record was not acknowledged, so it is dropped, and
+        records appended later are readable after another restart.
         """
         self.write([b"whole"], [b"torn record"])
         path = self.segment()
@@ -107,10 +113,10 @@
         self.assertEqual([b"whole", b"next"], self.opened()[1])
 
     def test_unsynced_batch_with_a_hole_is_cut(self) -> None:
-        """The disk kept the second block of a batch but not the first.
+        """The disk wrote the second block of a batch but not the first.
 
-        Nothing of the batch was synced, so this is a torn tail although a
-        whole record follows the unreadable one.
+        The batch was not synced, so this is a torn write although an intact
+        record follows the corrupt one.
         """
         self.write([b"whole"], [b"first", b"second"])
         data = self.segment().read_bytes()
@@ -120,10 +126,10 @@
     def test_damage_before_the_tail_is_an_error_that_names_the_repair(
         self,
     ) -> None:
-        """A synced record is unreadable and a later batch is whole.
+        """A synced record is corrupt and a later batch is intact.
 
-        Cutting there would lose what this replica acknowledged; it must not
-        start, and the operator learns how to rebuild it.
+        Truncating there would lose records that the replica has acknowledged.
+        It must not start, and the error says how to rebuild it.
         """
         self.write([b"first"], [b"second"])
         data = self.segment().read_bytes()
@@ -153,10 +159,10 @@
         self.assertRaises(errors.StorageDamaged, self.opened)
 
     def test_failed_sync_ends_the_log_for_good(self) -> None:
-        """A sync fails once; the kernel then forgets the dirty pages.
+        """A sync fails once, and the kernel drops the dirty pages.
 
-        A second sync would report success for bytes that are gone, so the
-        log refuses every later call although the disk works again.
+        A second sync would report success although the data is lost, so all
+        later calls fail even if the disk works again.
         """
         log, _ = self.opened()
         log.append([b"lost"])
@@ -170,9 +176,9 @@
     def test_restart_on_new_inodes_keeps_the_log_where_that_is_usual(
         self,
     ) -> None:
-        # Every instance lost power and came back on volumes that were mounted
-        # afresh, with new inode numbers. Each took its own disk for a copy,
-        # and all that had been acknowledged was gone.
+        # If volumes are remounted with new inode numbers after a power loss,
+        # every instance would consider its own disk a copy, and all
+        # acknowledged data would be lost.
         self.write([b"kept"])
         moved = self.folder.parent / (self.folder.name + "-moved")
         shutil.copytree(self.folder, moved)
@@ -281,10 +287,10 @@
         self.assertEqual((9, []), (found.identity.epoch, list(found.records)))
 
     def test_restored_copy_of_a_disk_gets_a_new_identity(self) -> None:
-        """An operator puts back yesterday's backup of the data folder.
+        """An operator restores an old backup of the data folder.
 
-        The copy forgot votes and entries of today, so it must not vote under
-        the old identity: it starts empty under a new one.
+        The copy lacks later votes and entries, so it must not vote under the
+        old identity: it starts empty under a new one.
         """
         self.write([b"x"])
         backup = self.folder / "backup"
@@ -301,7 +307,7 @@
 
 class MemoryTest(testtools.TestCase):
     def opened(self) -> wal.FileWal:
-        """Returns a new log with nothing in it."""
+        """Returns a new, empty log."""
         folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         log = wal.FileWal(folder)
@@ -309,13 +315,13 @@
         log.open(NODE)
         return log
 
-    def test_start_holds_what_is_live_and_not_the_whole_log(self) -> None:
-        """All machines lose power; some control processes never come back.
+    def test_start_does_not_hold_the_whole_log_in_memory(self) -> None:
+        """A log that is read as a whole exceeds the memory of a small machine.
 
-        A log grows to many times what lies behind its last snapshot. It was
-        read as a whole before anything was made of it: 26 MB in memory for
-        this log of 24 MB. A small machine has no room for that beside the
-        state, and the process ends again at each start.
+        A log grows to many times the size of the entries after its last
+        snapshot. Reading all records before replaying them took 26 MB for this
+        log of 24 MB. A process that exceeds its memory on start is killed at
+        each restart.
         """
         folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
@@ -347,12 +353,11 @@
         self.assertThat(peak, matchers.LessThan(8_000_000))
 
     def test_state_is_sent_to_all_followers_from_one_copy(self) -> None:
-        """Power is lost and takes two disks; the leader ends by its memory.
+        """A leader sends its state to two followers and runs out of memory.
 
-        In the second after its start it applies what lies behind its snapshot
-        and sends that to two empty followers. Each sending held the state
-        three times for a moment and once until its end: 80 MB for these two
-        of 16 MB.
+        This happens after a power loss that destroyed the disks of both. Each
+        transfer held three copies of the state for a moment and one until its
+        end: 80 MB for two transfers of 16 MB.
         """
         log = self.opened()
         state = os.urandom(16_000_000)
--- a/testing/test_wal_power.py
+++ b/testing/test_wal_power.py
@@ -1,7 +1,7 @@
-"""The write-ahead log under kills and losses of power, in virtual time.
+"""Tests the write-ahead log with killed processes and power losses.
 
-What a disk may forget is in `fakes/virtual_disk`: writes since a file's last
-sync, and names since their directory's last sync, one by one.
+`fakes.virtual_disk` simulates what a disk may lose: writes since a file's last
+sync and directory entries since the directory's last sync.
 """
 
 import fcntl
@@ -25,10 +25,12 @@
 
 
 class Machine:
-    """A machine whose process appends numbers to a log until it ends.
+    """A machine whose process appends numbers to a log until it is killed.
 
     Attributes:
-        acknowledged: Records whose sync has returned, in all lives.
+        acknowledged: Number of records whose sync has returned, over all
+            process starts.
+        history: Descriptions of the process ends, for failure messages.
     """
 
     def __init__(self, folder: pathlib.Path, seed: int) -> None:
@@ -38,16 +40,16 @@
         self.disk = virtual_disk.VirtualDisk(self.folder, self.rng)
         self.disk.sync_names(self.folder)
         self.acknowledged = 0
-        self.story: list[str] = []
+        self.history: list[str] = []
 
-    def live(self) -> None:
-        """Runs one life and ends it at a moment of its own."""
+    def run_process(self) -> None:
+        """Runs a process and kills it at a random time."""
         process = virtual_time.VirtualProcess()
         self.disk.process = process
         log = wal.FileWal(
             self.folder / "log", self.disk, SEGMENT, detect_copies=False
         )
-        thread = eventlet.spawn(self._work, log)
+        thread = eventlet.spawn(self._append_forever, log)
         eventlet.sleep(self.rng.choice((0.01, 0.05, 0.3)) * self.rng.random())
         process.kill()
         eventlet.sleep(0.1)
@@ -55,22 +57,24 @@
             fcntl.flock(log.lock, fcntl.LOCK_UN)
         if self.rng.random() < 0.5:
             self.disk.lose_power()
-            self.story.append(f"power lost, {self.acknowledged} acknowledged")
+            self.history.append(f"power lost, {self.acknowledged} acknowledged")
         else:
-            self.story.append(f"killed, {self.acknowledged} acknowledged")
+            self.history.append(f"killed, {self.acknowledged} acknowledged")
         thread.wait()
         for descriptor in (log.descriptor, log.lock):
             if descriptor >= 0:
                 os.close(descriptor)
 
-    def _work(self, log: wal.FileWal) -> None:
+    def _append_forever(self, log: wal.FileWal) -> None:
         try:
-            found = log.open(identities.Incarnation("c1", len(self.story) + 1))
+            found = log.open(
+                identities.Incarnation("c1", len(self.history) + 1)
+            )
             records = list(found.records)
             written = len(records)
             whole = [b"%d" % n for n in range(written)]
-            assert records == whole, self.story
-            assert written >= self.acknowledged, (written, self.story)
+            assert records == whole, self.history
+            assert written >= self.acknowledged, (written, self.history)
             while True:
                 size = self.rng.choice((1, 1, 5, 30))
                 batch = [b"%d" % n for n in range(written, written + size)]
@@ -93,29 +97,29 @@
         self.folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, self.folder)
 
-    def play(self, seed: int, lives: int = 12) -> None:
+    def run_machine(self, seed: int, runs: int = 12) -> None:
         folder = self.folder / str(seed)
         folder.mkdir()
 
         def body() -> None:
             machine = Machine(folder, seed)
-            for _ in range(lives):
-                machine.live()
+            for _ in range(runs):
+                machine.run_process()
 
         virtual_time.run(body)
 
-    def test_what_was_synced_survives(self) -> None:
-        """An instance comes back with an empty disk, or lacks a segment.
+    def test_synced_records_survive(self) -> None:
+        """A power loss removes the data folder or a segment.
 
-        The data folder's own name, and the name of a segment that a killed
-        process had just made, were never synced. After a loss of power they
-        may be gone, with all that was written under them and acknowledged.
+        Happens if the directory entry of the data folder, or of a segment that
+        a killed process had just created, is never synced: acknowledged
+        records are lost with it.
         """
         for seed in range(150):
-            self.play(seed)
+            self.run_machine(seed)
 
-    def test_token_file_is_whole_or_absent_after_a_loss_of_power(self) -> None:
-        """An operator's token file was empty: every empty token was valid."""
+    def test_token_file_is_complete_or_missing_after_a_power_loss(self) -> None:
+        """Were the token file empty, an empty token would be accepted."""
 
         def body() -> set[str]:
             found = set()
@@ -128,7 +132,7 @@
                 disk.lose_power()
                 again = admin_token.load_or_create(folder, disk)
                 found.add("same" if again == made else "other")
-                assert again, "an empty token"
+                assert again, "the token is empty"
             return found
 
         self.assertEqual({"same"}, virtual_time.run(body))
--- a/testing/test_wal_segment.py
+++ b/testing/test_wal_segment.py
@@ -1,4 +1,4 @@
-"""One segment's bytes under drawn damage."""
+"""Tests reading segments with generated damage."""
 
 import hypothesis
 from hypothesis import strategies
@@ -15,7 +15,7 @@
 
 
 def written(batches: list[list[bytes]]) -> tuple[bytes, int]:
-    """Returns a segment and the offset where its last batch starts."""
+    """Returns a segment and the start offset of its last batch."""
     data = wal_segment.header(wal_segment.BASE, SALT)
     start = len(data)
     for batch in batches:
@@ -27,7 +27,7 @@
 
 
 def read(data: bytes) -> tuple[list[bytes], int]:
-    """Returns the records of a last segment, and where the last one ends."""
+    """Returns the records of a last segment and the offset of their end."""
     found, end = wal_segment.last_records(data, "s")
     assert found == list(wal_segment.records(data[:end], "s"))
     return found, end
@@ -75,11 +75,11 @@
     assert len(found) >= len(every) - len(batches[-1])
 
 
-def test_torn_record_that_a_caller_made_look_like_damage_is_cut() -> None:
-    """A caller's payload holds what looks like a record of a later batch.
+def test_torn_record_whose_payload_contains_a_forged_record_is_cut() -> None:
+    """A torn record's payload contains what looks like a later batch's record.
 
-    The record is torn in a crash. Were the inner one taken for a record, the
-    log would look damaged and the instance would not start.
+    If it were accepted as a record, the torn write would look like corruption
+    and the instance would not start.
     """
     forged = wal_segment.frame(SALT + 1, 10_000, b"forged")
     data = wal_segment.header(wal_segment.BASE, SALT)
