--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -236,12 +236,12 @@
         for one in self._victims(1):
             self._lose(one, 3.0)
             one.busy = self.rng.choice((0.005, 0.05, 0.2))
-            one.log.timers.busy = one.busy
+            one.log.timers.max_delay = one.busy
             eventlet.spawn_after(3.0, self._calm, one)
 
     def _calm(self, one: control_cluster.Instance) -> None:
         one.busy = 0.0
-        one.log.timers.busy = 0.0
+        one.log.timers.max_delay = 0.0
 
     def _all(self, what: str, power: bool, wiped: int = 0) -> float:
         pause = self.rng.choice((0.3, 0.7, 1.5))
--- a/testing/fakes/control_cluster.py
+++ b/testing/fakes/control_cluster.py
@@ -109,7 +109,7 @@
     ) -> None:
         cluster = self.cluster
         timers = virtual_time.ProcessTimers(process, cluster.rng, self.skew)
-        timers.busy = self.busy
+        timers.max_delay = self.busy
         streams = virtual_net.VirtualStreams(
             cluster.network, self.address, process
         )
--- a/testing/fakes/virtual_time.py
+++ b/testing/fakes/virtual_time.py
@@ -126,7 +126,7 @@
 
     Attributes:
         skew: Difference of the wall clock from virtual time, in seconds.
-        busy: Maximum random delay of a sleep in seconds, which simulates
+        max_delay: Maximum random delay of a sleep in seconds, which simulates
             other green threads that occupy the event loop.
     """
 
@@ -136,7 +136,7 @@
         self.process = process
         self.rng = rng
         self.skew = skew
-        self.busy = 0.0
+        self.max_delay = 0.0
 
     def now(self) -> float:
         return hubs.get_hub().time
@@ -146,7 +146,7 @@
 
     def sleep(self, seconds: float) -> None:
         self.process.check()
-        delay = self.rng.random() * self.busy if self.busy else 0.0
+        delay = self.rng.random() * self.max_delay if self.max_delay else 0.0
         eventlet.sleep(seconds + delay)
         self.process.check()
 
