--- a/src/mintcleat/adapters/caller_http.py
+++ b/src/mintcleat/adapters/caller_http.py
@@ -242,7 +242,7 @@
 
 def parse_program(body: dict[str, Any]) -> requests.NewProgram:
     """Returns the program described in a request's body."""
-    budget = http_request.checked(body.get("budget"), "budget", dict, {})
+    budget = http_request.checked_field(body.get("budget"), "budget", dict, {})
     klass = string_field(body, "class")
     if klass not in ("", "interactive", "batch"):
         raise errors.BadRequest("`class` must be interactive or batch.")
@@ -262,12 +262,12 @@
 
 def string_field(body: dict[str, Any], name: str) -> str:
     """Returns a string field, or an empty string if it is absent."""
-    return http_request.checked(body.get(name), name, str, "")
+    return http_request.checked_field(body.get(name), name, str, "")
 
 
 def budget_limit(budget: dict[str, Any], name: str, kind: type) -> Any:
     """Returns a limit of a budget; 0 if it is absent."""
-    return http_request.checked(
+    return http_request.checked_field(
         budget.get(name), f"budget.{name}", kind, kind(0)
     )
 
--- a/src/mintcleat/adapters/chat_http.py
+++ b/src/mintcleat/adapters/chat_http.py
@@ -33,14 +33,14 @@
         request=request_id,
         program=program,
         customer=http_request.header(environ, "Mintcleat-Customer"),
-        model=http_request.checked(body.get("model"), "model", str, ""),
+        model=http_request.checked_field(body.get("model"), "model", str, ""),
         turn=turn,
         key=http_request.header(environ, "Idempotency-Key"),
         messages=messages,
         parameters=json.dumps(body, sort_keys=True),
         deadline=http_request.number(deadline, "Mintcleat-Deadline"),
         max_tokens=max_tokens(body),
-        streamed=http_request.checked(
+        streamed=http_request.checked_field(
             body.get("stream"), "stream", bool, False
         ),
     )
@@ -61,7 +61,7 @@
 def max_tokens(body: dict[str, Any]) -> int:
     """Returns the completion limit, given in either of OpenAI's fields."""
     value = body.get("max_completion_tokens", body.get("max_tokens"))
-    return http_request.checked(value, "max_tokens", int, 0)
+    return http_request.checked_field(value, "max_tokens", int, 0)
 
 
 def completion_body(
--- a/src/mintcleat/adapters/http1_client.py
+++ b/src/mintcleat/adapters/http1_client.py
@@ -1,9 +1,10 @@
 """An HTTP/1.1 client for upstreams, on h11 and eventlet.
 
-urllib3 is not used here, because it does not read a response before the
-request body is sent, because it cannot skip a repeated response to an earlier
-request on the connection, and because it does not distinguish a body cut off
-by a reset from one that ends with its connection. Upstreams do all three.
+Upstreams may respond before they have read the request body, may repeat the
+response to an earlier request of the connection, and may reset a connection
+within a body that has no length. urllib3 reads no response before the body is
+sent, takes a repeated response for that of the current request, and does not
+distinguish a reset from the end of such a body.
 """
 
 import contextlib
--- a/src/mintcleat/adapters/http1_server.py
+++ b/src/mintcleat/adapters/http1_server.py
@@ -300,7 +300,7 @@
                     )
                 body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                return _request(head, b"".join(body), self.peer)
+                return _to_request(head, b"".join(body), self.peer)
             else:
                 return None
 
@@ -362,7 +362,7 @@
             self.end()
 
 
-def _request(head: Any, body: bytes, peer: str) -> Request:
+def _to_request(head: Any, body: bytes, peer: str) -> Request:
     headers = tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in head.headers
--- a/src/mintcleat/adapters/http_request.py
+++ b/src/mintcleat/adapters/http_request.py
@@ -120,7 +120,7 @@
     return value
 
 
-def checked(value: Any, name: str, kind: type, default: Any) -> Any:
+def checked_field(value: Any, name: str, kind: type, default: Any) -> Any:
     """Returns a JSON field checked for its type; its default if absent."""
     if value is None:
         return default
--- a/src/mintcleat/adapters/metrics_http.py
+++ b/src/mintcleat/adapters/metrics_http.py
@@ -27,9 +27,9 @@
     def __call__(
         self, environ: dict[str, Any], start: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answers one request."""
+        """Handles a request."""
         if environ["PATH_INFO"] != "/metrics":
-            error = errors.BadRequest("Only /metrics is served here.")
+            error = errors.BadRequest("Only the path /metrics exists here.")
             start(problems.status_line(error.status), problems.headers(error))
             return [problems.body(error, "")]
         self.refresh()
--- a/src/mintcleat/adapters/settings.py
+++ b/src/mintcleat/adapters/settings.py
@@ -185,7 +185,7 @@
     try:
         value = json5.loads(path.read_text())
     except OSError as error:
-        unreadable = invalid(
+        unreadable = field_error(
             str(path),
             f"can't be read: {error.strerror}",
             "Give the path of a readable settings file.",
@@ -193,7 +193,7 @@
         raise _error_group([unreadable]) from None
     except ValueError as error:
         raise _error_group(
-            [invalid("", f"is not valid JSON: {error}")]
+            [field_error("", f"is not valid JSON: {error}")]
         ) from None
     return parse(value)
 
@@ -208,7 +208,9 @@
     return msgspec.convert(value, Settings)
 
 
-def invalid(path: str, what: str, remedy: str = "") -> errors.InvalidSettings:
+def field_error(
+    path: str, what: str, remedy: str = ""
+) -> errors.InvalidSettings:
     """Returns the error of one field."""
     return errors.InvalidSettings(
         f"{path or 'settings'}: {what}.", remedy=remedy
@@ -223,17 +225,19 @@
 
 def _struct_errors(kind: type, value: Any, path: str) -> Any:
     if not isinstance(value, dict):
-        yield invalid(path, "must be an object")
+        yield field_error(path, "must be an object")
         return
     hints = get_type_hints(kind)
     for name in sorted(value.keys() - hints.keys()):
         known = ", ".join(sorted(hints))
-        yield invalid(_join(path, name), "is unknown", f"Use one of: {known}.")
+        yield field_error(
+            _join(path, name), "is unknown", f"Use one of: {known}."
+        )
     required = {
         field.name for field in msgspec.structs.fields(kind) if field.required
     }
     for name in sorted(required - value.keys()):
-        yield invalid(_join(path, name), "is missing", f"Add `{name}`.")
+        yield field_error(_join(path, name), "is missing", f"Add `{name}`.")
     for name in hints.keys() & value.keys():
         yield from _value_errors(hints[name], value[name], _join(path, name))
 
@@ -242,7 +246,7 @@
     kind = _unwrap_optional(kind)
     if get_origin(kind) is list:
         if not isinstance(value, list):
-            yield invalid(path, "must be a list")
+            yield field_error(path, "must be a list")
             return
         (item,) = get_args(kind)
         for index, element in enumerate(value):
@@ -254,7 +258,7 @@
     try:
         msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        yield invalid(path, str(error).rstrip(".").lower())
+        yield field_error(path, str(error).rstrip(".").lower())
         return
     field = path.rpartition(".")[2]
     if field in _ADDRESS_FIELDS and (value or field != "metrics"):
@@ -265,22 +269,22 @@
     for index, address in enumerate(value["control"]):
         yield from _address_errors(address, f"control[{index}]")
     if not value["roles"]:
-        yield invalid("roles", "is empty", "Add entry, sidecar or control.")
+        yield field_error("roles", "is empty", "Add entry, sidecar or control.")
     if not value["control"]:
-        yield invalid(
+        yield field_error(
             "control", "is empty", "Add the addresses of the control instances."
         )
     for role in value["roles"]:
         section = _SECTIONS[role]
         if value.get(section) is None:
-            yield invalid(section, f"is missing for the role {role}")
+            yield field_error(section, f"is missing for the role {role}")
     for name, seconds in (value.get("times") or {}).items():
         if seconds < 0 or (seconds == 0 and name not in _ZERO_ALLOWED):
-            yield invalid(f"times.{name}", "must be more than 0")
+            yield field_error(f"times.{name}", "must be more than 0")
     if value.get("program_groups", 1) < 1:
-        yield invalid("program_groups", "must be 1 or more")
+        yield field_error("program_groups", "must be 1 or more")
     if value.get("stop_seconds", 0) < 0:
-        yield invalid("stop_seconds", "must not be negative")
+        yield field_error("stop_seconds", "must not be negative")
 
 
 def _address_errors(value: str, path: str) -> Any:
@@ -291,7 +295,7 @@
         numbers, port = [], -1
     valid = len(numbers) == 4 and all(0 <= part < 256 for part in numbers)
     if not valid or not 0 <= port < 65536:
-        yield invalid(
+        yield field_error(
             path,
             f"{value!r} is not of the form IP:PORT",
             "Use an address such as 127.0.0.1:8080.",
--- a/src/mintcleat/adapters/wal.py
+++ b/src/mintcleat/adapters/wal.py
@@ -175,7 +175,7 @@
                 state = file.read()
         if head != zlib.crc32(state).to_bytes(4, "big"):
             raise errors.StorageDamaged(
-                f"Snapshot {path.name} is missing or damaged."
+                f"Snapshot {path.name} is missing or corrupt."
             )
         return state
 
