--- a/src/mintcleat/adapters/metrics.py
+++ b/src/mintcleat/adapters/metrics.py
@@ -1,13 +1,13 @@
-"""Metrics by aioprometheus, rendered for a scrape."""
+"""Prometheus metrics, on aioprometheus."""
 
 import aioprometheus
 
-_BUCKETS = [
+_BUCKETS_SECONDS = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0,
     10.0, 30.0, 120.0, 600.0,
 ]  # fmt: skip
 _HELP = {
-    "calls_total": "Calls taken at the entry, by kind.",
+    "calls_total": "Calls accepted at the entry, by kind.",
     "refusals_total": "Refusals by kind and outcome.",
     "placements_total": "Placements by reason.",
     "retries_total": "New attempts by cause.",
@@ -16,31 +16,31 @@
     "routed_calls_total": "Routed requests answered by an upstream.",
     "routed_call_seconds": "Time from a routed request to its last byte.",
     "routed_first_seconds": "Time from a routed request to its first byte.",
-    "routed_gap_seconds": "Longest pause between two events of a stream.",
+    "routed_gap_seconds": "Longest time between two events of a stream.",
     "routed_refusals_total": "Routed requests that this process refused.",
-    "routed_callers_gone_total": "Callers that left before the end.",
+    "routed_callers_gone_total": "Callers that disconnected before the end.",
     "routed_placements_total": "Upstreams chosen, by reason.",
     "routed_failures_total": "Attempts that failed, by kind.",
     "turn_open_seconds": "Time to reserve the tokens of a turn.",
     "turn_settle_seconds": "Time to record the end of a turn.",
     "customer_refusals_total": "Refused requests by customer and kind.",
     "limit_count_seconds": "Time to count a call against a limit.",
-    "unknown_keys_total": "Requests whose key is no customer's.",
+    "unknown_keys_total": "Requests with a key of no known customer.",
     "log_drops_total": "Times that log lines were dropped.",
-    "loop_lag_seconds": "How late the event loop ran a timer.",
+    "loop_lag_seconds": "Delay of timers on the event loop.",
     "disk_call_seconds": "Time of one write and sync of the log.",
 }
 
 
 class PrometheusMetrics:
-    """One registry per process; see `ports.metrics.Metrics`."""
+    """Implements `ports.metrics.Metrics` with one registry per process."""
 
     def __init__(self) -> None:
         self.registry = aioprometheus.Registry()
         self.collectors: dict[str, aioprometheus.collectors.Collector] = {}
 
     def count(self, name: str, **labels: str) -> None:
-        """Adds one to a counter."""
+        """Increments a counter by one."""
         self._collector(aioprometheus.Counter, name).inc(labels)
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
@@ -48,11 +48,11 @@
         self._collector(aioprometheus.Gauge, name).set(labels, value)
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Adds one observation to a histogram of seconds."""
+        """Adds a duration to a histogram."""
         self._collector(aioprometheus.Histogram, name).observe(labels, seconds)
 
     def render(self) -> tuple[bytes, str]:
-        """Returns the text of a scrape and its content type."""
+        """Returns the metrics in text format, and the content type."""
         body, headers = aioprometheus.render(self.registry, [])
         return body, headers["Content-Type"]
 
@@ -63,7 +63,7 @@
         if found is None:
             extra = {}
             if kind is aioprometheus.Histogram:
-                extra = {"buckets": _BUCKETS}
+                extra = {"buckets": _BUCKETS_SECONDS}
             found = kind(
                 f"mintcleat_{name}",
                 _HELP.get(name, name),
--- a/src/mintcleat/adapters/metrics_http.py
+++ b/src/mintcleat/adapters/metrics_http.py
@@ -1,4 +1,4 @@
-"""The scrape of a process whose roles have no HTTP for callers."""
+"""The metrics endpoint of processes without a callers' interface."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,7 +10,11 @@
 
 
 class MetricsApp:
-    """Serves /metrics, with the gauges read at that moment."""
+    """A WSGI application that serves /metrics.
+
+    Attributes:
+        refresh: Updates the gauges; called for each request.
+    """
 
     def __init__(
         self,
@@ -23,9 +27,9 @@
     def __call__(
         self, environ: dict[str, Any], start: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answers one request."""
+        """Handles a request."""
         if environ["PATH_INFO"] != "/metrics":
-            error = errors.BadRequest("Only /metrics is served here.")
+            error = errors.BadRequest("Only the path /metrics exists here.")
             start(problems.status_line(error.status), problems.headers(error))
             return [problems.body(error, "")]
         self.refresh()
--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -288,7 +288,7 @@
         self.log = event_log.EventLog(settings.instance)
         self.common = common_module.SharedComponents(settings)
         metrics = self.common.metrics
-        self.events = event_metrics.MeasuredEvents(metrics, self.log)
+        self.events = event_metrics.EventMetrics(metrics, self.log)
         role_types: dict[str, Callable[..., Any]] = {
             settings_module.ENTRY: functools.partial(EntryRole, policy=policy),
             settings_module.CONTROL: ControlRole,
@@ -346,7 +346,7 @@
             peak_mb = process_memory.peak_mb()
             if peak_mb >= reported_mb + _MEMORY_STEP_MB:
                 reported_mb = peak_mb
-                sizes = self.role.sizes() | self.common.streams.held_bytes()
+                sizes = self.role.sizes() | self.common.streams.buffer_usage()
                 self.events.emit(
                     event_types.MemoryGrown(round(peak_mb, 1), sizes)
                 )
--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -33,7 +33,7 @@
         request: routed_calls.UpstreamRequest,
     ) -> "HttpUpstreamResponse":
         """Sends a request and returns once the response's head has arrived."""
-        connection = self.pool.take(upstream.incarnation, upstream.address)
+        connection = self.pool.acquire(upstream.incarnation, upstream.address)
         try:
             connection.send(
                 call.method,
@@ -49,7 +49,7 @@
 
     def forget(self, incarnation: str) -> None:
         """Closes the idle connections to an upstream process that has ended."""
-        self.pool.forget(incarnation)
+        self.pool.discard(incarnation)
 
 
 class HttpUpstreamResponse:
@@ -98,15 +98,15 @@
         """Yields the body as it arrives and returns at its end."""
         connection = self.connection
         while True:
-            data = connection.data()
+            data = connection.read_data()
             if data is None:
                 break
             yield data
         self.connection = None
-        if connection.finish(
+        if connection.prepare_reuse(
             _keep_alive_seconds(self.fields.get("keep-alive", ""))
         ):
-            self.pool.give(self.upstream.incarnation, connection)
+            self.pool.release(self.upstream.incarnation, connection)
         else:
             connection.close()
 
@@ -164,11 +164,11 @@
     Responses are matched to requests by the request id that they echo.
     """
     for _ in range(_MAX_SKIPPED_RESPONSES):
-        head = connection.head()
+        head = connection.read_head()
         echoed_id = dict(head.headers).get(callers.REQUEST_ID.encode())
         if echoed_id is None or echoed_id.decode("latin-1") == request:
             return head
-        connection.pass_over()
+        connection.skip_response()
     raise errors.StreamClosed(
         f"{connection.address} answers other requests only."
     )
--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -154,11 +154,11 @@
         for one in self._victims(1):
             self.cluster.note(f"{one.name} frozen for {seconds}")
             self._lose(one, seconds)
-            one.life.freeze()
-            eventlet.spawn_after(seconds, self._thaw, one.life)
+            one.process.suspend()
+            eventlet.spawn_after(seconds, self._thaw, one.process)
 
-    def _thaw(self, life: virtual_time.Life) -> None:
-        life.thaw()
+    def _thaw(self, process: virtual_time.VirtualProcess) -> None:
+        process.resume()
         self.cluster.network.flush()
 
     def _heal_later(self, seconds: float) -> None:
@@ -236,12 +236,12 @@
         for one in self._victims(1):
             self._lose(one, 3.0)
             one.busy = self.rng.choice((0.005, 0.05, 0.2))
-            one.log.timers.busy = one.busy
+            one.log.timers.max_delay = one.busy
             eventlet.spawn_after(3.0, self._calm, one)
 
     def _calm(self, one: control_cluster.Instance) -> None:
         one.busy = 0.0
-        one.log.timers.busy = 0.0
+        one.log.timers.max_delay = 0.0
 
     def _all(self, what: str, power: bool, wiped: int = 0) -> float:
         pause = self.rng.choice((0.3, 0.7, 1.5))
@@ -357,7 +357,7 @@
         cluster.network.delay = 0.0005
         for one in cluster.instances.values():
             one.start()
-            one.life.thaw()
+            one.process.resume()
             one.disk.stalled = False
             one.disk.sync_seconds = 0.005
         cluster.network.flush()
--- a/testing/fakes/service_system.py
+++ b/testing/fakes/service_system.py
@@ -314,7 +314,7 @@
     streams.listener.close()
     streams.open = refuse
     for connection in [*streams.dialled.values(), *streams.accepted]:
-        connection.lose()
+        connection.abort()
     part = process.roles[0]
     if hasattr(part, "follower"):
         part.follower.stop()
--- a/testing/fakes/virtual_net.py
+++ b/testing/fakes/virtual_net.py
@@ -1,7 +1,7 @@
-"""Streams between processes in virtual time, with the faults of a network.
+"""Streams between processes in virtual time, with network failures.
 
-A cut pair loses nothing at once: bytes are held, as TCP holds them, until the
-cut heals or both sides take the connection for lost.
+A network partition does not lose data at once: as with TCP, it is delivered
+later, unless the connection times out first.
 """
 
 import collections
@@ -17,17 +17,17 @@
 from mintcleat.domain import errors
 from mintcleat.ports import streams as stream_ports
 
-SILENCE = 1.2
-_STEP = 0.1
+SILENCE_TIMEOUT = 1.2
+_WATCH_SECONDS = 0.1
 
 
 class Network:
-    """All connections, and what is wrong with them.
+    """A simulated network with its connections and failures.
 
     Attributes:
-        cut: Ordered pairs of addresses between which nothing passes.
-        delay: Mean seconds of one way.
-        loss: Share of transmissions that take a retransmission longer.
+        cut: Ordered pairs of addresses between which no data passes.
+        delay: Mean one-way delay in seconds.
+        loss: Probability that a transmission needs a retransmission.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -43,7 +43,7 @@
         return (source, target) not in self.cut
 
     def isolate(self, one: str, others: list[str]) -> None:
-        """Cuts an address off from others, without a word."""
+        """Partitions an address from others; no connection is reset."""
         for other in others:
             if other != one:
                 self.cut |= {(one, other), (other, one)}
@@ -54,7 +54,7 @@
             connection.flush()
 
     def flush(self) -> None:
-        """Delivers what was held for a process that runs again."""
+        """Delivers pending data, after a process has been resumed."""
         for connection in list(self.connections):
             connection.flush()
 
@@ -62,18 +62,24 @@
         for connection in list(self.connections):
             ends = (connection.sides[0].address, connection.sides[1].address)
             if address in ends and self.rng.random() < share:
-                connection.lose()
+                connection.abort()
 
     def _watch(self) -> None:
-        """Loses connections over which nothing came for too long."""
+        """Closes connections that could not deliver data for too long."""
         while True:
-            eventlet.sleep(_STEP)
+            eventlet.sleep(_WATCH_SECONDS)
             for connection in list(self.connections):
-                connection.watch(_STEP)
+                connection.watch(_WATCH_SECONDS)
 
 
 class Connection:
-    """One connection; side 0 dialled."""
+    """One connection; side 0 opened it.
+
+    Attributes:
+        silent: Seconds since when one direction has been blocked.
+        pending: For each sender, deliveries that are blocked.
+        last: For each sender, the arrival time of its last transmission.
+    """
 
     def __init__(
         self,
@@ -85,7 +91,7 @@
         self.sides = (dialler, other)
         self.lost = False
         self.silent = 0.0
-        self.held: tuple[
+        self.pending: tuple[
             collections.deque[Callable[[], None]],
             collections.deque[Callable[[], None]],
         ] = (collections.deque(), collections.deque())
@@ -94,16 +100,16 @@
         network.connections.append(self)
 
     def blocked(self, side: int) -> bool:
-        """Tells whether what this side sent can't be taken now."""
+        """Returns whether data of this side cannot be delivered now."""
         source, target = self.sides[side], self.sides[1 - side]
         return (
-            target.life.frozen
-            or target.life.dead
+            target.process.suspended
+            or target.process.dead
             or not self.network.passes(source.address, target.address)
         )
 
     def transmit(self, side: int, action: Callable[[], None]) -> None:
-        """Runs `action` at the other side, in the order of sending."""
+        """Runs `action` at the other side after a delay, in sending order."""
         network = self.network
         now = eventlet.hubs.get_hub().time
         delay = network.rng.expovariate(1 / network.delay)
@@ -116,21 +122,23 @@
     def _arrive(self, side: int, action: Callable[[], None]) -> None:
         if self.lost:
             return
-        self.held[side].append(action)
+        self.pending[side].append(action)
         self.flush()
 
     def flush(self) -> None:
         for side in (0, 1):
-            while self.held[side] and not self.blocked(side) and not self.lost:
-                self.held[side].popleft()()
+            while (
+                self.pending[side] and not self.blocked(side) and not self.lost
+            ):
+                self.pending[side].popleft()()
 
     def watch(self, step: float) -> None:
-        well = not self.blocked(0) and not self.blocked(1)
-        self.silent = 0.0 if well else self.silent + step
-        if self.silent > SILENCE:
-            self.lose()
+        connected = not self.blocked(0) and not self.blocked(1)
+        self.silent = 0.0 if connected else self.silent + step
+        if self.silent > SILENCE_TIMEOUT:
+            self.abort()
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         if self.lost:
             return
         self.lost = True
@@ -147,7 +155,7 @@
         self.connection = connection
         self.side = side
         self.peer = connection.sides[1 - side].address
-        self.life = connection.sides[side].life
+        self.process = connection.sides[side].process
         self.other: VirtualExchange | None = None
         self.inbox: collections.deque[Any] = collections.deque()
         self.closed = False
@@ -155,12 +163,14 @@
         connection.exchanges[self] = None
 
     def send(self, message: Any) -> None:
-        self.life.check()
+        self.process.check()
         if not self.try_send(message):
-            raise errors.StreamClosed(f"The exchange with {self.peer} closed.")
+            raise errors.StreamClosed(
+                f"The exchange with {self.peer} is closed."
+            )
 
     def try_send(self, message: Any) -> bool:
-        if self.closed or self.life.dead:
+        if self.closed or self.process.dead:
             return False
         body = codec.encode(message)
         other = self.other
@@ -179,15 +189,15 @@
         until = None if timeout is None else now + timeout
         while not self.inbox:
             if self.closed:
-                raise errors.StreamClosed("The exchange closed.")
+                raise errors.StreamClosed("The exchange is closed.")
             left = None
             if until is not None:
                 left = until - eventlet.hubs.get_hub().time
                 if left <= 0:
-                    raise errors.StreamTimeout("No message came.")
+                    raise errors.StreamTimeout("No message arrived.")
             self.arrived.wait(left)
-            self.life.check()
-        self.life.check()
+            self.process.check()
+        self.process.check()
         message = self.inbox.popleft()
         if isinstance(message, errors.Failure):
             raise errors.from_failure(message)
@@ -196,7 +206,7 @@
     def close(self) -> None:
         if not self.closed:
             self.end()
-            if not self.life.dead:
+            if not self.process.dead:
                 self.connection.transmit(self.side, self.other.end)
 
     def end(self) -> None:
@@ -206,14 +216,17 @@
 
 
 class VirtualStreams:
-    """`ports.streams.Streams` of one life of a process."""
+    """Implements `ports.streams.Streams` for a simulated process."""
 
     def __init__(
-        self, network: Network, address: str, life: virtual_time.Life
+        self,
+        network: Network,
+        address: str,
+        process: virtual_time.VirtualProcess,
     ) -> None:
         self.network = network
         self.address = address
-        self.life = life
+        self.process = process
         self.handlers: dict[type, stream_ports.Handler] = {}
         self.dialled: dict[str, Connection] = {}
         network.listening[address] = self
@@ -222,7 +235,7 @@
         self.handlers[kind] = handler
 
     def open(self, address: str, message: Any) -> VirtualExchange:
-        self.life.check()
+        self.process.check()
         connection = self.dialled.get(address)
         if connection is None:
             connection = self._dial(address)
@@ -244,24 +257,24 @@
     def serve(self, exchange: VirtualExchange, message: Any) -> None:
         eventlet.spawn(self._serve, exchange, message)
 
-    def lose(self) -> None:
-        """Resets every connection, as the end of a process does."""
+    def abort(self) -> None:
+        """Closes all connections, as the end of a process does."""
         for connection in list(self.network.connections):
             if self in connection.sides:
-                connection.lose()
+                connection.abort()
 
     def stop(self) -> None:
-        self.lose()
+        self.abort()
 
     def _dial(self, address: str) -> Connection:
         waited = 0.0
         while waited < 2.0:
             eventlet.sleep(2 * self.network.delay)
-            self.life.check()
+            self.process.check()
             target = self.network.listening.get(address)
             reached = self.network.passes(self.address, address)
-            if target is not None and reached and not target.life.frozen:
-                if target.life.dead:
+            if target is not None and reached and not target.process.suspended:
+                if target.process.dead:
                     break
                 found = self.dialled.get(address)
                 if found is None:
@@ -271,11 +284,11 @@
             eventlet.sleep(0.2)
             waited += 0.2
         raise errors.StreamClosed(
-            f"{address} cannot be reached.", outcome=errors.NOT_RUN
+            f"{address} is unreachable.", outcome=errors.NOT_RUN
         )
 
     def _serve(self, exchange: VirtualExchange, message: Any) -> None:
-        self.life.check()
+        self.process.check()
         handler = self.handlers.get(type(message))
         try:
             if handler is None:
