--- a/src/mintcleat/roles/control/configuration/membership.py
+++ b/src/mintcleat/roles/control/configuration/membership.py
@@ -32,7 +32,7 @@
         self.told = self.table.version
         return changed
 
-    def take_lead(self) -> None:
+    def on_elected(self) -> None:
         """Keeps what the former leader told until the relays report.
 
         A new leader that began with an empty table would tell the nodes that
--- a/src/mintcleat/roles/control/configuration/registrar.py
+++ b/src/mintcleat/roles/control/configuration/registrar.py
@@ -34,7 +34,7 @@
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         """Returns seconds since 1970 that no step of a clock changes."""
 
 
@@ -57,7 +57,7 @@
         self.heard: dict[str, Heard] = {}
         self.leaving: set[str] = set()
 
-    def take_lead(self) -> None:
+    def on_elected(self) -> None:
         """Gives every upstream a full period: its renewals went elsewhere."""
         now = self.leader.timers.now()
         held = self.leader.machine.directory.entries
@@ -88,7 +88,7 @@
             held, registration
         ):
             return
-        at = self.leader.date()
+        at = self.leader.steady_time()
         if self.leader.propose(
             commands.Register(self.leader.leader_epoch, registration, at)
         ):
@@ -170,7 +170,7 @@
         )
 
     def _propose_leave(self, name: str, final: bool, started: int) -> None:
-        at = self.leader.date()
+        at = self.leader.steady_time()
         self.leader.propose(
             commands.Leave(self.leader.leader_epoch, name, final, at, started)
         )
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -67,10 +67,10 @@
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         """Returns seconds since 1970 that no step of a clock changes."""
 
-    def wait_to_decide(self) -> None:
+    def wait_for_old_leases(self) -> None:
         """Blocks until no lease of an earlier leader can be alive."""
 
 
@@ -140,7 +140,7 @@
                 return identities.Done()
 
     def _change(self, message: Any) -> None:
-        at = self.leader.date()
+        at = self.leader.steady_time()
         match message:
             case operator_messages.DrainScope():
                 self.leader.propose(commands.SetDrain(*message, at))
@@ -181,7 +181,7 @@
             raise
         if message.version:
             return self._push_version(message, parsed)
-        self.leader.wait_to_decide()
+        self.leader.wait_for_old_leases()
         state = self.leader.machine.document
         delta = sections.Delta({}, [])
         if message.expected == state.revision:
@@ -197,7 +197,7 @@
                 message.operator,
                 message.origin,
                 summary or "no change",
-                self.leader.date(),
+                self.leader.steady_time(),
             )
         )
         return config_messages.ManifestPushed(
@@ -229,7 +229,7 @@
                 message.source,
                 message.operator,
                 message.origin,
-                self.leader.date(),
+                self.leader.steady_time(),
             )
         )
         self._tell_push(message, "accepted", began)
@@ -298,7 +298,7 @@
                     True,
                     message.operator,
                     message.origin,
-                    self.leader.date(),
+                    self.leader.steady_time(),
                 )
             )
         return operator_messages.EvacuationStatus(
@@ -317,7 +317,7 @@
                 "push",
                 f"push {message.push_id}",
                 f"refused: {error.detail}",
-                self.leader.date(),
+                self.leader.steady_time(),
             )
         )
 
--- a/src/mintcleat/roles/control/configuration/rollout.py
+++ b/src/mintcleat/roles/control/configuration/rollout.py
@@ -30,12 +30,12 @@
     streams: stream_ports.Streams
     timers: timer_ports.Timers
     leader_epoch: int
-    decides_at: float
+    old_leases_end_at: float
 
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         """Returns seconds since 1970 that no step of a clock changes."""
 
     def leads(self) -> bool:
@@ -69,7 +69,7 @@
         """
         if self.planning or not self.leader.leads():
             return
-        if self.leader.timers.now() < self.leader.decides_at:
+        if self.leader.timers.now() < self.leader.old_leases_end_at:
             return
         self.planning = True
         self.leader.timers.spawn(self._plan)
@@ -130,7 +130,7 @@
             policies.rollout_pause,
             upstreams,
             state.ledger.rollouts.get(name),
-            self.leader.date(),
+            self.leader.steady_time(),
         )
 
     def _since(self, item: member_messages.Announcement) -> float:
@@ -140,7 +140,7 @@
         """
         state, model, since = self.seen.get(item.sidecar, ("", "", 0.0))
         if (state, model) != (item.state, item.model):
-            since = self.leader.date()
+            since = self.leader.steady_time()
             self.seen[item.sidecar] = (item.state, item.model, since)
         return since
 
@@ -153,7 +153,7 @@
 
     def _commit(self, name: str, step: plan.Step) -> None:
         leader_epoch = self.leader.leader_epoch
-        at = self.leader.date()
+        at = self.leader.steady_time()
         match step:
             case plan.StartRollout(target=target, previous=previous):
                 command: Any = commands.StartRollout(
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -48,7 +48,7 @@
     Attributes:
         machine: This instance's replica of the config group.
         leader_epoch: The epoch in which this instance leads; 0 for none.
-        decides_at: Clock from which a push may be accepted here.
+        old_leases_end_at: Clock from which a push may be accepted here.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self.membership = membership.Membership(timers)
         self.table: members.Table = self.membership.table
         self.leader_epoch = 0
-        self.decides_at = float("inf")
+        self.old_leases_end_at = float("inf")
         self.starting_leader_epoch = False
         self.subscriptions: list[timer_ports.Subscription] = []
         self.served = (0, 0, 0)
@@ -132,7 +132,7 @@
             and self.log.leads(machine.GROUP)
         )
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         """Returns seconds since 1970, going on from the epoch's start.
 
         Expiry, pauses and permits of the group's state are counted with it.
@@ -294,10 +294,10 @@
             self.starting_leader_epoch = False
         first = leader_epoch.number == 1
         wait = 0.0 if first else self.times.max_lease
-        self.decides_at = self.timers.now() + wait
+        self.old_leases_end_at = self.timers.now() + wait
         self.leader_epoch = leader_epoch.number
-        self.membership.take_lead()
-        self.registrar.take_lead()
+        self.membership.on_elected()
+        self.registrar.on_elected()
         logger.info("Config leader under office {}", leader_epoch.number)
         self.feed.wake_all()
 
@@ -343,9 +343,9 @@
             raise errors.ControlUnavailable("This instance is cut off.")
         exchange.send(identities.Done())
 
-    def wait_to_decide(self) -> None:
+    def wait_for_old_leases(self) -> None:
         """Blocks until no lease of an earlier leader can be alive."""
-        wait = self.decides_at - self.timers.now()
+        wait = self.old_leases_end_at - self.timers.now()
         if wait > 0:
             self.timers.sleep(wait)
         if not self.leads():
--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -40,7 +40,7 @@
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         """Returns seconds since 1970 that no step of a clock changes."""
 
     def leads(self) -> bool:
@@ -83,7 +83,7 @@
         try:
             if self._permitted(order, policies):
                 outcome = self._deliver(announced, order)
-                late = self.leader.date() - order.at > ORDER_LIMIT
+                late = self.leader.steady_time() - order.at > ORDER_LIMIT
                 if not outcome and late:
                     outcome = rollouts.FAILED
                 if outcome:
@@ -103,7 +103,7 @@
             str(order.fencing_token),
             policies.loads_per_minute,
             policies.load_burst,
-            self.leader.date(),
+            self.leader.steady_time(),
         )
         try:
             return self.leader.propose(command)
@@ -152,7 +152,7 @@
                 announced.sidecar.instance,
                 order.fencing_token,
                 outcome,
-                self.leader.date(),
+                self.leader.steady_time(),
             )
         )
 
--- a/testing/test_config_service.py
+++ b/testing/test_config_service.py
@@ -134,10 +134,10 @@
         cluster = config_cluster.Cluster(self, 1)
         (leader,) = cluster.control
         cluster.until(leader.leads)
-        before = leader.date()
+        before = leader.steady_time()
         for skew in (3600.0, -3600.0, 0.0):
             leader.timers.skew = skew
-            passed = leader.date() - before
+            passed = leader.steady_time() - before
             self.assertTrue(0.0 <= passed < 60.0, passed)
 
     def test_next_leaders_date_does_not_go_back(self) -> None:
@@ -145,7 +145,7 @@
         old, new = cluster.control
         cluster.until(old.leads)
         new.timers.skew = -3600.0
-        before = old.date()
+        before = old.steady_time()
         cluster.log.elect(new.address)
         cluster.until(new.leads)
-        self.assertTrue(new.date() - before > -60.0)
+        self.assertTrue(new.steady_time() - before > -60.0)
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -54,7 +54,7 @@
         self.index += 1
         return self.machine.apply(self.index, commands.encode(command))
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         return self.timers.wall_time()
 
 
@@ -72,7 +72,7 @@
         self.leader = Leader(state)
         self.leader.index = old.index
         self.registrar = registrar.Registrar(self.leader)
-        self.registrar.take_lead()
+        self.registrar.on_elected()
         self.directory = state.directory
 
 
@@ -303,7 +303,7 @@
         self.leader = Leader(state)
         self.leader.index = index
         self.registrar = registrar.Registrar(self.leader)
-        self.registrar.take_lead()
+        self.registrar.on_elected()
         # A new leader knows the sequence numbers of changes only: renewals
         # were known to the old leader alone.
         self.newest = {
--- a/testing/test_rollout.py
+++ b/testing/test_rollout.py
@@ -117,11 +117,11 @@
         self.membership = membership.Membership(fleet.timers)
         self.streams = fleet
         self.leader_epoch = 0
-        self.decides_at = 0.0
+        self.old_leases_end_at = 0.0
         self.planner = rollout.Planner(self)
         self.planner.start()
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         """Returns the wall clock, which isn't stepped here."""
         return self.timers.wall_time()
 
