--- a/src/mintcleat/roles/control/configuration/feed.py
+++ b/src/mintcleat/roles/control/configuration/feed.py
@@ -142,7 +142,7 @@
         self.timers.spawn(self._write, peer)
         try:
             while True:
-                self.read(peer, exchange.receive(silence))
+                self.handle_message(peer, exchange.receive(silence))
         except (errors.StreamClosed, errors.StreamTimeout):
             return
         finally:
@@ -209,7 +209,7 @@
 
     # --- Reading --------------------------------------------------------------
 
-    def read(self, peer: Peer, message: Any) -> None:
+    def handle_message(self, peer: Peer, message: Any) -> None:
         """Takes a message of the peer."""
         table = self.source.table
         now = self.timers.now()
@@ -265,12 +265,12 @@
         try:
             while not peer.closed:
                 peer.wait()
-                for message in self.pending(peer):
+                for message in self.take_pending(peer):
                     peer.exchange.send(message)
         except errors.StreamClosed:
             return
 
-    def pending(self, peer: Peer) -> list[Any]:
+    def take_pending(self, peer: Peer) -> list[Any]:
         """Returns what the peer lacks, and notes it as sent."""
         found: list[Any] = []
         # Before the configuration, whose lease then covers both: a node must
--- a/src/mintcleat/roles/control/configuration/registrar.py
+++ b/src/mintcleat/roles/control/configuration/registrar.py
@@ -18,7 +18,7 @@
 # An upstream that does not renew for so long is taken out. Entries notice a
 # dead upstream by themselves at the first failed request, and renewals come
 # seconds late at times, so this only cleans up.
-SILENCE = 8.0
+SILENCE_SECONDS = 8.0
 # Characters of a name that an error repeats.
 _SHOWN = 80
 
@@ -38,7 +38,7 @@
         """Returns seconds since 1970 that no step of a clock changes."""
 
 
-class Heard(NamedTuple):
+class LastRegistration(NamedTuple):
     """The newest registration of an upstream that came, changed or not."""
 
     at: float
@@ -49,20 +49,20 @@
     """Commits registrations that change something, and ends silent ones.
 
     Attributes:
-        heard: What came last of each upstream, while this instance leads.
+        last_registrations: By upstream, while this instance leads.
     """
 
     def __init__(self, leader: Leader) -> None:
         self.leader = leader
-        self.heard: dict[str, Heard] = {}
-        self.leaving: set[str] = set()
+        self.last_registrations: dict[str, LastRegistration] = {}
+        self.expiring: set[str] = set()
 
     def on_elected(self) -> None:
         """Gives every upstream a full period: its renewals went elsewhere."""
         now = self.leader.timers.now()
         held = self.leader.machine.directory.entries
-        self.heard = {
-            name: Heard(now, directory.recency_key(item))
+        self.last_registrations = {
+            name: LastRegistration(now, directory.recency_key(item))
             for name, item in held.items()
         }
 
@@ -76,14 +76,16 @@
         state = self.leader.machine.directory
         name = registration.upstream
         order = directory.recency_key(registration)
-        newest = self.heard.get(name)
+        newest = self.last_registrations.get(name)
         if state.has_ended(name, registration.started):
             return
         if newest is not None and order < newest.order:
             return
         held = state.entries.get(name)
         self._check_service(registration, held)
-        self.heard[name] = Heard(self.leader.timers.now(), order)
+        self.last_registrations[name] = LastRegistration(
+            self.leader.timers.now(), order
+        )
         if held is not None and directory.same_except_renewal(
             held, registration
         ):
@@ -107,7 +109,7 @@
             if state.has_ended(upstream, started):
                 return
         else:
-            self.heard.pop(upstream, None)
+            self.last_registrations.pop(upstream, None)
         self._propose_leave(upstream, True, started)
         if held is not None and upstream not in state.entries:
             self._tell(held._replace(state="left"))
@@ -116,14 +118,16 @@
         """Takes out upstreams that have been silent for too long."""
         now = self.leader.timers.now()
         for name, held in list(self.leader.machine.directory.entries.items()):
-            heard = self.heard.setdefault(
-                name, Heard(now, directory.recency_key(held))
+            heard = self.last_registrations.setdefault(
+                name, LastRegistration(now, directory.recency_key(held))
             )
-            if now - heard.at > SILENCE and name not in self.leaving:
-                self.leaving.add(name)
+            if now - heard.at > SILENCE_SECONDS and name not in self.expiring:
+                self.expiring.add(name)
                 self.leader.timers.spawn(self._expire, held, heard)
 
-    def _expire(self, held: member_messages.Registration, heard: Heard) -> None:
+    def _expire(
+        self, held: member_messages.Registration, heard: LastRegistration
+    ) -> None:
         name = held.upstream
         try:
             self._propose_leave(name, False, held.started)
@@ -132,9 +136,9 @@
             logger.info("Upstream {} not taken out: {}", name, error.detail)
         finally:
             # A later life may have registered meanwhile.
-            if self.heard.get(name) == heard:
-                del self.heard[name]
-            self.leaving.discard(name)
+            if self.last_registrations.get(name) == heard:
+                del self.last_registrations[name]
+            self.expiring.discard(name)
 
     def _check_service(
         self,
--- a/src/mintcleat/roles/control/configuration/relay.py
+++ b/src/mintcleat/roles/control/configuration/relay.py
@@ -63,14 +63,14 @@
             self, streams, timers, times.relay_renew, times.move_after
         )
 
-    def pick(self, attempt: int) -> str:
+    def select_address(self, attempt: int) -> str:
         """Returns the leader's address; empty while this instance leads."""
         leader = self.find_leader()
         if not self.active or leader == self.identity.address:
             return ""
         return leader
 
-    def follow(self) -> config_messages.FollowConfiguration:
+    def follow_request(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream.
 
         The replica may be ahead of what was told here. Starting from it
@@ -88,11 +88,11 @@
             revision=self.document.revision, directory=self.directory.version
         )
 
-    def applied(self) -> int:
+    def applied_revision(self) -> int:
         """Returns the revision told here."""
         return self.document.revision
 
-    def outgoing(self, first: bool) -> list[Any]:
+    def next_announcements(self, first: bool) -> list[Any]:
         """Returns the changes of the members announced here."""
         present = self.table.direct_announcements()
         if first:
@@ -111,7 +111,7 @@
             return []
         return [member_messages.MembersUpdate(False, changed, gone)]
 
-    def take(self, message: Any) -> None:
+    def handle_message(self, message: Any) -> None:
         """Handles a message of the leader."""
         match message:
             case config_messages.ConfigUpdate():
--- a/src/mintcleat/roles/control/configuration/stream.py
+++ b/src/mintcleat/roles/control/configuration/stream.py
@@ -36,19 +36,19 @@
 
     lease: lease.Lease
 
-    def pick(self, attempt: int) -> str:
+    def select_address(self, attempt: int) -> str:
         """Returns the address to try, or an empty text for none."""
 
-    def follow(self) -> config_messages.FollowConfiguration:
+    def follow_request(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream."""
 
-    def applied(self) -> int:
+    def applied_revision(self) -> int:
         """Returns the revision applied now."""
 
-    def outgoing(self, first: bool) -> list[Any]:
+    def next_announcements(self, first: bool) -> list[Any]:
         """Returns what else to send now, on a new stream or an old one."""
 
-    def take(self, message: Any) -> None:
+    def handle_message(self, message: Any) -> None:
         """Handles a message of the control instance."""
 
 
@@ -100,7 +100,7 @@
         if self.exchange is not None:
             self.exchange.close()
 
-    def move_home(self) -> None:
+    def return_to_preferred(self) -> None:
         """Ends the stream and tries the preferred control instance first."""
         self.homeward = True
         self.close()
@@ -118,7 +118,7 @@
     def _run(self) -> None:
         attempt = 0
         while not self.stopped:
-            address = self.owner.pick(attempt)
+            address = self.owner.select_address(attempt)
             if not address:
                 self.timers.sleep(self.renew / 10)
                 continue
@@ -134,7 +134,7 @@
                 self.close()
                 self.exchange = None
                 self.address = ""
-            self.passed_over |= not self.owner.applied()
+            self.passed_over |= not self.owner.applied_revision()
             renewed = self.owner.lease.echo > before
             attempt = 1 if renewed else attempt + 1
             if self.homeward:
@@ -145,7 +145,7 @@
 
     def _follow(self, address: str, attempt: int) -> None:
         held = self.reassembler.progress()
-        follow = self.owner.follow()._replace(
+        follow = self.owner.follow_request()._replace(
             digest=held.digest, received=held.size
         )
         exchange = self.streams.open(address, follow)
@@ -162,11 +162,11 @@
                 # they keep a node at no instance that renews nothing.
                 alive = self.timers.now()
                 continue
-            self.owner.take(update)
-            if self.passed_over and self.owner.applied():
+            self.owner.handle_message(update)
+            if self.passed_over and self.owner.applied_revision():
                 self.passed_over = False
                 away = HOME_SECONDS * (0.5 + self._part(attempt))
-                self.timers.after(away, self.move_home)
+                self.timers.after(away, self.return_to_preferred)
             since = max(alive, self.owner.lease.echo)
             if self.timers.now() - since > self._wait(attempt):
                 raise errors.StreamTimeout(f"{address} renews no lease.")
@@ -174,7 +174,7 @@
     def _wait(self, attempt: int) -> float:
         """Returns the seconds for which the instance may say nothing."""
         return lease.silence_timeout(
-            self.owner.applied(), attempt, self.move_after
+            self.owner.applied_revision(), attempt, self.move_after
         )
 
     def _beat(self, exchange: stream_ports.Exchange) -> None:
@@ -190,27 +190,27 @@
     def _send_report(
         self, exchange: stream_ports.Exchange, first: bool
     ) -> None:
-        for message in self.owner.outgoing(first):
+        for message in self.owner.next_announcements(first):
             exchange.send(message)
         exchange.send(
             config_messages.RevisionApplied(
-                self.owner.applied(), self.timers.now()
+                self.owner.applied_revision(), self.timers.now()
             )
         )
 
     def _pause(self, attempt: int) -> float:
         """Returns a pause that differs from node to node."""
-        longest = SPREAD if self.owner.applied() else START_SPREAD
+        longest = SPREAD if self.owner.applied_revision() else START_SPREAD
         return self._part(attempt) * min(longest, self.move_after / 4)
 
     def _part(self, attempt: int) -> float:
         """Returns a number from 0 to 1 that differs from node to node."""
-        node = self.owner.follow().node
+        node = self.owner.follow_request().node
         seed = f"{node.instance}/{attempt}/{self.moves}"
         return xxhash.xxh32_intdigest(seed.encode()) / 2**32
 
 
-def ranked(instance: str, addresses: list[str]) -> list[str]:
+def rank_addresses(instance: str, addresses: list[str]) -> list[str]:
     """Returns addresses by rendezvous hash, the preferred one first.
 
     Each node has its own order, so the nodes of a lost control instance
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -205,12 +205,12 @@
 
     # --- config_stream.Owner --------------------------------------------------
 
-    def pick(self, attempt: int) -> str:
+    def select_address(self, attempt: int) -> str:
         """Returns the control instance to try."""
         order = self.addresses()
         return order[attempt % len(order)] if order else ""
 
-    def follow(self) -> config_messages.FollowConfiguration:
+    def follow_request(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream."""
         return config_messages.FollowConfiguration(
             self.node,
@@ -221,11 +221,11 @@
             self.registered.version,
         )
 
-    def applied(self) -> int:
+    def applied_revision(self) -> int:
         """Returns the revision applied here."""
         return self.current_revision
 
-    def outgoing(self, first: bool) -> list[Any]:
+    def next_announcements(self, first: bool) -> list[Any]:
         """Returns the announcement when the control instance lacks it."""
         announcement = self.announcer() if self.announcer else None
         if announcement is None:
@@ -236,7 +236,7 @@
         self.announced = unnumbered
         return [member_messages.Announce(announcement)]
 
-    def take(self, message: Any) -> None:
+    def handle_message(self, message: Any) -> None:
         """Handles a message of the control instance."""
         match message:
             case config_messages.ConfigUpdate():
@@ -342,10 +342,10 @@
     def addresses(self) -> list[str]:
         """Returns the control instances' stream addresses, by preference."""
         known = [*self.control_addresses, *self.restrictions.control]
-        return config_stream.ranked(self.node.instance, known)
+        return config_stream.rank_addresses(self.node.instance, known)
 
     def _rebalance(self) -> None:
-        home = self.pick(0)
+        home = self.select_address(0)
         if not self.stream.address or self.stream.address == home:
             return
         try:
@@ -353,7 +353,7 @@
             self.streams.ask(home, config_messages.Ping(), 1.0)
         except errors.MintcleatError:
             return
-        self.stream.move_home()
+        self.stream.return_to_preferred()
 
     def _notify(self) -> None:
         for callback in self.callbacks:
--- a/testing/fakes/config_links.py
+++ b/testing/fakes/config_links.py
@@ -122,7 +122,7 @@
         self.peer = None
         self.address = ""
 
-    def move_home(self) -> None:
+    def return_to_preferred(self) -> None:
         """Leaves for the preferred control instance."""
         self.close()
         self.attempt = 0
@@ -138,11 +138,11 @@
         if self._passes() and not self.peer.closed:
             if self.timers.now() >= self.due:
                 self._renew(service)
-            for message in service.feed.pending(self.peer):
+            for message in service.feed.take_pending(self.peer):
                 self.received.append(message)
                 update = self.reassembler.take(message)
                 if update is not None:
-                    self.owner.take(update)
+                    self.owner.handle_message(update)
         since = max(self.opened, self.owner.lease.echo)
         ended = self.peer.exchange.closed
         if ended or self.timers.now() - since > lease.MOVE_AFTER:
@@ -155,7 +155,7 @@
         return self.network.reaches(self.own_address, self.address)
 
     def _open(self) -> None:
-        self.address = self.owner.pick(self.attempt)
+        self.address = self.owner.select_address(self.attempt)
         if not self.address:
             self.attempt += 1
             return
@@ -163,13 +163,15 @@
         if not self._passes():
             # A silent peer looks like one that has not answered yet.
             self.peer = config_feed.Peer(
-                Replies(), self.owner.follow(), self.opened
+                Replies(), self.owner.follow_request(), self.opened
             )
             self.peer.closed = True
             return
         service = self.network.services[self.address]
         try:
-            self.peer = service.feed.attach(Replies(), self.owner.follow())
+            self.peer = service.feed.attach(
+                Replies(), self.owner.follow_request()
+            )
         except errors.NotLeader:
             return
         self.due = self.opened + self.renew
@@ -180,12 +182,14 @@
         self._send(service, False)
 
     def _send(self, service: config_service.ConfigService, first: bool) -> None:
-        for message in self.owner.outgoing(first):
-            service.feed.read(self.peer, message)
+        for message in self.owner.next_announcements(first):
+            service.feed.handle_message(self.peer, message)
         clock = self.timers.now()
-        service.feed.read(
+        service.feed.handle_message(
             self.peer,
-            config_messages.RevisionApplied(self.owner.applied(), clock),
+            config_messages.RevisionApplied(
+                self.owner.applied_revision(), clock
+            ),
         )
 
 
--- a/testing/test_config_service.py
+++ b/testing/test_config_service.py
@@ -81,7 +81,7 @@
         lost = [
             name
             for name in (f"entry-{n}" for n in range(200))
-            if config_stream.ranked(name, addresses)[0] == relays[1]
+            if config_stream.rank_addresses(name, addresses)[0] == relays[1]
         ]
         names = [*lost[:4], "other-1", "other-2", "other-3", "other-4"]
         nodes = [cluster.node(name) for name in names]
--- a/testing/test_config_stream.py
+++ b/testing/test_config_stream.py
@@ -27,23 +27,23 @@
         self.node = identities.Incarnation(instance, 1)
         self.tried: list[str] = []
 
-    def pick(self, attempt: int) -> str:
+    def select_address(self, attempt: int) -> str:
         address = ("a", "b", "c")[attempt % 3]
         self.tried.append(address)
         return address
 
-    def follow(self) -> config_messages.FollowConfiguration:
+    def follow_request(self) -> config_messages.FollowConfiguration:
         return config_messages.FollowConfiguration(
             self.node, "entry", "zone", "", self.revision, 0
         )
 
-    def applied(self) -> int:
+    def applied_revision(self) -> int:
         return self.revision
 
-    def outgoing(self, first: bool) -> list[Any]:
+    def next_announcements(self, first: bool) -> list[Any]:
         return []
 
-    def take(self, message: int) -> None:
+    def handle_message(self, message: int) -> None:
         self.revision = message
 
 
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -140,12 +140,12 @@
 
     def test_expiry_of_an_incarnation_spares_the_next_one(self) -> None:
         self.registrar.register(registration(100, 1))
-        self.leader.timers.advance(registrar.SILENCE + 0.1)
+        self.leader.timers.advance(registrar.SILENCE_SECONDS + 0.1)
         self.registrar.tick()
         self.registrar.register(registration(200, 1))
         self.leader.timers.advance(0.1)
         self.assertEqual(200, self.directory.entries["e1"].started)
-        self.assertIn("e1", self.registrar.heard)
+        self.assertIn("e1", self.registrar.last_registrations)
 
     def test_ended_incarnation_is_remembered_across_clock_steps(self) -> None:
         """The leader's wall clock is stepped by an hour, forward and back.
--- a/testing/test_follower.py
+++ b/testing/test_follower.py
@@ -132,7 +132,7 @@
         self.timers.advance(2.0)
         before = node.lease.expires
         late = config_messages.ConfigUpdate(1, True, {}, 9.0, self.timers.now())
-        node.take(late)
+        node.handle_message(late)
         self.assertEqual((2, before), (node.revision(), node.lease.expires))
         self.assertEqual("2", self.version(node))
 
@@ -236,7 +236,7 @@
         node = self.cluster.node("entry-1")
         self.timers.advance(2.0)
         before = node.lease.expires
-        node.take(
+        node.handle_message(
             config_messages.ConfigUpdate(
                 2,
                 False,
@@ -252,7 +252,7 @@
         addresses = ["a", "b", "c", "d"]
         counts = dict.fromkeys(addresses[:3], 0)
         for number in range(900):
-            order = config_stream.ranked(f"node-{number}", addresses)
+            order = config_stream.rank_addresses(f"node-{number}", addresses)
             if order[0] == "d":
                 counts[order[1]] += 1
         total = sum(counts.values())
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -199,7 +199,7 @@
         """
         entry = self.entries[0]
         entry.stream.stop()
-        entry.take(member_messages.MembersUpdate(True, [], []))
+        entry.handle_message(member_messages.MembersUpdate(True, [], []))
         self.timers.advance(lease.MEMBER_LEASE - 1.0)
         self.assertEqual(12, len(entry.members("chat")))
         self.timers.advance(2.0)
@@ -282,6 +282,8 @@
         table = members.Table()
         item = self.announce(table, "a", 1, "ready")
         newer = item._replace(sidecar=identities.Incarnation("a", 2))
-        node.take(member_messages.MembersUpdate(True, [newer], []))
-        node.take(member_messages.MembersUpdate(False, [], [item.sidecar]))
+        node.handle_message(member_messages.MembersUpdate(True, [newer], []))
+        node.handle_message(
+            member_messages.MembersUpdate(False, [], [item.sidecar])
+        )
         self.assertEqual([newer], node.members("s"))
--- a/testing/test_transfer.py
+++ b/testing/test_transfer.py
@@ -81,10 +81,10 @@
         node = self.link.node
         if not self.waiting:
             report = config_messages.RevisionApplied(
-                node.applied(), clock.now()
+                node.applied_revision(), clock.now()
             )
-            self.feed.read(self.peer, report)
-            self.waiting = self.feed.pending(self.peer)
+            self.feed.handle_message(self.peer, report)
+            self.waiting = self.feed.take_pending(self.peer)
         message = self.waiting[0]
         size = len(codec.encode(message))
         if size > self.link.until:
@@ -281,15 +281,15 @@
         link.start()
         push(served, {"routes/new": '{"kind": "new"}'}, 2)
         feed = link.feeds["c0"]
-        peer = feed.attach(link, link.node.follow())
+        peer = feed.attach(link, link.node.follow_request())
         before = link.node.lease.expires
         for _ in range(3):
             link.clock.sleep(0.3)
-            feed.read(
+            feed.handle_message(
                 peer, config_messages.RevisionApplied(1, link.clock.now())
             )
-            for message in feed.pending(peer):
-                link.node.take(message)
+            for message in feed.take_pending(peer):
+                link.node.handle_message(message)
         self.assertEqual(1, link.node.revision())
         self.assertEqual(before, link.node.lease.expires)
 
