--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -238,7 +238,7 @@
 
     def held(self) -> dict[str, int]:
         """Returns what may grow with the load, by name."""
-        return self.part.log.held()
+        return self.part.log.resource_usage()
 
     def under_way(self) -> int:
         """Returns the operators' and upstreams' calls without an answer."""
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -24,7 +24,7 @@
 from mintcleat.roles.control.configuration import feed as config_feed
 from mintcleat.roles.control.configuration import membership
 from mintcleat.roles.control.configuration import registrar
-from mintcleat.roles.control.replication import emptying
+from mintcleat.roles.control.replication import evacuation
 
 KINDS = (
     config_messages.PushManifest,
@@ -56,7 +56,7 @@
     machine: machine.ConfigMachine
     membership: membership.Membership
     registrar: registrar.Registrar
-    emptying: emptying.Emptying
+    evacuation: evacuation.Evacuation
     feed: config_feed.Feed
     streams: stream_ports.Streams
     timers: timer_ports.Timers
@@ -286,7 +286,7 @@
             errors.UnknownInstance: There is no such control instance.
             errors.TooFewInstances: The rest could not bear another loss.
         """
-        keeper = self.leader.emptying
+        keeper = self.leader.evacuation
         instance = keeper.find(message.label)
         state = self.leader.machine
         if message.start and instance not in state.emptied():
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -27,7 +27,7 @@
 from mintcleat.roles.control.configuration import registrar
 from mintcleat.roles.control.configuration import relay as config_relay
 from mintcleat.roles.control.configuration import requests as config_requests
-from mintcleat.roles.control.replication import emptying
+from mintcleat.roles.control.replication import evacuation
 
 PROPOSE_SECONDS = 5.0
 # A push may wait MAX_LEASE for leases of an earlier leader to end. A leader
@@ -98,7 +98,7 @@
         self.dated = 0.0
         self.dated_at = 0.0
         self.registrar = registrar.Registrar(self)
-        self.emptying = emptying.Emptying(log, streams)
+        self.evacuation = evacuation.Evacuation(log, streams)
         self.requests = config_requests.Requests(self)
         log.attach(machine.GROUP, self.machine, self._tick)
         self.machine.subscribers.append(self._on_applied)
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -26,10 +26,10 @@
 from mintcleat.ports import timers as timer_ports
 from mintcleat.ports import wal as wal_ports
 from mintcleat.roles.control.replication import links as replication_links
+from mintcleat.roles.control.replication import reporting
 from mintcleat.roles.control.replication import (
     snapshots as replication_snapshots,
 )
-from mintcleat.roles.control.replication import telling
 
 
 class Options(NamedTuple):
@@ -104,7 +104,7 @@
         worked: Callable[[], None] = lambda: None,
     ) -> None:
         self.worked = worked
-        self.teller = telling.Teller(events, options.core.founder)
+        self.reporter = reporting.Reporter(events, options.core.founder)
         self.worker = worker
         self.unsynced: collections.deque[Unsynced] = collections.deque()
         self.persisting = False
@@ -121,8 +121,8 @@
             wal,
             timers,
             options.snapshots,
-            guarded=self._stopping_on_failure,
-            saved=self.wake,
+            stop_on_failure=self._stopping_on_failure,
+            on_saved=self.wake,
             worker=worker,
         )
         self.awake = False
@@ -141,7 +141,7 @@
             now=timers.now(),
             own=own,
         )
-        self.teller.disk(found, self.core)
+        self.reporter.disk(found, self.core)
         for group, machine in machines.items():
             self.waiters[group] = {}
             index = self.core.replicas[group].state.applied
@@ -169,7 +169,7 @@
         frame = wire.decode(payload)
         if self.failed is not None:
             return
-        self.links.heard(frame.address)
+        self.links.peer_seen(frame.address)
         with self._stopping_on_failure():
             self.core.receive(frame, self.timers.now())
         if self.core.highest_epoch_seen > self.core.me.epoch:
@@ -230,7 +230,7 @@
         before them, also when their own box holds none.
         """
         for elected in box.elections:
-            self.teller.elected(elected)
+            self.reporter.elected(elected)
         self._send(box.messages)
         box.messages = []
         if not (box.installs or box.records or self.unsynced):
@@ -353,7 +353,7 @@
         group = needed.group
         mark = self.core.replicas[group].state.snapshot
         with self._stopping_on_failure():
-            state = self.snapshots.borrow(group, mark.index)
+            state = self.snapshots.acquire(group, mark.index)
         if self.failed is not None:
             return
         size = len(state)
@@ -361,8 +361,8 @@
         frame = wire.Frame(self.core.me, self.address, needed.to, [message])
 
         def ended(sent: bool) -> None:
-            self.snapshots.give_back(group, mark.index)
-            self.teller.sent(group, needed.to, mark.index, size, sent)
+            self.snapshots.release(group, mark.index)
+            self.reporter.sent(group, needed.to, mark.index, size, sent)
             replica = self.core.replicas[group]
             replica.snapshot_transfer_ended(needed.to, sent, self.timers.now())
 
@@ -381,7 +381,7 @@
         if machine is not None:
             machine.restore(item.state)
         self.core.replicas[item.group].on_restored(item.snapshot.index)
-        self.teller.installed(item)
+        self.reporter.installed(item)
 
     def _apply(self, group: str, replica: replicas.Replica) -> None:
         machine = self.machines.get(group)
@@ -392,7 +392,7 @@
             return
         for entry in found:
             if entry.kind == types.CONFIGURATION:
-                self.teller.voters(replica, entry)
+                self.reporter.voters(replica, entry)
             result = None
             size += len(entry.data)
             if entry.kind == types.COMMAND and machine is not None:
--- a/src/mintcleat/roles/control/replication/emptying.py
+++ b/src/mintcleat/roles/control/replication/evacuation.py
@@ -20,7 +20,7 @@
 _ASK_SECONDS = 0.3
 
 
-class Emptying:
+class Evacuation:
     """Answers operators who empty a control instance."""
 
     def __init__(
--- a/src/mintcleat/roles/control/replication/links.py
+++ b/src/mintcleat/roles/control/replication/links.py
@@ -111,7 +111,7 @@
             return
         self.timers.spawn(self._write_bulk, address, pieces, ended)
 
-    def heard(self, address: str) -> None:
+    def peer_seen(self, address: str) -> None:
         """Takes a frame from a peer as the word that it can be dialled.
 
         After a loss of all processes each finds most others not started yet.
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -318,9 +318,9 @@
         driver = self._running(self.names[0])
         return [name for name in self.names if driver.snapshot(name)]
 
-    def held(self) -> dict[str, int]:
+    def resource_usage(self) -> dict[str, int]:
         """Returns what this instance holds for its groups; see `usage`."""
-        return usage.held(self.driver) if self.driver else {}
+        return usage.measure(self.driver) if self.driver else {}
 
     def status(self) -> list[replication_status.GroupStatus]:
         """Returns the state of every group."""
--- a/src/mintcleat/roles/control/replication/telling.py
+++ b/src/mintcleat/roles/control/replication/reporting.py
@@ -12,7 +12,7 @@
 from mintcleat.ports import wal as wal_ports
 
 
-class Teller:
+class Reporter:
     """Turns what happens to a replica into events; decides nothing."""
 
     def __init__(
--- a/src/mintcleat/roles/control/replication/snapshots.py
+++ b/src/mintcleat/roles/control/replication/snapshots.py
@@ -48,7 +48,7 @@
         self.saving = False
 
 
-class Lent:
+class SharedState:
     """A state in memory while followers are sent it."""
 
     def __init__(self, state: bytes) -> None:
@@ -60,9 +60,9 @@
     """The snapshots of one instance.
 
     Attributes:
-        guarded: Context that stops the replica when its body fails.
-        saved: Called after a snapshot is taken into the log.
-        lent: States that are being sent, and to how many followers.
+        stop_on_failure: Context that stops the replica when its body fails.
+        on_saved: Called after a snapshot is taken into the log.
+        in_use: States that are being sent, and to how many followers.
         reading: Held while a state is read to be lent.
     """
 
@@ -72,21 +72,21 @@
         timers: timer_ports.Timers,
         limits: Limits,
         *,
-        guarded: Callable[[], AbstractContextManager[None]],
-        saved: Callable[[], None],
+        stop_on_failure: Callable[[], AbstractContextManager[None]],
+        on_saved: Callable[[], None],
         worker: wal_ports.DiskWorker,
     ) -> None:
         self.worker = worker
         self.wal = wal
         self.timers = timers
         self.limits = limits
-        self.guarded = guarded
-        self.saved = saved
+        self.stop_on_failure = stop_on_failure
+        self.on_saved = on_saved
         self.growth: dict[str, Growth] = {}
-        self.lent: dict[tuple[str, int], Lent] = {}
+        self.in_use: dict[tuple[str, int], SharedState] = {}
         self.reading = semaphore.Semaphore(1)
 
-    def borrow(self, group: str, index: int) -> bytes:
+    def acquire(self, group: str, index: int) -> bytes:
         """Returns a stored state; all that borrow it share one copy.
 
         After a loss of power that took disks, a leader sends its state to
@@ -95,19 +95,19 @@
         # One at a time: read for two followers at once, it would stand in
         # memory twice until one of the copies is dropped.
         with self.reading:
-            if (group, index) not in self.lent:
+            if (group, index) not in self.in_use:
                 state = self.worker.run(self.wal.load_snapshot, group, index)
-                self.lent[group, index] = Lent(state)
-        lent = self.lent[group, index]
+                self.in_use[group, index] = SharedState(state)
+        lent = self.in_use[group, index]
         lent.users += 1
         return lent.state
 
-    def give_back(self, group: str, index: int) -> None:
+    def release(self, group: str, index: int) -> None:
         """Drops the copy after its last user."""
-        lent = self.lent[group, index]
+        lent = self.in_use[group, index]
         lent.users -= 1
         if not lent.users:
-            del self.lent[group, index]
+            del self.in_use[group, index]
 
     def applied(
         self,
@@ -170,7 +170,7 @@
         takes no snapshot; the next is due after as much again.
         """
         group = replica.state.group
-        with self.guarded():
+        with self.stop_on_failure():
             try:
                 self.worker.run(
                     self.wal.save_snapshot,
@@ -184,7 +184,7 @@
             else:
                 self._saved(replica, mark)
         self.growth[group].saving = False
-        self.saved()
+        self.on_saved()
 
     def _saved(
         self, replica: replicas.Replica, mark: types.SnapshotMetadata
--- a/src/mintcleat/roles/control/replication/usage.py
+++ b/src/mintcleat/roles/control/replication/usage.py
@@ -3,7 +3,7 @@
 from mintcleat.roles.control.replication import driver as replication_driver
 
 
-def held(driver: replication_driver.Driver) -> dict[str, int]:
+def measure(driver: replication_driver.Driver) -> dict[str, int]:
     """Returns what a driver holds: counts of entries, bytes of all else."""
     replicas = driver.core.replicas.values()
     logs = [replica.state.log.entries for replica in replicas]
@@ -15,7 +15,7 @@
         "link_bytes": driver.links.queued_bytes(),
         "snapshot_bytes": driver.links.bulk_bytes,
         "lent_bytes": sum(
-            len(lent.state) for lent in driver.snapshots.lent.values()
+            len(lent.state) for lent in driver.snapshots.in_use.values()
         ),
         "log_bytes": driver.wal.size(),
     }
--- a/testing/test_driver.py
+++ b/testing/test_driver.py
@@ -64,7 +64,7 @@
     def send(self, address: str, payload: bytes) -> None:
         self.sent.extend(wire.decode(payload).messages)
 
-    def heard(self, address: str) -> None:
+    def peer_seen(self, address: str) -> None:
         """Dials nobody."""
 
     bulk_bytes = 0
@@ -283,13 +283,13 @@
             follower = Follower(self.folder)
             follower.append(1, 1, 1)
             eventlet.sleep(1.0)
-            before = usage.held(follower.driver)
+            before = usage.measure(follower.driver)
             follower.disk.stalled = True
             follower.append(2, 40, 40)
             eventlet.sleep(0.1)
             follower.append(41, 80, 80)
             eventlet.sleep(0.1)
-            return before, usage.held(follower.driver)
+            return before, usage.measure(follower.driver)
 
         before, after = virtual_time.run(play)
         self.assertEqual((1, 80), (before["entries"], after["entries"]))
--- a/testing/test_links.py
+++ b/testing/test_links.py
@@ -83,7 +83,7 @@
         replication_links.Links(peer, timers.EventletTimers(), frames.append)
         self.links.send(address, b"waits")
         began = time.monotonic()
-        self.links.heard(address)
+        self.links.peer_seen(address)
         while not frames and time.monotonic() - began < 2.0:
             self.links.send(address, b"asks")
             eventlet.sleep(0.005)
--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -361,8 +361,8 @@
             log,
             timers.EventletTimers(),
             snapshots.Limits(),
-            guarded=contextlib.nullcontext,
-            saved=lambda: None,
+            stop_on_failure=contextlib.nullcontext,
+            on_saved=lambda: None,
             worker=wal_port.InlineWorker(lambda: None),
         )
         mark = types.SnapshotMetadata(5, 1, types.EMPTY)
@@ -370,16 +370,16 @@
         self.addCleanup(tracemalloc.stop)
         sent = []
         for _ in range(2):
-            message = wire.InstallSnapshot("g", 1, mark, stored.borrow("g", 5))
+            message = wire.InstallSnapshot("g", 1, mark, stored.acquire("g", 5))
             frame = wire.Frame(NODE, "c1:1", NODE, [message])
             sent.append(wire.encode_install(frame))
         _, peak = tracemalloc.get_traced_memory()
         self.assertEqual([state, state], [pieces[1] for pieces in sent])
         self.assertThat(peak, matchers.LessThan(18_000_000))
-        stored.give_back("g", 5)
-        self.assertEqual(1, len(stored.lent))
-        stored.give_back("g", 5)
-        self.assertEqual({}, stored.lent)
+        stored.release("g", 5)
+        self.assertEqual(1, len(stored.in_use))
+        stored.release("g", 5)
+        self.assertEqual({}, stored.in_use)
 
     def test_state_is_read_once_for_followers_that_ask_together(self) -> None:
         read = []
@@ -398,11 +398,11 @@
             Wal(),
             timers.EventletTimers(),
             snapshots.Limits(),
-            guarded=contextlib.nullcontext,
-            saved=lambda: None,
+            stop_on_failure=contextlib.nullcontext,
+            on_saved=lambda: None,
             worker=SlowDisk(),
         )
-        threads = [eventlet.spawn(stored.borrow, "g", 5) for _ in range(2)]
+        threads = [eventlet.spawn(stored.acquire, "g", 5) for _ in range(2)]
         self.assertEqual([b"state"] * 2, [one.wait() for one in threads])
         self.assertEqual([("g", 5)], read)
 
