--- a/src/mintcleat/roles/control/configuration/membership.py
+++ b/src/mintcleat/roles/control/configuration/membership.py
@@ -1,4 +1,4 @@
-"""Keeps the table of members on a control instance, leader or not."""
+"""Keeps the table of members on each control instance, leader or follower."""
 
 from collections.abc import Callable
 
@@ -8,35 +8,36 @@
 from mintcleat.ports import timers as timer_ports
 from mintcleat.roles.control.configuration import relay as config_relay
 
-# Changes within this time reach the nodes as one message. A storm of
-# registrations after a failover then costs a few messages for each node.
-COALESCE = 0.25
+# Changes within this time reach the nodes as one message, so a burst of
+# registrations after a failover costs only a few messages for each node.
+COALESCE_SECONDS = 0.25
 
 
 class Membership:
-    """The table, its expiry and the operators' view of it.
+    """The table of members, its expiry and the operators' view of it.
 
     Attributes:
-        told: Version of the table that the nodes were woken for.
+        notified_version: Version of the table at the last `tick`.
     """
 
     def __init__(self, timers: timer_ports.Timers) -> None:
         self.timers = timers
         self.table = members.Table()
-        self.told = 0
+        self.notified_version = 0
 
     def tick(self) -> bool:
-        """Drops what expired; tells whether nodes must hear of a change."""
+        """Removes expired members; returns whether the table has changed."""
         self.table.expire(self.timers.now())
-        changed = self.table.version != self.told
-        self.told = self.table.version
+        changed = self.table.version != self.notified_version
+        self.notified_version = self.table.version
         return changed
 
     def on_elected(self) -> None:
-        """Keeps what the former leader told until the relays report.
+        """Keeps the members received from the former leader for a while.
 
-        A new leader that began with an empty table would tell the nodes that
-        almost every upstream had left.
+        The relays report their members to the new leader meanwhile. A new
+        leader that began with an empty table would tell the nodes that almost
+        every upstream had left.
         """
         grace = 2 * lease.MEMBER_LEASE
         self.table.expire_source(config_relay.LEADER, self.timers.now(), grace)
@@ -46,10 +47,10 @@
     ) -> list[operator_messages.UpstreamView]:
         """Returns the upstreams for operators, sorted by instance."""
         now = self.timers.now()
-        found = []
+        views = []
         for name in sorted(self.table.view):
             item = self.table.view[name]
-            found.append(
+            views.append(
                 operator_messages.UpstreamView(
                     item,
                     draining(name, item.failure_domain),
@@ -57,4 +58,4 @@
                     len(self.table.starts.get(name, ())),
                 )
             )
-        return found
+        return views
--- a/src/mintcleat/roles/control/configuration/registrar.py
+++ b/src/mintcleat/roles/control/configuration/registrar.py
@@ -1,4 +1,4 @@
-"""The config leader's care for upstreams that register themselves."""
+"""Commits the registrations of upstreams on the config leader."""
 
 from typing import Any
 from typing import NamedTuple
@@ -15,16 +15,16 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 
-# An upstream that does not renew for so long is taken out. Entries notice a
-# dead upstream by themselves at the first failed request, and renewals come
-# seconds late at times, so this only cleans up.
+# An upstream that does not renew its registration for this time is removed.
+# Renewals can be seconds late, and entries detect a dead upstream by
+# themselves at the first failed request, so a long timeout costs nothing.
 SILENCE_SECONDS = 8.0
-# Characters of a name that an error repeats.
-_SHOWN = 80
+# Length at which a name is cut in an error message.
+_MAX_NAME_CHARACTERS = 80
 
 
 class Leader(Protocol):
-    """What the registrar needs of the config service."""
+    """The part of the config service that the registrar uses."""
 
     machine: machine.ConfigMachine
     timers: timer_ports.Timers
@@ -35,21 +35,27 @@
         """Commits a command and returns its result."""
 
     def steady_time(self) -> float:
-        """Returns seconds since 1970 that no step of a clock changes."""
+        """Returns seconds since 1970, unaffected by clock steps."""
 
 
 class LastRegistration(NamedTuple):
-    """The newest registration of an upstream that came, changed or not."""
+    """The newest registration received from an upstream, changed or not.
+
+    Attributes:
+        at: When it was received, on the monotonic clock.
+        recency: Its `directory.recency_key`.
+    """
 
     at: float
-    order: tuple[int, int]
+    recency: tuple[int, int]
 
 
 class Registrar:
-    """Commits registrations that change something, and ends silent ones.
+    """Commits registrations that change something, and expires silent ones.
 
     Attributes:
         last_registrations: By upstream, while this instance leads.
+        expiring: Upstreams whose removal is being committed.
     """
 
     def __init__(self, leader: Leader) -> None:
@@ -58,97 +64,108 @@
         self.expiring: set[str] = set()
 
     def on_elected(self) -> None:
-        """Gives every upstream a full period: its renewals went elsewhere."""
+        """Gives every upstream a full period to renew its registration.
+
+        Until now the renewals went to another leader.
+        """
         now = self.leader.timers.now()
-        held = self.leader.machine.directory.entries
+        entries = self.leader.machine.directory.entries
         self.last_registrations = {
             name: LastRegistration(now, directory.recency_key(item))
-            for name, item in held.items()
+            for name, item in entries.items()
         }
 
     def register(self, registration: member_messages.Registration) -> None:
-        """Takes a registration; returns once what it says is committed.
+        """Handles a registration; returns once its content is committed.
+
+        A registration older than the newest one is ignored.
 
         Raises:
             errors.UnknownService: The manifest in force does not name its
-                service. Whoever wrote it must not put others out of use.
+                service. Accepted, a wrong or forged one under the id of
+                another upstream would take that upstream out of service.
         """
         state = self.leader.machine.directory
         name = registration.upstream
-        order = directory.recency_key(registration)
+        recency = directory.recency_key(registration)
         newest = self.last_registrations.get(name)
         if state.has_ended(name, registration.started):
             return
-        if newest is not None and order < newest.order:
+        if newest is not None and recency < newest.recency:
             return
-        held = state.entries.get(name)
-        self._check_service(registration, held)
+        current = state.entries.get(name)
+        self._check_service(registration, current)
         self.last_registrations[name] = LastRegistration(
-            self.leader.timers.now(), order
+            self.leader.timers.now(), recency
         )
-        if held is not None and directory.same_except_renewal(
-            held, registration
+        if current is not None and directory.same_except_renewal(
+            current, registration
         ):
             return
         at = self.leader.steady_time()
         if self.leader.propose(
             commands.Register(self.leader.leader_epoch, registration, at)
         ):
-            self._tell(registration)
+            self._report_change(registration)
 
     def leave(self, upstream: str, started: int) -> None:
-        """Takes a life of an upstream out; returns once that is committed.
+        """Removes an incarnation of an upstream; returns once committed.
 
         Args:
-            upstream: Its id.
-            started: Start of the life; 0 for the one that is registered.
+            upstream: Id of the upstream.
+            started: Start of the incarnation; 0 for the registered one.
         """
         state = self.leader.machine.directory
-        held = state.entries.get(upstream)
-        if held is None or (started and started < held.started):
+        current = state.entries.get(upstream)
+        if current is None or (started and started < current.started):
             if state.has_ended(upstream, started):
                 return
         else:
             self.last_registrations.pop(upstream, None)
         self._propose_leave(upstream, True, started)
-        if held is not None and upstream not in state.entries:
-            self._tell(held._replace(state="left"))
+        if current is not None and upstream not in state.entries:
+            self._report_change(current._replace(state="left"))
 
     def tick(self) -> None:
-        """Takes out upstreams that have been silent for too long."""
+        """Removes upstreams that have been silent for too long."""
         now = self.leader.timers.now()
-        for name, held in list(self.leader.machine.directory.entries.items()):
-            heard = self.last_registrations.setdefault(
-                name, LastRegistration(now, directory.recency_key(held))
+        for name, current in list(
+            self.leader.machine.directory.entries.items()
+        ):
+            last = self.last_registrations.setdefault(
+                name, LastRegistration(now, directory.recency_key(current))
             )
-            if now - heard.at > SILENCE_SECONDS and name not in self.expiring:
+            if now - last.at > SILENCE_SECONDS and name not in self.expiring:
                 self.expiring.add(name)
-                self.leader.timers.spawn(self._expire, held, heard)
+                self.leader.timers.spawn(self._expire, current, last)
 
     def _expire(
-        self, held: member_messages.Registration, heard: LastRegistration
+        self, current: member_messages.Registration, last: LastRegistration
     ) -> None:
-        name = held.upstream
+        name = current.upstream
         try:
-            self._propose_leave(name, False, held.started)
-            self._tell(held._replace(state="silent"))
+            self._propose_leave(name, False, current.started)
+            self._report_change(current._replace(state="silent"))
         except errors.MintcleatError as error:
-            logger.info("Upstream {} not taken out: {}", name, error.detail)
+            logger.info(
+                "Silent upstream {} was not removed: {}", name, error.detail
+            )
         finally:
-            # A later life may have registered meanwhile.
-            if self.last_registrations.get(name) == heard:
+            # A later incarnation may have registered meanwhile.
+            if self.last_registrations.get(name) == last:
                 del self.last_registrations[name]
             self.expiring.discard(name)
 
     def _check_service(
         self,
         registration: member_messages.Registration,
-        held: member_messages.Registration | None,
+        current: member_messages.Registration | None,
     ) -> None:
-        """Refuses services that nobody can be routed to.
+        """Refuses a registration for a service that the manifest lacks.
 
-        Before the first manifest every service may still come. An upstream
-        whose service was taken out since must be able to drain.
+        Before the first manifest, every service is accepted. An upstream
+        whose service was removed after it registered can still update its
+        registration, because it must be able to drain.
         """
         document = self.leader.machine.document
         if not document.revision:
@@ -156,13 +173,17 @@
         service = registration.service
         if service in document.manifest().services:
             return
-        if held is not None and held.service == service:
+        if current is not None and current.service == service:
             return
         raise errors.UnknownService(
-            f"No service {service[:_SHOWN]!r} for {registration.upstream}."
+            "The manifest names no service "
+            f"{service[:_MAX_NAME_CHARACTERS]!r}, for which upstream "
+            f"{registration.upstream} registers."
         )
 
-    def _tell(self, registration: member_messages.Registration) -> None:
+    def _report_change(
+        self, registration: member_messages.Registration
+    ) -> None:
         self.leader.events.emit(
             events.UpstreamChanged(
                 registration.upstream,
--- a/src/mintcleat/roles/control/configuration/relay.py
+++ b/src/mintcleat/roles/control/configuration/relay.py
@@ -1,8 +1,8 @@
-"""A control instance that does not lead, as a relay of the leader.
+"""Relays the leader's configuration on a control instance that follows.
 
-It follows the leader as a node does, and serves its own nodes from what it
-was told. Its leases are parts of the lease that the leader gave it, so when
-it is cut off, its nodes are out of lease with it.
+The relay follows the leader as a node does, and serves its own nodes from the
+state that it received. The leases that it grants are parts of its own lease
+from the leader, so when it is cut off, its nodes' leases end with its own.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 from mintcleat.ports import timers as timer_ports
 from mintcleat.roles.control.configuration import stream as config_stream
 
-# Name of the source of members that the leader told.
+# Source name, in the members table, of the members received from the leader.
 LEADER = "leader"
 
 
@@ -28,9 +28,12 @@
     """Follows the leader; a `config_stream.Owner`.
 
     Attributes:
+        base_request: First message of a stream, with zeros for the versions.
+        replica: This instance's replica of the config group.
         active: Whether this instance follows, that is, does not lead.
-        document: The manifest as last told.
-        on_change: Called after each change worth telling the nodes.
+        document: The manifest as last received from the leader.
+        sent_announcements: Announcements that the leader was last sent.
+        on_change: Called after each change that nodes must be sent.
     """
 
     def __init__(
@@ -45,7 +48,7 @@
         on_change: Callable[[], None],
         times: lease.Times = lease.DEFAULT,
     ) -> None:
-        self.identity = follow
+        self.base_request = follow
         self.replica = replica
         self.table = table
         self.find_leader = find_leader
@@ -56,7 +59,7 @@
         self.document = document.Document()
         self.restrictions = config_messages.Restrictions(0, [], [], [])
         self.directory = directory.Directory()
-        self.told: dict[
+        self.sent_announcements: dict[
             identities.Incarnation, member_messages.Announcement
         ] = {}
         self.stream = config_stream.ConfigStream(
@@ -66,47 +69,48 @@
     def select_address(self, attempt: int) -> str:
         """Returns the leader's address; empty while this instance leads."""
         leader = self.find_leader()
-        if not self.active or leader == self.identity.address:
+        if not self.active or leader == self.base_request.address:
             return ""
         return leader
 
     def follow_request(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream.
 
-        The replica may be ahead of what was told here. Starting from it
-        saves a whole manifest for each relay after a failover.
+        The replica of the config group may be ahead of what the leader's
+        stream delivered. Starting from the replica saves sending each relay
+        a whole manifest after a failover.
         """
         if self.replica.document.revision > self.document.revision:
             copied = document.Document()
             copied.load(machine.plain_copy(self.replica.document.state()))
             self.document = copied
-        replica = self.replica.directory
-        if replica.version > self.directory.version:
+        replicated = self.replica.directory
+        if replicated.version > self.directory.version:
             self.directory = directory.Directory()
-            self.directory.load(machine.plain_copy(replica.state()))
-        return self.identity._replace(
+            self.directory.load(machine.plain_copy(replicated.state()))
+        return self.base_request._replace(
             revision=self.document.revision, directory=self.directory.version
         )
 
     def applied_revision(self) -> int:
-        """Returns the revision told here."""
+        """Returns the revision received from the leader."""
         return self.document.revision
 
     def next_announcements(self, first: bool) -> list[Any]:
-        """Returns the changes of the members announced here."""
-        present = self.table.direct_announcements()
+        """Returns the changes of the members that announce themselves here."""
+        current = self.table.direct_announcements()
         if first:
-            self.told = present
+            self.sent_announcements = current
             return [
-                member_messages.MembersUpdate(True, list(present.values()), [])
+                member_messages.MembersUpdate(True, list(current.values()), [])
             ]
         changed = [
             item
-            for key, item in present.items()
-            if self.told.get(key) is not item
+            for key, item in current.items()
+            if self.sent_announcements.get(key) is not item
         ]
-        gone = [key for key in self.told if key not in present]
-        self.told = present
+        gone = [key for key in self.sent_announcements if key not in current]
+        self.sent_announcements = current
         if not changed and not gone:
             return []
         return [member_messages.MembersUpdate(False, changed, gone)]
@@ -115,7 +119,7 @@
         """Handles a message of the leader."""
         match message:
             case config_messages.ConfigUpdate():
-                self._take_config(message)
+                self._handle_config_update(message)
             case member_messages.DirectoryUpdate():
                 self.directory.apply_update(message)
                 self.on_change()
@@ -127,10 +131,12 @@
                     self.on_change()
 
     def lease_left(self) -> float:
-        """Returns the seconds of the leader's lease that are left."""
+        """Returns the seconds left of the lease from the leader."""
         return self.lease.left(self.timers.now())
 
-    def _take_config(self, update: config_messages.ConfigUpdate) -> None:
+    def _handle_config_update(
+        self, update: config_messages.ConfigUpdate
+    ) -> None:
         before = self.document.revision
         if update.revision < before:
             return
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -1,4 +1,4 @@
-"""The config leader's answers to operators, nodes and sidecars."""
+"""Answers requests of operators, nodes and sidecars on the config leader."""
 
 from typing import Any
 from typing import Protocol
@@ -26,7 +26,7 @@
 from mintcleat.roles.control.configuration import registrar
 from mintcleat.roles.control.replication import evacuation
 
-KINDS = (
+REQUEST_TYPES = (
     config_messages.PushManifest,
     config_messages.ReadManifest,
     operator_messages.ShowInstances,
@@ -44,14 +44,14 @@
     member_messages.DeregisterUpstream,
     operator_messages.EvacuateControl,
 )
-# One answer of the trail; operators ask on from the last number.
+# Audit entries in one answer; operators continue from its last number.
 AUDIT_PAGE = 2_000
-# The most control instances that a deployment may set aside.
+# Largest number of control instances in a deployment.
 MAX_CONTROL = 21
 
 
 class Leader(Protocol):
-    """What the answers need of the config service."""
+    """The part of the config service that the answers use."""
 
     machine: machine.ConfigMachine
     membership: membership.Membership
@@ -68,20 +68,25 @@
         """Commits a command and returns its result."""
 
     def steady_time(self) -> float:
-        """Returns seconds since 1970 that no step of a clock changes."""
+        """Returns seconds since 1970, unaffected by clock steps."""
 
     def wait_for_old_leases(self) -> None:
-        """Blocks until no lease of an earlier leader can be alive."""
+        """Blocks until every lease granted by an earlier leader has ended."""
 
 
 class Requests:
-    """Answers requests; only the leader may be asked."""
+    """Answers requests; only for use on the leader."""
 
     def __init__(self, leader: Leader) -> None:
         self.leader = leader
 
     def answer(self, message: Any) -> Any:
-        """Returns the leader's answer; raises a typed error for a refusal."""
+        """Returns the answer to a request.
+
+        Raises:
+            errors.MintcleatError: The request is refused; the subclass says
+                why.
+        """
         match message:
             case config_messages.PushManifest():
                 return self._push(message)
@@ -98,9 +103,9 @@
                     self.leader.machine.ledger.highest_fencing_token(instance)
                 )
             case _:
-                return self._answer_more(message)
+                return self._answer_operator(message)
 
-    def _answer_more(self, message: Any) -> Any:
+    def _answer_operator(self, message: Any) -> Any:
         state = self.leader.machine
         match message:
             case operator_messages.ShowAudit(after=after, limit=limit):
@@ -109,7 +114,7 @@
                     [operator_messages.AuditEntry(*entry) for entry in entries]
                 )
             case operator_messages.EvacuateControl():
-                return self._empty(message)
+                return self._evacuate(message)
             case operator_messages.ShowCustomers():
                 return _customers(state.document)
             case operator_messages.ShowQuarantine():
@@ -168,7 +173,8 @@
                 )
             case _:
                 raise errors.BadRequest(
-                    f"No answer to {type(message).__name__}."
+                    f"{type(message).__name__} is not a request that the "
+                    "config leader answers."
                 )
 
     def _push(
@@ -177,7 +183,7 @@
         try:
             parsed = manifest.parse(message.manifest)
         except errors.InvalidManifest as error:
-            self._note_refusal(message, error)
+            self._audit_refusal(message, error)
             raise
         if message.version:
             return self._push_version(message, parsed)
@@ -207,16 +213,16 @@
     def _push_version(
         self, message: config_messages.PushManifest, parsed: manifest.Manifest
     ) -> config_messages.ManifestPushed:
-        """Commits a numbered push.
+        """Commits a push that carries a version number.
 
-        It waits for no lease of an earlier leader: such a lease ends within
-        `max_lease` of its granting, which is before this leader's election
-        plus that time, so the push is in force as soon as after any other.
+        It does not wait for the leases of an earlier leader. Such a lease was
+        granted before this leader's election and ends within `max_lease` of
+        the grant, so the push is in force everywhere as soon as any other.
         """
-        began = self.leader.timers.now()
+        started = self.leader.timers.now()
         state = self.leader.machine.document
         if message.version <= state.version:
-            self._tell_push(message, "not higher", began)
+            self._report_push(message, "not higher", started)
             return config_messages.ManifestPushed(
                 state.revision, message.push_id, state.version
             )
@@ -232,13 +238,16 @@
                 self.leader.steady_time(),
             )
         )
-        self._tell_push(message, "accepted", began)
+        self._report_push(message, "accepted", started)
         return config_messages.ManifestPushed(
             accepted.revision, message.push_id, state.version
         )
 
-    def _tell_push(
-        self, message: config_messages.PushManifest, outcome: str, began: float
+    def _report_push(
+        self,
+        message: config_messages.PushManifest,
+        outcome: str,
+        started: float,
     ) -> None:
         state = self.leader.machine.document
         index = self.leader.machine.pushed_index
@@ -249,7 +258,7 @@
                 state.revision,
                 outcome,
                 f"version {state.version} is in force",
-                round(self.leader.timers.now() - began, 4),
+                round(self.leader.timers.now() - started, 4),
                 index,
                 log.position(machine.GROUP).term,
                 log.holders(machine.GROUP, index),
@@ -277,20 +286,21 @@
             document.source,
         )
 
-    def _empty(
+    def _evacuate(
         self, message: operator_messages.EvacuateControl
     ) -> operator_messages.EvacuationStatus:
-        """Starts moving replicas off an instance, or tells how far it is.
+        """Starts the evacuation of a control instance, or returns its status.
 
         Raises:
             errors.UnknownInstance: There is no such control instance.
-            errors.TooFewInstances: The rest could not bear another loss.
+            errors.TooFewInstances: The remaining instances could not tolerate
+                the loss of one more.
         """
-        keeper = self.leader.evacuation
-        instance = keeper.find(message.label)
+        evacuator = self.leader.evacuation
+        instance = evacuator.find(message.label)
         state = self.leader.machine
         if message.start and instance not in state.emptied():
-            keeper.check(instance, state.emptied())
+            evacuator.check(instance, state.emptied())
             self.leader.propose(
                 commands.SetDrain(
                     machine.CONTROL_SCOPE,
@@ -302,10 +312,10 @@
                 )
             )
         return operator_messages.EvacuationStatus(
-            keeper.done(instance, state.emptied())
+            evacuator.done(instance, state.emptied())
         )
 
-    def _note_refusal(
+    def _audit_refusal(
         self,
         message: config_messages.PushManifest,
         error: errors.MintcleatError,
@@ -322,32 +332,32 @@
         )
 
     def _instances(self) -> operator_messages.Instances:
-        """Asks every control instance for its nodes."""
+        """Collects the nodes of every control instance."""
         own = self.leader.feed.nodes()
-        best = {item.node: item for item in own}
+        newest = {item.node: item for item in own}
         controls = [item for item in own if item.role == config_feed.CONTROL]
-        # All at once: asked in turn, a few silent instances would use up the
-        # operator's patience.
+        # Asked in parallel: in turn, a few silent instances would exceed the
+        # operator's timeout.
         pool = eventlet.GreenPool(MAX_CONTROL)
         answers = list(pool.imap(self._ask_nodes, controls))
         missing = []
         for control, answer in zip(controls, answers, strict=True):
             if answer is None and control.lease > 0:
-                # Its nodes hold parts of this lease, on which revision no
-                # one can tell. Without a lease of its own they have none.
+                # Its nodes may hold parts of its lease, and their revisions
+                # are unknown. Once its own lease has ended, so have theirs.
                 missing.append(control.node.instance)
             for item in answer.nodes if answer else ():
-                held = best.get(item.node)
-                if held is None or _rank(item) > _rank(held):
-                    best[item.node] = item
-        nodes = sorted(best.values(), key=lambda item: item.node)
+                known = newest.get(item.node)
+                if known is None or _rank(item) > _rank(known):
+                    newest[item.node] = item
+        nodes = sorted(newest.values(), key=lambda item: item.node)
         revision = self.leader.machine.document.revision
         return operator_messages.Instances(revision, nodes, missing)
 
     def _ask_nodes(
         self, control: operator_messages.NodeStatus
     ) -> operator_messages.Instances | None:
-        """Returns a control instance's nodes; None when it can't be asked."""
+        """Returns a control instance's nodes; None if it doesn't answer."""
         if not control.connected:
             return None
         try:
@@ -359,20 +369,23 @@
 
 
 def _rank(item: operator_messages.NodeStatus) -> tuple[bool, int, float]:
-    """Orders reports of one node: a moved node is reported twice."""
+    """Returns a sort key that is higher for the newer report of a node.
+
+    A node that moved is reported by two control instances.
+    """
     return item.connected, item.revision, item.lease
 
 
-def _customers(held: document.Document) -> operator_messages.Customers:
+def _customers(current: document.Document) -> operator_messages.Customers:
     """Returns the customers of the manifest in force, sorted by name."""
-    customers = held.manifest().policies.customers
+    customers = current.manifest().policies.customers
     return operator_messages.Customers(
         [
             operator_messages.CustomerView(
                 name,
                 [
                     operator_messages.KeyView(
-                        key, held.key_added_at.get(key, 0.0)
+                        key, current.key_added_at.get(key, 0.0)
                     )
                     for key in customer.keys
                 ],
--- a/src/mintcleat/roles/control/configuration/rollout.py
+++ b/src/mintcleat/roles/control/configuration/rollout.py
@@ -1,4 +1,8 @@
-"""The config leader's planner: brings upstreams to the manifest's wishes."""
+"""Plans rollouts on the config leader.
+
+The planner compares the upstreams with the manifest and commits the next steps
+towards it.
+"""
 
 from typing import Any
 from typing import Protocol
@@ -18,12 +22,12 @@
 from mintcleat.roles import orders
 from mintcleat.roles.control.configuration import membership
 
-PLAN_SECONDS = 1.0
+PLAN_INTERVAL_SECONDS = 1.0
 MODEL = "model"
 
 
 class Leader(Protocol):
-    """What planning needs of the config service."""
+    """The part of the config service that the planner uses."""
 
     machine: machine.ConfigMachine
     membership: membership.Membership
@@ -36,36 +40,38 @@
         """Commits a command and returns its result."""
 
     def steady_time(self) -> float:
-        """Returns seconds since 1970 that no step of a clock changes."""
+        """Returns seconds since 1970, unaffected by clock steps."""
 
     def leads(self) -> bool:
-        """Tells whether this instance may decide now."""
+        """Returns whether this instance may commit now."""
 
 
 class Planner:
     """Plans and sends orders while this instance leads.
 
     Attributes:
-        planning: Whether a plan is being carried out.
-        seen: State and model of each upstream, and since when.
+        planning: Whether a planning round is in progress.
+        observed: State and model of each upstream, and the `steady_time` at
+            which this leader first observed them.
     """
 
     def __init__(self, leader: Leader) -> None:
         self.leader = leader
         self.sender = orders.OrderSender(leader)
         self.planning = False
-        self.seen: dict[identities.Incarnation, tuple[str, str, float]] = {}
+        self.observed: dict[identities.Incarnation, tuple[str, str, float]] = {}
 
     def start(self) -> None:
-        """Plans each second."""
-        self.leader.timers.every(PLAN_SECONDS, self.tick)
+        """Starts planning every `PLAN_INTERVAL_SECONDS`."""
+        self.leader.timers.every(PLAN_INTERVAL_SECONDS, self.tick)
 
     def tick(self) -> None:
-        """Starts a plan unless one is under way.
+        """Starts a planning round unless one is in progress.
 
-        A new leader waits as it does with pushes: until then it may not have
-        heard of every upstream, and a rollout that counts too few ready ones
-        would stall, or think itself complete.
+        A new leader waits until the leases of earlier leaders have ended, as
+        it does with pushes. Before that, it may not know every upstream, and
+        a rollout that counts too few ready ones would stall or be considered
+        complete.
         """
         if self.planning or not self.leader.leads():
             return
@@ -76,13 +82,13 @@
 
     def _plan(self) -> None:
         try:
-            self._forget_gone()
+            self._drop_departed()
             current = self.leader.machine.document.manifest()
             for name, service in sorted(current.services.items()):
                 if service.kind == MODEL:
                     self._plan_service(name, service, current.policies)
         except errors.MintcleatError as error:
-            logger.info("The plan waits: {}", error.detail)
+            logger.info("Planning is postponed: {}", error.detail)
         finally:
             self.planning = False
 
@@ -118,7 +124,7 @@
                 item.model,
                 state.draining(item.sidecar.instance, item.failure_domain),
                 state.ledger.orders.get(item.sidecar.instance),
-                self._since(item),
+                self._observed_since(item),
             )
             for item in sorted(announced, key=lambda item: item.sidecar)
         ]
@@ -133,23 +139,23 @@
             self.leader.steady_time(),
         )
 
-    def _since(self, item: member_messages.Announcement) -> float:
-        """Returns since when this leader sees the state and model.
+    def _observed_since(self, item: member_messages.Announcement) -> float:
+        """Returns since when this leader observes the state and model.
 
-        A new leader counts anew, which makes a pause longer, never shorter.
+        A new leader starts again, which can only make a pause longer.
         """
-        state, model, since = self.seen.get(item.sidecar, ("", "", 0.0))
+        state, model, since = self.observed.get(item.sidecar, ("", "", 0.0))
         if (state, model) != (item.state, item.model):
             since = self.leader.steady_time()
-            self.seen[item.sidecar] = (item.state, item.model, since)
+            self.observed[item.sidecar] = (item.state, item.model, since)
         return since
 
-    def _forget_gone(self) -> None:
+    def _drop_departed(self) -> None:
         live = {
             item.sidecar for item in self.leader.membership.table.view.values()
         }
-        for sidecar in [key for key in self.seen if key not in live]:
-            del self.seen[sidecar]
+        for sidecar in [key for key in self.observed if key not in live]:
+            del self.observed[sidecar]
 
     def _commit(self, name: str, step: plan.Step) -> None:
         leader_epoch = self.leader.leader_epoch
@@ -181,7 +187,7 @@
         announced: dict[str, member_messages.Announcement],
         policies: manifest.Policies,
     ) -> None:
-        """Sends the orders without outcome, those of former leaders too."""
+        """Sends orders without an outcome, including earlier leaders' ones."""
         for instance, item in announced.items():
             order = self.leader.machine.ledger.orders.get(instance)
             if order is None or order.outcome != rollouts.SENT:
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -1,7 +1,7 @@
 """The config group on one control instance.
 
-The leader decides; the others relay its configuration and leases to the
-nodes, and pass operators' requests on to it.
+The leader answers requests and grants leases. The other instances relay its
+configuration and leases to their nodes, and forward operators' requests to it.
 """
 
 from typing import Any
@@ -30,25 +30,35 @@
 from mintcleat.roles.control.replication import evacuation
 
 PROPOSE_SECONDS = 5.0
-# A push may wait MAX_LEASE for leases of an earlier leader to end. A leader
-# that is cut off silently never answers; then the next one is asked.
-TRY_MARGIN = 1.0
-ASK_SECONDS = 3 * (lease.MAX_LEASE + TRY_MARGIN)
-RETRY_PAUSE = 0.1
-# How often a change of leadership is looked for. A leader that lost its lease
-# stops granting at once; this only bounds how soon a new one starts.
-TICK = 0.1
-# Restrictions and members change far less often than this under one epoch.
+# A leader is asked for at most `max_lease` plus this margin, because a push
+# can wait `max_lease` for the leases of an earlier leader to end. A leader
+# that is cut off never answers; after that time the next one is asked.
+ATTEMPT_MARGIN_SECONDS = 1.0
+ASK_SECONDS = 3 * (lease.MAX_LEASE + ATTEMPT_MARGIN_SECONDS)
+RETRY_SECONDS = 0.1
+# Interval at which a change of leadership is checked for. A leader that lost
+# its lease stops granting at once; this only bounds how soon a new one starts.
+TICK_SECONDS = 0.1
+# The restrictions change far fewer times than this within one leader epoch.
 LEADER_EPOCH_STEP = 10**9
 
 
 class ConfigService:
-    """Serves nodes and operators; a `config_feed.Source`.
+    """Serves nodes and operators; implements `config_feed.Source`.
 
     Attributes:
         machine: This instance's replica of the config group.
         leader_epoch: The epoch in which this instance leads; 0 for none.
-        old_leases_end_at: Clock from which a push may be accepted here.
+        old_leases_end_at: Clock reading at which the last lease granted by
+            an earlier leader has ended; infinite before the first epoch.
+            Pushes are accepted from then on.
+        control_addresses: Addresses of the control instances as nodes were
+            last sent them.
+        control_changes: Number of changes of `control_addresses`.
+        served_versions: Versions of the document, the restrictions and the
+            directory for which the nodes were last notified.
+        steady_base: Value of `steady_time` at the start of the epoch.
+        steady_base_at: Monotonic clock at the start of the epoch.
     """
 
     def __init__(
@@ -66,8 +76,8 @@
     ) -> None:
         self.times = times
         self.events = events
-        self.told_members: list[str] = []
-        self.members_changes = 0
+        self.control_addresses: list[str] = []
+        self.control_changes = 0
         self.node = node
         self.failure_domain = failure_domain
         self.address = address
@@ -81,7 +91,7 @@
         self.old_leases_end_at = float("inf")
         self.starting_leader_epoch = False
         self.subscriptions: list[timer_ports.Subscription] = []
-        self.served = (0, 0, 0)
+        self.served_versions = (0, 0, 0)
         self.feed = config_feed.Feed(node.instance, self, timers, times)
         self.relay = config_relay.Relay(
             config_messages.FollowConfiguration(
@@ -95,8 +105,8 @@
             on_change=self.feed.wake_all,
             times=times,
         )
-        self.dated = 0.0
-        self.dated_at = 0.0
+        self.steady_base = 0.0
+        self.steady_base_at = 0.0
         self.registrar = registrar.Registrar(self)
         self.evacuation = evacuation.Evacuation(log, streams)
         self.requests = config_requests.Requests(self)
@@ -104,8 +114,8 @@
         self.machine.subscribers.append(self._on_applied)
 
     def start(self) -> None:
-        """Serves streams; the log must have been started."""
-        for kind in config_requests.KINDS:
+        """Starts serving; the replicated log must have been started."""
+        for kind in config_requests.REQUEST_TYPES:
             self.streams.handle(kind, self._serve_request)
         self.streams.handle(
             config_messages.FollowConfiguration, self.feed.serve
@@ -113,19 +123,19 @@
         self.streams.handle(operator_messages.ShowNodes, self._serve_nodes)
         self.streams.handle(config_messages.Ping, self._serve_ping)
         self.subscriptions = [
-            self.timers.every(TICK, self._tick),
-            self.timers.every(membership.COALESCE, self._tick_members),
+            self.timers.every(TICK_SECONDS, self._tick),
+            self.timers.every(membership.COALESCE_SECONDS, self._tick_members),
         ]
         self.relay.stream.start()
 
     def stop(self) -> None:
-        """Stops relaying; streams end with the process's listener."""
+        """Stops relaying; open streams end with the process's listener."""
         for subscription in self.subscriptions:
             subscription.cancel()
         self.relay.stream.stop()
 
     def leads(self) -> bool:
-        """Tells whether this instance may decide and grant leases now."""
+        """Returns whether this instance may commit and grant leases now."""
         return (
             self.leader_epoch > 0
             and self.machine.leader_epoch.number == self.leader_epoch
@@ -133,23 +143,25 @@
         )
 
     def steady_time(self) -> float:
-        """Returns seconds since 1970, going on from the epoch's start.
+        """Returns seconds since 1970, unaffected by clock steps.
 
-        Expiry, pauses and permits of the group's state are counted with it.
-        With a time of day that jumps by minutes, a quarantine would end early
-        or an order that is being carried out would count as stuck.
+        It is the wall time at the start of the leader epoch, advanced by the
+        monotonic clock, and never goes back from one leader to the next.
+        Expiry, pauses and permits in the group's state are measured with it.
+        With a wall clock that steps by minutes, a quarantine would end early,
+        or an order in progress would count as stuck.
         """
-        return self.dated + self.timers.now() - self.dated_at
+        return self.steady_base + self.timers.now() - self.steady_base_at
 
     def ask(self, message: Any, timeout: float = ASK_SECONDS) -> Any:
-        """Answers an operator's request, here or at the leader.
+        """Answers an operator's request here, or forwards it to the leader.
 
-        Every such request is safe to repeat, so it is tried until a leader
-        answers.
+        Every such request is safe to repeat, so it is retried until a leader
+        answers or `timeout` seconds have passed.
 
         Raises:
-            errors.ControlUnavailable: No leader could be asked.
-            errors.OutcomeUnknown: A leader was asked and did not answer.
+            errors.ControlUnavailable: No leader could be reached.
+            errors.OutcomeUnknown: A leader was reached and did not answer.
         """
         deadline = self.timers.now() + timeout
         asked = False
@@ -161,7 +173,7 @@
                 leader = self.log.leader(machine.GROUP)
                 if leader and leader != self.address:
                     left = deadline - self.timers.now()
-                    longest = self.times.max_lease + TRY_MARGIN
+                    longest = self.times.max_lease + ATTEMPT_MARGIN_SECONDS
                     return self.streams.ask(leader, message, min(left, longest))
             except errors.NotLeader:
                 pass
@@ -169,13 +181,13 @@
                 asked = True
             except (errors.StreamClosed, errors.StreamTimeout) as error:
                 asked = asked or error.outcome != errors.NOT_RUN
-            self.timers.sleep(RETRY_PAUSE)
+            self.timers.sleep(RETRY_SECONDS)
         if asked:
             raise errors.OutcomeUnknown(
-                "The config leader was asked and gave no answer.",
+                "The config leader received the request but did not answer.",
                 remedy="Send the same request again; it takes effect once.",
             )
-        raise errors.ControlUnavailable("No config leader could be asked.")
+        raise errors.ControlUnavailable("No config leader could be reached.")
 
     def propose(self, command: Any) -> Any:
         """Commits a command and returns its result."""
@@ -190,20 +202,23 @@
         return self.machine.document if self.leads() else self.relay.document
 
     def lease_left(self) -> float:
-        """Returns the seconds for which a lease may be granted."""
+        """Returns the longest lease that may be granted now, in seconds."""
         return self.times.max_lease if self.leads() else self.relay.lease_left()
 
     def confirmed_at(self) -> float:
-        """Returns a clock at which the document surely was in force."""
+        """Returns the latest time at which the document was in force for sure.
+
+        The time is a reading of this instance's monotonic clock.
+        """
         return self.timers.now() if self.leads() else self.relay.lease.echo
 
     def confirm(self) -> None:
-        """Asks the leader now, for a node that waits."""
+        """Asks the leader for a newer `confirmed_at`, if this is a relay."""
         if not self.leads():
             self.relay.stream.report()
 
     def restrictions(self) -> config_messages.Restrictions:
-        """Returns what operators and crashes forbid."""
+        """Returns the drains, the quarantine and the control instances."""
         if not self.leads():
             return self.relay.restrictions
         state = self.machine
@@ -211,11 +226,11 @@
         return config_messages.Restrictions(
             self.leader_epoch * LEADER_EPOCH_STEP
             + state.restrictions_version
-            + self.members_changes,
+            + self.control_changes,
             sorted(state.drains),
             state.quarantine.quarantined(),
             state.quarantine.suspects(),
-            sorted(listed.union(self.told_members)),
+            sorted(listed.union(self.control_addresses)),
         )
 
     def directory(self) -> directory.Directory:
@@ -225,18 +240,18 @@
         return self.relay.directory
 
     def serves_control(self) -> bool:
-        """Tells whether other control instances may follow this one."""
+        """Returns whether other control instances may follow this one."""
         return self.leads()
 
     # --- Leadership ---
 
     def _tick(self) -> None:
         leads = self.log.leads(machine.GROUP)
-        holds = (
+        has_epoch = (
             self.leader_epoch
             and self.machine.leader_epoch.number == self.leader_epoch
         )
-        if leads and not holds and not self.starting_leader_epoch:
+        if leads and not has_epoch and not self.starting_leader_epoch:
             self.starting_leader_epoch = True
             self.timers.spawn(self._start_leader_epoch)
         if not leads and self.leader_epoch:
@@ -245,29 +260,30 @@
             self.feed.close_control()
         self.relay.active = not leads
         if self.leads():
-            self._tell_members()
+            self._announce_control_instances()
             self.registrar.tick()
-        self._leave_old_leader()
+        self._follow_new_leader()
         self.feed.tick()
 
-    def _tell_members(self) -> None:
-        """Tells nodes of control instances that came or went.
+    def _announce_control_instances(self) -> None:
+        """Tells nodes about control instances that joined or left.
 
-        What nodes are told is numbered by the leader's epoch first, which
-        the log makes grow. Numbered by a wall clock, a new leader's changes
-        could look older than those of the one before, and would be dropped.
+        The version of the restrictions starts with the leader epoch, which
+        grows with each leader because it comes from the log. If it came from
+        the wall clock, a new leader's changes could look older than those of
+        its predecessor, and nodes would drop them.
         """
         found = sorted(self.log.addresses())
-        if found != self.told_members:
-            self.told_members = found
-            self.members_changes += 1
+        if found != self.control_addresses:
+            self.control_addresses = found
+            self.control_changes += 1
             self.feed.wake_all()
 
-    def _leave_old_leader(self) -> None:
+    def _follow_new_leader(self) -> None:
         """Follows a new leader as soon as the log names it.
 
-        An old leader that is silent would be noticed after MOVE_AFTER only,
-        and nodes of this relay could be out of lease for a moment.
+        A silent old leader would otherwise be noticed only after
+        `move_after`, and the leases of this relay's nodes could lapse.
         """
         stream = self.relay.stream
         leader = self.log.leader(machine.GROUP)
@@ -275,20 +291,25 @@
             stream.close()
 
     def _start_leader_epoch(self) -> None:
-        """Takes a number, after which older leaders' commands are void.
+        """Starts a new leader epoch, which voids older leaders' commands.
 
         Its commit also shows that every earlier command was applied here.
-        Leases that an earlier leader granted may still run for MAX_LEASE. A
-        push accepted before their end would be in force here while a cut-off
-        control instance still renews the old revision to its nodes.
+        Leases granted by an earlier leader can still run for `max_lease`. If
+        a push were accepted before they end, it would be in force here while
+        a control instance that is cut off still grants leases on the old
+        revision to its nodes.
         """
-        self.dated_at = self.timers.now()
-        self.dated = max(self.timers.wall_time(), self.machine.leader_epoch.at)
+        self.steady_base_at = self.timers.now()
+        self.steady_base = max(
+            self.timers.wall_time(), self.machine.leader_epoch.at
+        )
         try:
-            command = commands.StartLeaderEpoch(self.node.instance, self.dated)
+            command = commands.StartLeaderEpoch(
+                self.node.instance, self.steady_base
+            )
             leader_epoch = self.propose(command)
         except errors.MintcleatError as error:
-            logger.info("Did not take the lead: {}", error.detail)
+            logger.info("Could not start a leader epoch: {}", error.detail)
             return
         finally:
             self.starting_leader_epoch = False
@@ -298,7 +319,7 @@
         self.leader_epoch = leader_epoch.number
         self.membership.on_elected()
         self.registrar.on_elected()
-        logger.info("Config leader under office {}", leader_epoch.number)
+        logger.info("Config leader in leader epoch {}", leader_epoch.number)
         self.feed.wake_all()
 
     def _tick_members(self) -> None:
@@ -310,13 +331,13 @@
         self.log.evacuate(self.machine.emptied())
         if not self.leads():
             return
-        served = (
+        versions = (
             self.machine.document.revision,
             self.machine.restrictions_version,
             self.machine.directory.version,
         )
-        if served != self.served:
-            self.served = served
+        if versions != self.served_versions:
+            self.served_versions = versions
             self.feed.wake_all()
 
     # --- Requests ---
@@ -340,11 +361,17 @@
         self, exchange: stream_ports.Exchange, message: config_messages.Ping
     ) -> None:
         if self.lease_left() <= 0:
-            raise errors.ControlUnavailable("This instance is cut off.")
+            raise errors.ControlUnavailable(
+                "This instance holds no lease from the config leader."
+            )
         exchange.send(identities.Done())
 
     def wait_for_old_leases(self) -> None:
-        """Blocks until no lease of an earlier leader can be alive."""
+        """Blocks until every lease granted by an earlier leader has ended.
+
+        Raises:
+            errors.NotLeader: This instance no longer leads.
+        """
         wait = self.old_leases_end_at - self.timers.now()
         if wait > 0:
             self.timers.sleep(wait)
--- a/src/mintcleat/roles/control/replication/evacuation.py
+++ b/src/mintcleat/roles/control/replication/evacuation.py
@@ -54,7 +54,7 @@
             )
 
     def done(self, instance: str, emptied: frozenset[str]) -> bool:
-        """Tells whether no group has a replica on an emptied instance.
+        """Returns whether no group has a replica on an emptied instance.
 
         Each group's own leader is asked: a replica elsewhere may not have
         heard yet that a group moved, or moved back.
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -187,7 +187,7 @@
         return self._insider(group)
 
     def leads(self, group: str) -> bool:
-        """Tells whether this replica leads with a valid lease."""
+        """Returns whether this replica leads with a valid lease."""
         if self.driver is None or self.driver.failed:
             return False
         replica = self.driver.core.replicas.get(group)
