--- a/src/mintcleat/roles/control/configuration/stream.py
+++ b/src/mintcleat/roles/control/configuration/stream.py
@@ -1,8 +1,8 @@
 """The stream that a node keeps to a control instance.
 
-It renews the configuration lease, reports the applied revision and hands
-every message to its owner. When the control instance is lost, silent or out
-of lease itself, the stream moves to the next one.
+It renews the configuration lease, reports the applied revision and passes
+every message to its owner. When the control instance is lost, silent or
+without a lease of its own, the node opens a stream to the next one.
 """
 
 from typing import Any
@@ -18,26 +18,27 @@
 from mintcleat.ports import streams as stream_ports
 from mintcleat.ports import timers as timer_ports
 
-# After a control instance is lost, its nodes reconnect spread over this time;
-# at once, they would all cost it a whole update in the same moment.
-SPREAD = 0.5
-# A node that knows no configuration refuses its callers meanwhile. It was
-# given nothing yet, so its next try costs an instance no update.
-START_SPREAD = 0.03
-# A started node that passed its preferred instance over goes back to it after
-# about this time, spread by half to both sides: by then an instance that lost
-# its disk has been taken in again. Without it, all nodes that
-# started together would stay with the leader.
-HOME_SECONDS = 2.0
+# After a control instance is lost, its nodes reconnect at random within this
+# time. If all of them reconnected at once, the next instance would have to
+# send many whole updates at the same moment.
+RECONNECT_JITTER_SECONDS = 0.5
+# The same for a node without a configuration. It refuses its callers until it
+# has one, and its previous attempts cost no instance an update.
+START_JITTER_SECONDS = 0.03
+# A starting node that skipped its preferred instance, because that had no
+# configuration, returns to it after this time, plus or minus a random half. By
+# then an instance that lost its disk has rejoined its group. Without the
+# return, all nodes that started together would stay with the leader.
+RETURN_SECONDS = 2.0
 
 
 class Owner(Protocol):
-    """What the stream needs of the node that owns it."""
+    """The node that owns the stream, as far as the stream uses it."""
 
     lease: lease.Lease
 
     def select_address(self, attempt: int) -> str:
-        """Returns the address to try, or an empty text for none."""
+        """Returns the address to try, or an empty string for none."""
 
     def follow_request(self) -> config_messages.FollowConfiguration:
         """Returns the first message of a stream."""
@@ -46,23 +47,30 @@
         """Returns the revision applied now."""
 
     def next_announcements(self, first: bool) -> list[Any]:
-        """Returns what else to send now, on a new stream or an old one."""
+        """Returns the messages to send before the next report.
+
+        Args:
+            first: Whether the stream is new, so that nothing was sent on it.
+        """
 
     def handle_message(self, message: Any) -> None:
         """Handles a message of the control instance."""
 
 
 class ConfigStream:
-    """Keeps one stream open; see the module's text.
+    """Keeps one stream open; see the module's documentation.
 
     Attributes:
+        renew: Seconds between two reports.
+        move_after: Seconds of silence after which a node that has a
+            configuration moves to another control instance.
         address: Control instance that serves the stream; empty for none.
         exchange: The open exchange.
-        moves: Streams opened so far.
-        homeward: Whether the preferred instance is tried next.
-        passed_over: Whether the preferred instance was left for having
-            nothing to give.
-        reassembler: A large update that is arriving in parts.
+        streams_opened: Number of streams opened so far.
+        returning: Whether the preferred instance is tried next.
+        skipped_preferred: Whether the preferred instance was skipped because
+            it had no configuration.
+        reassembler: Collects the parts of a large update.
     """
 
     def __init__(
@@ -80,9 +88,9 @@
         self.move_after = move_after
         self.address = ""
         self.exchange: stream_ports.Exchange | None = None
-        self.moves = 0
-        self.homeward = False
-        self.passed_over = False
+        self.streams_opened = 0
+        self.returning = False
+        self.skipped_preferred = False
         self.stopped = False
         self.reassembler = transfer.Reassembler()
 
@@ -91,22 +99,22 @@
         self.timers.spawn(self._run)
 
     def stop(self) -> None:
-        """Closes the stream for good."""
+        """Closes the stream; no other is opened."""
         self.stopped = True
         self.close()
 
     def close(self) -> None:
-        """Ends the present stream; a new one follows."""
+        """Closes the current stream; a new one is opened after a pause."""
         if self.exchange is not None:
             self.exchange.close()
 
     def return_to_preferred(self) -> None:
-        """Ends the stream and tries the preferred control instance first."""
-        self.homeward = True
+        """Closes the stream and reconnects to the preferred instance."""
+        self.returning = True
         self.close()
 
     def report(self) -> None:
-        """Reports the applied revision, and asks for a renewal."""
+        """Reports the applied revision now, which also renews the lease."""
         exchange = self.exchange
         if exchange is None:
             return
@@ -128,17 +136,18 @@
             except errors.MintcleatError as error:
                 logger.debug("Stream to {} ended: {}", address, error.detail)
             except Exception:
-                # Without a stream the node would be out of lease for good.
+                # The loop must go on: without a stream the node would never
+                # get a lease again.
                 logger.exception("The stream to {} failed.", address)
             finally:
                 self.close()
                 self.exchange = None
                 self.address = ""
-            self.passed_over |= not self.owner.applied_revision()
+            self.skipped_preferred |= not self.owner.applied_revision()
             renewed = self.owner.lease.echo > before
             attempt = 1 if renewed else attempt + 1
-            if self.homeward:
-                self.homeward = False
+            if self.returning:
+                self.returning = False
                 attempt = 0
             if not self.stopped:
                 self.timers.sleep(self._pause(attempt))
@@ -151,33 +160,36 @@
         exchange = self.streams.open(address, follow)
         self.exchange = exchange
         self.address = address
-        self.moves += 1
-        alive = self.timers.now()
-        self.timers.spawn(self._beat, exchange)
+        self.streams_opened += 1
+        last_part = self.timers.now()
+        self.timers.spawn(self._report_forever, exchange)
         while not self.stopped:
-            message = exchange.receive(self._wait(attempt))
+            message = exchange.receive(self._silence_timeout(attempt))
             update = self.reassembler.take(message)
             if update is None:
-                # A part of an update is a sign of life. Parts are finite, so
-                # they keep a node at no instance that renews nothing.
-                alive = self.timers.now()
+                # A part of an update shows that the instance is alive. An
+                # update has a limited number of parts, so they can't keep a
+                # node at an instance that never renews its lease.
+                last_part = self.timers.now()
                 continue
             self.owner.handle_message(update)
-            if self.passed_over and self.owner.applied_revision():
-                self.passed_over = False
-                away = HOME_SECONDS * (0.5 + self._part(attempt))
-                self.timers.after(away, self.return_to_preferred)
-            since = max(alive, self.owner.lease.echo)
-            if self.timers.now() - since > self._wait(attempt):
-                raise errors.StreamTimeout(f"{address} renews no lease.")
-
-    def _wait(self, attempt: int) -> float:
-        """Returns the seconds for which the instance may say nothing."""
+            if self.skipped_preferred and self.owner.applied_revision():
+                self.skipped_preferred = False
+                delay = RETURN_SECONDS * (0.5 + self._jitter(attempt))
+                self.timers.after(delay, self.return_to_preferred)
+            since = max(last_part, self.owner.lease.echo)
+            if self.timers.now() - since > self._silence_timeout(attempt):
+                raise errors.StreamTimeout(
+                    f"{address} has not renewed the lease in time."
+                )
+
+    def _silence_timeout(self, attempt: int) -> float:
+        """Returns the seconds of silence after which the stream is closed."""
         return lease.silence_timeout(
             self.owner.applied_revision(), attempt, self.move_after
         )
 
-    def _beat(self, exchange: stream_ports.Exchange) -> None:
+    def _report_forever(self, exchange: stream_ports.Exchange) -> None:
         first = True
         while self.exchange is exchange and not self.stopped:
             try:
@@ -199,22 +211,30 @@
         )
 
     def _pause(self, attempt: int) -> float:
-        """Returns a pause that differs from node to node."""
-        longest = SPREAD if self.owner.applied_revision() else START_SPREAD
-        return self._part(attempt) * min(longest, self.move_after / 4)
+        """Returns the seconds to wait before reconnecting, with jitter."""
+        longest = (
+            RECONNECT_JITTER_SECONDS
+            if self.owner.applied_revision()
+            else START_JITTER_SECONDS
+        )
+        return self._jitter(attempt) * min(longest, self.move_after / 4)
 
-    def _part(self, attempt: int) -> float:
-        """Returns a number from 0 to 1 that differs from node to node."""
+    def _jitter(self, attempt: int) -> float:
+        """Returns a pseudo-random number from 0 to 1, seeded by the node."""
         node = self.owner.follow_request().node
-        seed = f"{node.instance}/{attempt}/{self.moves}"
+        seed = f"{node.instance}/{attempt}/{self.streams_opened}"
         return xxhash.xxh32_intdigest(seed.encode()) / 2**32
 
 
 def rank_addresses(instance: str, addresses: list[str]) -> list[str]:
-    """Returns addresses by rendezvous hash, the preferred one first.
+    """Returns addresses ordered by rendezvous hash, the preferred one first.
+
+    The order differs from node to node, so the nodes of a lost control
+    instance are spread evenly over the remaining ones.
 
-    Each node has its own order, so the nodes of a lost control instance
-    spread evenly over the others.
+    Args:
+        instance: Name of the node's instance.
+        addresses: Control instances; duplicates are removed.
     """
 
     def weight(address: str) -> int:
--- a/src/mintcleat/roles/control/replication/driver.py
+++ b/src/mintcleat/roles/control/replication/driver.py
@@ -1,4 +1,4 @@
-"""Carries out what the consensus core asks for: store, sync, send, apply."""
+"""Carries out the effects of the consensus core: store, sync, send, apply."""
 
 import collections
 from collections.abc import Callable
@@ -37,11 +37,13 @@
 
     Attributes:
         core: Times and limits of the consensus core.
-        seed: Seed of the election timeouts; 0 draws one from the instance.
+        seed: Seed of the election timeouts; 0 derives one from the
+            incarnation.
         snapshots: When a group is snapshotted.
         rewrite_bytes: Size at which the write-ahead log is rewritten, or
-            twice its size after the last time when that is more. A start
-            reads the log whole before it votes.
+            twice its size after the last rewrite if that is more. The log
+            must stay small because a starting instance reads all of it
+            before it votes.
     """
 
     core: types.Settings = types.Settings()
@@ -50,27 +52,35 @@
     rewrite_bytes: int = 4 * 1024 * 1024
 
 
-# A larger command would hold the loop and the disk for too long.
-MAX_COMMAND = 16 * 1024 * 1024
+# A larger command would block the event loop and the disk for too long.
+MAX_COMMAND_BYTES = 16 * 1024 * 1024
 
 
-# A full disk may be emptied by others; this often it is tried again.
-_FULL_PAUSE = 0.1
+# Interval at which a write to a full disk is retried; other processes may free
+# space.
+_DISK_FULL_RETRY_SECONDS = 0.1
 
 
 class Unsynced(NamedTuple):
     """Effects that wait for the disk.
 
     Attributes:
-        ends: Where the log of each group in `box.stored` ended then.
+        effects: The effects to carry out.
+        log_ends: Where the log of each group in `effects.stored` ended when
+            they were queued.
     """
 
-    box: outbox.Outbox
-    ends: dict[str, tuple[int, int]]
+    effects: outbox.Outbox
+    log_ends: dict[str, tuple[int, int]]
 
 
 class Waiter(NamedTuple):
-    """A proposer that waits for its entry; `done` gets `(result,)`."""
+    """A proposer that waits for its entry.
+
+    Attributes:
+        term: Term in which the entry was proposed.
+        done: Receives `(result,)`; the result may be a typed error.
+    """
 
     term: int
     done: event.Event
@@ -81,10 +91,14 @@
 
     Attributes:
         core: The consensus instance.
-        waiters: By group and index.
-        failed: Why this replica has stopped, if it has.
+        waiters: Proposers by group and log index.
+        readers: Linearizable reads that wait, by token.
+        failed: The error that stopped this replica; None while it runs.
         unsynced: Effects that wait for the disk, in order.
-        worked: Called after each round of work.
+        persisting: Whether effects are being written to the disk.
+        wake_pending: Whether `wake` has scheduled a round of work.
+        rewritten_bytes: Size of the log after its last rewrite.
+        on_progress: Called after each round of work.
     """
 
     def __init__(
@@ -101,9 +115,9 @@
         worker: wal_ports.DiskWorker,
         own: types.Member | None = None,
         events: event_ports.EventReporter = event_ports.NULL_EVENT_REPORTER,
-        worked: Callable[[], None] = lambda: None,
+        on_progress: Callable[[], None] = lambda: None,
     ) -> None:
-        self.worked = worked
+        self.on_progress = on_progress
         self.reporter = reporting.Reporter(events, options.core.founder)
         self.worker = worker
         self.unsynced: collections.deque[Unsynced] = collections.deque()
@@ -125,13 +139,13 @@
             on_saved=self.wake,
             worker=worker,
         )
-        self.awake = False
-        found = wal.open(node)
-        stored = _fold(found.records)
-        self.rewritten = wal.size()
+        self.wake_pending = False
+        recovery = wal.open(node)
+        stored = _replay(recovery.records)
+        self.rewritten_bytes = wal.size()
         generator = random.Random(options.seed or f"{node}")
         self.core = instance.Instance(
-            found.identity,
+            recovery.identity,
             node.epoch,
             options.core,
             generator.random,
@@ -141,7 +155,7 @@
             now=timers.now(),
             own=own,
         )
-        self.reporter.disk(found, self.core)
+        self.reporter.disk_opened(recovery, self.core)
         for group, machine in machines.items():
             self.waiters[group] = {}
             index = self.core.replicas[group].state.applied
@@ -149,23 +163,23 @@
                 machine.restore(wal.load_snapshot(group, index))
 
     def wake(self) -> None:
-        """Makes the driver work soon, after every caller that can run now.
+        """Schedules a round of work after the green threads that can run now.
 
-        All that they propose then shares one write and one sync.
+        Everything that they propose then shares one write and one sync.
         """
-        if not self.awake and self.failed is None:
-            self.awake = True
+        if not self.wake_pending and self.failed is None:
+            self.wake_pending = True
             self.timers.spawn(self._work_soon)
 
     def tick(self) -> None:
-        """Lets time pass."""
+        """Advances the timers of the consensus core, and works."""
         if self.failed is None:
             with self._stopping_on_failure():
                 self.core.tick(self.timers.now())
             self.work()
 
     def receive(self, payload: bytes) -> None:
-        """Takes a frame from a peer."""
+        """Handles a frame from a peer."""
         frame = wire.decode(payload)
         if self.failed is not None:
             return
@@ -178,37 +192,37 @@
         self.wake()
 
     def work(self) -> None:
-        """Carries out effects until none is left but those of the disk."""
+        """Carries out all effects except those that wait for the disk."""
         with self._stopping_on_failure():
             while self.failed is None:
                 self.core.flush(self.timers.now())
                 if self.core.outbox.is_empty():
                     break
-                self._take_up(self.core.outbox.take())
-        self._release_lost()
+                self._process(self.core.outbox.take())
+        self._fail_lost_proposals()
         if self.failed is None:
-            self.worked()
+            self.on_progress()
 
     def fail(self, error: errors.MintcleatError) -> None:
         """Stops this replica because of a failure."""
-        logger.error("Replication stops here: {}", error)
+        logger.error("Replication on this instance stops: {}", error)
         self.stop(error)
 
     def stop(self, reason: errors.MintcleatError) -> None:
-        """Ends all work: nothing is acknowledged from now on."""
+        """Stops all work; nothing is acknowledged from now on."""
         self.failed = reason
-        self._release_lost()
+        self._fail_lost_proposals()
         for done in self.readers.values():
             done.send(None)
         self.readers.clear()
 
     @contextlib.contextmanager
     def _stopping_on_failure(self) -> Iterator[None]:
-        """Stops this replica on any failure, also one of its own code.
+        """Stops this replica on any exception, unexpected ones included.
 
-        Effects that were taken from the core but not carried out cannot be
-        made up for: going on, it would acknowledge entries that it never
-        wrote. The other replicas go on, and a restart reads the disk anew.
+        Effects that were taken from the core but not carried out are lost. If
+        the replica went on, it would acknowledge entries that it never wrote.
+        The other replicas go on, and a restart recovers from the disk.
         """
         try:
             yield
@@ -220,34 +234,39 @@
 
     def _work_soon(self) -> None:
         self.timers.sleep(0)
-        self.awake = False
+        self.wake_pending = False
         self.work()
 
-    def _take_up(self, box: outbox.Outbox) -> None:
-        """Carries out what needs no disk; the rest waits its turn.
+    def _process(self, effects: outbox.Outbox) -> None:
+        """Carries out the effects that need no disk, and queues the rest.
 
-        Letters that promise durability leave in the order of the records
-        before them, also when their own box holds none.
+        Messages that promise durability are sent only after all records that
+        were queued before them, even if no record is queued with them.
         """
-        for elected in box.elections:
-            self.reporter.elected(elected)
-        self._send(box.messages)
-        box.messages = []
-        if not (box.installs or box.records or self.unsynced):
-            self._finish(box)
+        for elected in effects.elections:
+            self.reporter.leader_elected(elected)
+        self._send(effects.messages)
+        effects.messages = []
+        if not (effects.installs or effects.records or self.unsynced):
+            self._finish(effects)
             return
-        if not box.records:
-            # They promise not to vote, which a restart keeps by itself. Held
-            # back behind a slow disk, they would unseat a healthy leader.
-            beats = [m for m in box.messages_after_sync if _is_beat(m)]
-            box.messages_after_sync = [
-                m for m in box.messages_after_sync if not _is_beat(m)
+        if not effects.records:
+            # A heartbeat reply promises not to vote for a while, and a
+            # restart keeps that promise without any record on disk. Replies
+            # delayed by a slow disk would depose a healthy leader.
+            replies = [
+                m for m in effects.messages_after_sync if _is_heartbeat_reply(m)
+            ]
+            effects.messages_after_sync = [
+                m
+                for m in effects.messages_after_sync
+                if not _is_heartbeat_reply(m)
             ]
-            self._send(beats)
-        # What a majority holds may be applied before this disk has it.
-        self._apply_all(box)
-        ends = self.core.log_ends(box.stored)
-        self.unsynced.append(Unsynced(box, ends))
+            self._send(replies)
+        # Entries that a quorum holds may be applied before this disk has them.
+        self._apply_all(effects)
+        log_ends = self.core.log_ends(effects.stored)
+        self.unsynced.append(Unsynced(effects, log_ends))
         if not self.persisting:
             self.persisting = True
             if self.worker.blocks_caller():
@@ -256,48 +275,48 @@
                 self.timers.spawn(self._persist)
 
     def _persist(self) -> None:
-        """Writes what waits, one sync for all of it, until nothing waits."""
+        """Writes queued effects, with one sync for each batch."""
         try:
             while self.unsynced and self.failed is None:
                 with self._stopping_on_failure():
-                    self._persist_some()
+                    self._persist_batch()
                 self.work()
             if self.failed is None:
                 with self._stopping_on_failure():
-                    self._shrink()
+                    self._rewrite_log_if_due()
         finally:
             self.persisting = False
 
-    def _persist_some(self) -> None:
-        taken = self._next_batch()
-        for item in taken[0].box.installs:
-            self._install(item)
-        records = [record for item in taken for record in item.box.records]
+    def _persist_batch(self) -> None:
+        batch = self._next_batch()
+        for received in batch[0].effects.installs:
+            self._install(received)
+        records = [r for item in batch for r in item.effects.records]
         if records:
             self._write(records)
             if self.failed is not None:
                 return
-            for item in taken:
-                self.core.on_synced_to(item.ends)
-        marks: dict[str, int] = {}
-        for item in taken:
+            for item in batch:
+                self.core.on_synced_to(item.log_ends)
+        snapshot_indexes: dict[str, int] = {}
+        for item in batch:
             self.unsynced.popleft()
-            self._finish(item.box)
-            marks.update(item.box.snapshot_indexes)
-        if marks:
-            self.worker.run(self.snapshots.drop_below, marks)
+            self._finish(item.effects)
+            snapshot_indexes.update(item.effects.snapshot_indexes)
+        if snapshot_indexes:
+            self.worker.run(self.snapshots.drop_below, snapshot_indexes)
 
     def _next_batch(self) -> list[Unsynced]:
-        """Returns the boxes to write now; a snapshot begins a batch."""
-        taken = [self.unsynced[0]]
+        """Returns the effects to write now; a snapshot starts a new batch."""
+        batch = [self.unsynced[0]]
         for item in list(self.unsynced)[1:]:
-            if item.box.installs:
+            if item.effects.installs:
                 break
-            taken.append(item)
-        return taken
+            batch.append(item)
+        return batch
 
     def _write(self, records: list[bytes]) -> None:
-        """Appends and syncs; waits while the disk is full."""
+        """Appends records and syncs; retries while the disk is full."""
 
         def append_and_sync() -> None:
             self.wal.append(records)
@@ -306,39 +325,41 @@
         try:
             self.worker.run(append_and_sync)
         except errors.StorageFull:
-            self._run_with_room(self.wal.sync)
+            self._retry_while_full(self.wal.sync)
 
-    def _run_with_room(self, function: Callable[..., None], *args: Any) -> None:
-        """Runs a call of the disk again and again until it has room."""
+    def _retry_while_full(
+        self, function: Callable[..., None], *args: Any
+    ) -> None:
+        """Calls a function of the disk, again while the disk is full."""
         while self.failed is None:
             try:
                 self.worker.run(function, *args)
             except errors.StorageFull as error:
                 logger.warning("{}", error.detail)
-                self.timers.sleep(_FULL_PAUSE)
+                self.timers.sleep(_DISK_FULL_RETRY_SECONDS)
             else:
                 return
 
-    def _finish(self, box: outbox.Outbox) -> None:
-        """Carries out what was to follow the sync."""
-        self._send(box.messages_after_sync)
-        for needed in box.snapshots:
+    def _finish(self, effects: outbox.Outbox) -> None:
+        """Carries out the effects that must follow the sync."""
+        self._send(effects.messages_after_sync)
+        for needed in effects.snapshots:
             self.timers.spawn(self._send_snapshot, needed)
-        self._apply_all(box)
+        self._apply_all(effects)
 
-    def _apply_all(self, box: outbox.Outbox) -> None:
-        for group in sorted(box.committed):
+    def _apply_all(self, effects: outbox.Outbox) -> None:
+        for group in sorted(effects.committed):
             self._apply(group, self.core.replicas[group])
-        reads, box.reads = box.reads, []
+        reads, effects.reads = effects.reads, []
         for ready in reads:
             done = self.readers.pop(ready.token, None)
             if done is not None:
                 done.send(ready)
 
-    def _send(self, letters: list[outbox.OutgoingMessage]) -> None:
+    def _send(self, messages: list[outbox.OutgoingMessage]) -> None:
         frames: dict[identities.Incarnation, list[Any]] = {}
-        for letter in letters:
-            frames.setdefault(letter.to, []).append(letter.message)
+        for outgoing in messages:
+            frames.setdefault(outgoing.to, []).append(outgoing.message)
         for to, items in frames.items():
             address = self.core.roster.address(to.instance)
             if address:
@@ -349,20 +370,23 @@
         return wire.encode(frame)
 
     def _send_snapshot(self, needed: outbox.SnapshotNeeded) -> None:
-        # The file of `needed.snapshot` may be gone: a newer one replaced it.
+        # The newest snapshot is sent, because it may have replaced the file
+        # of `needed.snapshot`.
         group = needed.group
-        mark = self.core.replicas[group].state.snapshot
+        metadata = self.core.replicas[group].state.snapshot
         with self._stopping_on_failure():
-            state = self.snapshots.acquire(group, mark.index)
+            state = self.snapshots.acquire(group, metadata.index)
         if self.failed is not None:
             return
         size = len(state)
-        message = wire.InstallSnapshot(group, needed.term, mark, state)
+        message = wire.InstallSnapshot(group, needed.term, metadata, state)
         frame = wire.Frame(self.core.me, self.address, needed.to, [message])
 
         def ended(sent: bool) -> None:
-            self.snapshots.release(group, mark.index)
-            self.reporter.sent(group, needed.to, mark.index, size, sent)
+            self.snapshots.release(group, metadata.index)
+            self.reporter.snapshot_sent(
+                group, needed.to, metadata.index, size, sent
+            )
             replica = self.core.replicas[group]
             replica.snapshot_transfer_ended(needed.to, sent, self.timers.now())
 
@@ -370,9 +394,9 @@
         self.links.send_bulk(address, wire.encode_install(frame), ended)
 
     def _install(self, item: outbox.SnapshotReceived) -> None:
-        # Without room it waits, as entries do: a replica that stopped for it
-        # would find the disk as full at each start.
-        self._run_with_room(
+        # On a full disk it waits, as entries do. If the replica stopped
+        # instead, it would find the disk just as full at each restart.
+        self._retry_while_full(
             self.wal.save_snapshot, item.group, item.snapshot.index, item.state
         )
         if self.failed is not None:
@@ -381,31 +405,35 @@
         if machine is not None:
             machine.restore(item.state)
         self.core.replicas[item.group].on_restored(item.snapshot.index)
-        self.reporter.installed(item)
+        self.reporter.snapshot_installed(item)
 
     def _apply(self, group: str, replica: replicas.Replica) -> None:
         machine = self.machines.get(group)
         waiters = self.waiters.get(group, {})
         size = 0
-        found = replica.take_committed()
-        if not found:
+        entries = replica.take_committed()
+        if not entries:
             return
-        for entry in found:
+        for entry in entries:
             if entry.kind == types.CONFIGURATION:
-                self.reporter.voters(replica, entry)
+                self.reporter.voters_changed(replica, entry)
             result = None
             size += len(entry.data)
             if entry.kind == types.COMMAND and machine is not None:
                 result = self._apply_one(group, machine, entry)
             waiter = waiters.pop(entry.index, None)
             if waiter is not None:
-                mine = waiter.term == entry.term
-                waiter.done.send((result if mine else _lost(),))
+                is_own = waiter.term == entry.term
+                waiter.done.send((result if is_own else _proposal_lost(),))
         if machine is not None:
-            self.snapshots.applied(group, replica, machine, size)
+            self.snapshots.on_applied(group, replica, machine, size)
 
     def snapshot(self, group: str) -> bool:
-        """Snapshots a group now; False when nothing is new since the last."""
+        """Starts a snapshot of a group; returns whether one was started.
+
+        None is started if nothing was applied since the last one, or while
+        one is being written.
+        """
         replica = self.core.replicas[group]
         machine = self.machines.get(group)
         if (
@@ -418,12 +446,13 @@
     def _apply_one(
         self, group: str, machine: log.StateMachine, entry: types.Entry
     ) -> Any:
-        """Applies a command; a machine's bug is the proposer's error.
+        """Applies a command and returns its result.
 
-        The same code fails the same way on every replica, so they stay
-        equal, and one bad command does not stop the whole group for good. A
-        failure of this host is different: here the machine has missed a
-        command that the others applied, so this replica stops.
+        An exception in the state machine becomes an error for the proposer.
+        The same code fails in the same way on every replica, so they stay
+        equal, and one bad command does not stop the whole group. A failure of
+        this host is different: the machine has then missed a command that the
+        other replicas applied, so this replica stops.
         """
         try:
             return machine.apply(entry.index, entry.data)
@@ -435,9 +464,9 @@
             logger.exception("Entry {} of {} failed.", entry.index, group)
             return errors.MintcleatError("The state machine failed.")
 
-    def _shrink(self) -> None:
-        """Rewrites the log once most of it lies under snapshots."""
-        limit = max(self.options.rewrite_bytes, 2 * self.rewritten)
+    def _rewrite_log_if_due(self) -> None:
+        """Rewrites the log without the records that snapshots replace."""
+        limit = max(self.options.rewrite_bytes, 2 * self.rewritten_bytes)
         if self.wal.size() < limit:
             return
         live = [
@@ -446,10 +475,10 @@
             for record in replica.checkpoint_records()
         ]
         self.worker.run(self.wal.rewrite, live)
-        self.rewritten = self.wal.size()
+        self.rewritten_bytes = self.wal.size()
 
-    def _release_lost(self) -> None:
-        """Ends the waiting of proposers whose leadership is gone."""
+    def _fail_lost_proposals(self) -> None:
+        """Fails proposals of terms in which this replica no longer leads."""
         for group, waiters in self.waiters.items():
             if not waiters:
                 continue
@@ -460,30 +489,30 @@
                 if leads and waiter.term == state.term:
                     kept[index] = waiter
                 else:
-                    waiter.done.send((_lost(),))
+                    waiter.done.send((_proposal_lost(),))
             self.waiters[group] = kept
 
 
-def _is_beat(letter: outbox.OutgoingMessage) -> bool:
-    return isinstance(letter.message, wire.HeartbeatReply)
+def _is_heartbeat_reply(outgoing: outbox.OutgoingMessage) -> bool:
+    return isinstance(outgoing.message, wire.HeartbeatReply)
 
 
-def _fold(items: Iterable[bytes]) -> dict[str, records.StoredState]:
+def _replay(items: Iterable[bytes]) -> dict[str, records.StoredState]:
     try:
         return records.replay(items)
     except (ValueError, TypeError) as error:
         raise errors.StorageDamaged(
-            f"The log's records contradict each other: {error}."
+            f"The records of the write-ahead log are inconsistent: {error}."
         ) from error
 
 
 def _superseded(instance_name: str) -> errors.InvalidSettings:
     return errors.InvalidSettings(
         f"Peers know a later incarnation of {instance_name}.",
-        remedy="End the other process of this name; if there is none, correct"
+        remedy="Stop the other process of this name; if there is none, correct"
         " the clock, empty the data folder and restart.",
     )
 
 
-def _lost() -> errors.ProposalLost:
+def _proposal_lost() -> errors.ProposalLost:
     return errors.ProposalLost("The leadership changed before the commit.")
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -112,7 +112,7 @@
             worker=self.worker,
             own=self.own,
             events=self.events,
-            worked=self._tell_leading,
+            on_progress=self._notify_leading,
         )
         for _ in range(3):
             self.driver.tick()
@@ -128,7 +128,7 @@
     def propose(self, group: str, command: bytes, timeout: float) -> Any:
         """Commits a command and returns what `apply` returned for it."""
         driver = self._running(group)
-        if len(command) > replication_driver.MAX_COMMAND:
+        if len(command) > replication_driver.MAX_COMMAND_BYTES:
             raise errors.TooLarge(f"A command of {len(command)} bytes.")
         ticket = driver.core.replicas[group].propose(command, self.timers.now())
         if ticket is None:
@@ -198,7 +198,7 @@
         # loop later. Answered in between, a read misses acknowledged changes.
         return replica.state.applied >= replica.state.term_start
 
-    def _tell_leading(self) -> None:
+    def _notify_leading(self) -> None:
         """Calls back for the groups that this replica leads since now.
 
         Found by the next look of a timer, a new leader would be a tenth of a
--- a/src/mintcleat/roles/control/replication/reporting.py
+++ b/src/mintcleat/roles/control/replication/reporting.py
@@ -1,4 +1,4 @@
-"""What a replica tells the operators' log of its disk and its groups."""
+"""Reports events of a replica's disk and groups to the operators' log."""
 
 from mintcleat.consensus import instance
 from mintcleat.consensus import membership
@@ -13,7 +13,7 @@
 
 
 class Reporter:
-    """Turns what happens to a replica into events; decides nothing."""
+    """Emits events for state changes of a replica."""
 
     def __init__(
         self, events: event_ports.EventReporter, founder: bool
@@ -21,8 +21,10 @@
         self.events = events
         self.founder = founder
 
-    def disk(self, found: wal_ports.Recovery, core: instance.Instance) -> None:
-        """Tells what a start found on its disk."""
+    def disk_opened(
+        self, recovery: wal_ports.Recovery, core: instance.Instance
+    ) -> None:
+        """Reports the state that was recovered from the disk at the start."""
         groups = {}
         for group, replica in core.replicas.items():
             index, term = replica.log_end()
@@ -30,17 +32,17 @@
             groups[group] = [state.term, index, term, state.snapshot.index]
         self.events.emit(
             control_events.DiskOpened(
-                str(found.identity),
-                found.formatted,
+                str(recovery.identity),
+                recovery.formatted,
                 self.founder,
-                found.size,
-                found.cut_bytes,
+                recovery.size,
+                recovery.cut_bytes,
                 groups,
             )
         )
 
-    def elected(self, elected: outbox.Elected) -> None:
-        """Tells that this replica leads."""
+    def leader_elected(self, elected: outbox.Elected) -> None:
+        """Reports that this replica was elected leader."""
         self.events.emit(
             control_events.LeaderElected(
                 elected.group,
@@ -52,12 +54,14 @@
             )
         )
 
-    def voters(self, replica: replicas.Replica, entry: types.Entry) -> None:
-        """Tells of a committed change of who votes.
+    def voters_changed(
+        self, replica: replicas.Replica, entry: types.Entry
+    ) -> None:
+        """Reports a committed change of the voters or learners.
 
-        One that the log has replaced since is told by the leader only: at a
-        start, and by a spare that catches up, all past changes are applied
-        again, and their lines would bury what happens now.
+        A change that a later one has replaced is reported by the leader only.
+        An instance that starts, or a spare that catches up, applies all past
+        changes again, and their log lines would hide the current ones.
         """
         state = replica.state
         newest = entry.index == state.configuration_index
@@ -76,7 +80,7 @@
             )
         )
 
-    def sent(
+    def snapshot_sent(
         self,
         group: str,
         to: identities.Incarnation,
@@ -84,13 +88,21 @@
         size: int,
         whole: bool,
     ) -> None:
-        """Tells that a snapshot was sent, or could not be."""
+        """Reports that the sending of a snapshot ended.
+
+        Args:
+            group: Group of the snapshot.
+            to: The follower.
+            index: Last log index that the snapshot covers.
+            size: Its size in bytes.
+            whole: Whether all of it was sent.
+        """
         self.events.emit(
             control_events.SnapshotSent(group, str(to), index, size, whole)
         )
 
-    def installed(self, item: outbox.SnapshotReceived) -> None:
-        """Tells that a snapshot replaced this replica's state."""
+    def snapshot_installed(self, item: outbox.SnapshotReceived) -> None:
+        """Reports that a received snapshot replaced this replica's state."""
         self.events.emit(
             control_events.SnapshotInstalled(
                 item.group,
--- a/src/mintcleat/roles/control/replication/snapshots.py
+++ b/src/mintcleat/roles/control/replication/snapshots.py
@@ -109,7 +109,7 @@
         if not lent.users:
             del self.in_use[group, index]
 
-    def applied(
+    def on_applied(
         self,
         group: str,
         replica: replicas.Replica,
