--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -1,4 +1,7 @@
-"""The replicated log of one instance: joins consensus, disk and streams."""
+"""The replicated log of one instance, on its consensus core, disk and streams.
+
+Implements `ports.log.ReplicatedLog`.
+"""
 
 from collections.abc import Callable
 import itertools
@@ -27,20 +30,26 @@
 Member = types.Member
 Options = replication_driver.Options
 
-_HAND_OVER_STEP = 0.02
-_RECOVERY_STEP = 0.002
-# An instance that was not heard for so many greeting periods is away.
-_RESIDENT_PERIODS = 5
+_TRANSFER_POLL_SECONDS = 0.02
+_RECOVERY_POLL_SECONDS = 0.002
+# An instance counts as live for this many hello periods after it was last
+# heard.
+_LIVE_PERIODS = 5
 
 
 class GroupLog:
-    """See `ports.log.ReplicatedLog`.
+    """All groups of one instance; see `ports.log.ReplicatedLog`.
 
     Attributes:
-        node: This life of the instance; its epoch grows with each start.
-        on_lead: Called once a term, when this replica leads a group.
-        led: Last term in which it did, by group.
+        node: The instance's incarnation; its epoch grows with each start.
+        members: The instances that found the groups.
+        group_names: Names of all groups.
+        own: This instance as a member; None if it is one of `members`.
+        on_lead: By group, called once for each term in which this replica
+            leads it.
+        led_terms: By group, the last term for which `on_lead` was called.
         driver: Set by `start`.
+        read_tokens: Tokens that match linearizable reads to their answers.
     """
 
     def __init__(
@@ -63,7 +72,7 @@
         self.address = address
         self.members = members
         self.wal = wal
-        self.names = groups
+        self.group_names = groups
         self.streams = streams
         self.timers = timers
         self.options = options or replication_driver.Options()
@@ -71,11 +80,11 @@
         self.own = own
         self.machines: dict[str, log.StateMachine] = {}
         self.on_lead: dict[str, Callable[[], None]] = {}
-        self.led: dict[str, int] = {}
+        self.led_terms: dict[str, int] = {}
         self.driver: replication_driver.Driver | None = None
         self.links: replication_links.Links | None = None
         self.ticker: timer_ports.Subscription | None = None
-        self.tokens = itertools.count(1)
+        self.read_tokens = itertools.count(1)
 
     def attach(
         self,
@@ -91,7 +100,8 @@
     def start(self) -> None:
         """Recovers from disk, then takes part in elections.
 
-        The only member of its groups has applied its whole log on return.
+        An instance that is the only member of its groups has applied its
+        whole log on return.
 
         Raises:
             errors.StorageDamaged: The disk must be replaced.
@@ -105,7 +115,7 @@
             self.address,
             self.members,
             self.wal,
-            {group: self.machines[group] for group in self.names},
+            {group: self.machines[group] for group in self.group_names},
             links=self.links,
             timers=self.timers,
             options=self.options,
@@ -117,7 +127,7 @@
         for _ in range(3):
             self.driver.tick()
             while self.driver.persisting:
-                self.timers.sleep(_RECOVERY_STEP)
+                self.timers.sleep(_RECOVERY_POLL_SECONDS)
         period = self.options.core.heartbeat
         self.ticker = self.timers.every(period, self.driver.tick)
 
@@ -129,7 +139,10 @@
         """Commits a command and returns what `apply` returned for it."""
         driver = self._running(group)
         if len(command) > replication_driver.MAX_COMMAND_BYTES:
-            raise errors.TooLarge(f"A command of {len(command)} bytes.")
+            raise errors.TooLarge(
+                f"A command has {len(command)} bytes; at most "
+                f"{replication_driver.MAX_COMMAND_BYTES} are accepted."
+            )
         ticket = driver.core.replicas[group].propose(command, self.timers.now())
         if ticket is None:
             raise errors.NotLeader(self._other_leader(group))
@@ -140,10 +153,13 @@
         driver.wake()
         outcome = done.wait(timeout)
         if outcome is None:
-            # Led again since, another proposer may wait at this index.
+            # If this replica has lost the lead and won it again meanwhile,
+            # another proposer may wait at this index.
             if driver.waiters[group].get(index) is waiter:
                 del driver.waiters[group][index]
-            raise errors.ProposalLost(f"No commit within {timeout} s.")
+            raise errors.ProposalLost(
+                f"The proposal was not committed within {timeout} s."
+            )
         if isinstance(outcome[0], errors.MintcleatError):
             raise outcome[0]
         return outcome[0]
@@ -154,7 +170,7 @@
         replica = driver.core.replicas[group]
         if self.leads(group) and replica.state.applied >= replica.state.commit:
             return
-        token = next(self.tokens)
+        token = next(self.read_tokens)
         done = event.Event()
         driver.readers[token] = done
         replica.read(token, self.timers.now())
@@ -167,9 +183,10 @@
             raise errors.NotLeader("")
 
     def leader(self, group: str) -> str:
-        """Returns the leader's stream address, or an empty text.
+        """Returns the leader's stream address, or an empty string.
 
-        An instance outside of the group names one that should be inside.
+        An instance that holds no replica of the group returns the address of
+        one that should hold one.
         """
         if self.driver is None or self.driver.failed:
             return ""
@@ -184,7 +201,7 @@
             return core.roster.address(leader.instance)
         if replica.state.configuration.voters:
             return ""
-        return self._insider(group)
+        return self._expected_voter(group)
 
     def leads(self, group: str) -> bool:
         """Returns whether this replica leads with a valid lease."""
@@ -193,27 +210,31 @@
         replica = self.driver.core.replicas.get(group)
         if replica is None or not replica.holds_lease(self.timers.now()):
             return False
-        # The lease counts from the message that commits the leader's first
-        # entry; the machine has what earlier leaders committed a turn of the
-        # loop later. Answered in between, a read misses acknowledged changes.
+        # The lease starts with the message that commits the leader's first
+        # entry, but the machine applies what earlier leaders committed only
+        # in the event loop's next turn. A read answered in between would miss
+        # acknowledged changes.
         return replica.state.applied >= replica.state.term_start
 
     def _notify_leading(self) -> None:
-        """Calls back for the groups that this replica leads since now.
+        """Calls `on_lead` for the groups that this replica begins to lead.
 
-        Found by the next look of a timer, a new leader would be a tenth of a
-        second late, and everybody waits for it.
+        It is called after each round of work. Polled by a timer, a new leader
+        would start up to 0.1 s later, and all clients wait for it.
         """
         for group, callback in self.on_lead.items():
             state = self.driver.core.replicas[group].state
-            if state.role != types.LEADER or self.led.get(group) == state.term:
+            if (
+                state.role != types.LEADER
+                or self.led_terms.get(group) == state.term
+            ):
                 continue
             if self.leads(group):
-                self.led[group] = state.term
+                self.led_terms[group] = state.term
                 callback()
 
     def position(self, group: str) -> log.Position:
-        """Returns where this replica stands, for the operators' log."""
+        """Returns the replica's position in the log, for operators."""
         if self.driver is None:
             return log.Position(0, 0, 0, 0.0)
         state = self.driver.core.replicas[group].state
@@ -221,7 +242,10 @@
         return log.Position(state.term, state.commit, state.applied, left)
 
     def holders(self, group: str, index: int) -> list[str]:
-        """Returns the voters known to hold an entry on disk."""
+        """Returns the voters known to hold an entry on disk.
+
+        Only the leader knows about others; names are `instance@epoch`.
+        """
         if self.driver is None:
             return []
         state = self.driver.core.replicas[group].state
@@ -233,10 +257,10 @@
 
     def groups(self) -> list[str]:
         """Returns the names of all groups."""
-        return list(self.names)
+        return list(self.group_names)
 
     def addresses(self) -> list[str]:
-        """Returns the stream addresses of the instances heard lately."""
+        """Returns the stream addresses of the live instances, sorted."""
         if self.driver is None:
             return []
         roster = self.driver.core.roster
@@ -247,24 +271,28 @@
         return sorted(found)
 
     def live_instances(self) -> dict[str, str]:
-        """Returns the names of the instances heard lately, with labels."""
+        """Returns the labels of the live instances by name, with its own."""
         if self.driver is None:
             return {}
         roster = self.driver.core.roster
         period = self.options.core.hello
-        oldest = self.timers.now() - _RESIDENT_PERIODS * period
+        oldest = self.timers.now() - _LIVE_PERIODS * period
         found = {roster.own.instance: roster.own.label}
         for member in roster.seen_since(oldest):
             found[member.instance] = member.label
         return found
 
     def evacuate(self, instances: frozenset[str]) -> None:
-        """Keeps groups off these instances and moves those there away."""
+        """Moves replicas off these instances and places no others there."""
         if self.driver is not None:
             self.driver.core.roster.retired = instances
 
     def transfer_leadership(self, timeout: float) -> None:
-        """Transfers every leadership before a planned stop."""
+        """Transfers every leadership before a planned stop.
+
+        Args:
+            timeout: Seconds after which it gives up.
+        """
         if self.driver is None or self.driver.failed:
             return
         end = self.timers.now() + timeout
@@ -280,50 +308,53 @@
             for replica in leading:
                 self._transfer(replica)
             self.driver.wake()
-            self.timers.sleep(_HAND_OVER_STEP)
+            self.timers.sleep(_TRANSFER_POLL_SECONDS)
 
     def replace(self, group: str, old: str, new: str) -> list[str]:
-        """Starts replacing a voter; returns the groups where it began.
+        """Starts replacing a voter; returns the groups where it started.
 
         Args:
             group: A group that this instance leads, or empty for all.
-            old: Instance whose replica goes.
-            new: Instance whose replica comes; it may be the same instance
-                after its disk was emptied.
+            old: Instance whose replica is removed.
+            new: Instance that gets the new replica; it may be the same
+                instance after its disk was emptied.
 
         Raises:
             errors.NotLeader: This instance does not lead the group.
-            errors.BadRequest: `new` was not heard, or `old` is no voter.
+            errors.BadRequest: `new` was never heard, or the change is not
+                possible in `group`.
         """
-        driver = self._running(group or self.names[0])
-        resident = driver.core.roster.observed.get(new)
-        if resident is None:
-            raise errors.BadRequest(f"Instance {new} was not heard yet.")
-        begun = [
+        driver = self._running(group or self.group_names[0])
+        observed = driver.core.roster.observed.get(new)
+        if observed is None:
+            raise errors.BadRequest(
+                f"Instance {new} has not contacted this instance yet."
+            )
+        started = [
             name
-            for name in ([group] if group else self.names)
-            if self._replace(driver.core.replicas[name], old, resident.peer)
+            for name in ([group] if group else self.group_names)
+            if self._replace(driver.core.replicas[name], old, observed.peer)
         ]
-        if group and not begun:
+        if group and not started:
             raise errors.BadRequest(
-                f"{old} is no voter of {group}, {new} already is one, or "
-                "another change is under way.",
+                f"{old} is not a voter of {group}, {new} already is one, or "
+                "another change is in progress.",
                 remedy="See `mintcleat control status`, then try again.",
             )
         driver.wake()
-        return begun
+        return started
 
     def snapshot(self) -> list[str]:
-        """Snapshots every group here; returns their names."""
-        driver = self._running(self.names[0])
-        return [name for name in self.names if driver.snapshot(name)]
+        """Starts snapshots of all groups; returns those that were started."""
+        driver = self._running(self.group_names[0])
+        return [name for name in self.group_names if driver.snapshot(name)]
 
     def resource_usage(self) -> dict[str, int]:
-        """Returns what this instance holds for its groups; see `usage`."""
+        """Returns the resources that the groups use here; see `usage`."""
         return usage.measure(self.driver) if self.driver else {}
 
     def status(self) -> list[replication_status.GroupStatus]:
-        """Returns the state of every group."""
+        """Returns the state of every group as this instance sees it."""
         if self.driver is None:
             return []
         return [
@@ -333,17 +364,17 @@
                 self.leader(group),
                 self.timers.now(),
             )
-            for group in self.names
+            for group in self.group_names
         ]
 
     def stop(self) -> None:
-        """Syncs and closes."""
+        """Stops replication, and syncs and closes the write-ahead log."""
         if self.ticker is not None:
             self.ticker.cancel()
         if self.links is not None:
             self.links.stop()
         if self.driver is not None and self.driver.failed is None:
-            self.driver.stop(errors.Draining("The instance stops."))
+            self.driver.stop(errors.Draining("The instance is stopping."))
         self.worker.run(self.wal.close)
         self.worker.close()
 
@@ -363,7 +394,8 @@
         address = self.leader(group)
         return "" if address == self.address else address
 
-    def _insider(self, group: str) -> str:
+    def _expected_voter(self, group: str) -> str:
+        """Returns the address of another instance that should be a voter."""
         size = self.options.core.group_size
         for member in placement.voters(group, self.members, size):
             if member.instance != self.node.instance:
--- a/src/mintcleat/roles/control/replication/snapshots.py
+++ b/src/mintcleat/roles/control/replication/snapshots.py
@@ -1,4 +1,4 @@
-"""When a group is snapshotted, and how its file is written and removed."""
+"""Takes snapshots of groups, and writes, shares and removes their files."""
 
 from collections.abc import Callable
 from contextlib import AbstractContextManager
@@ -14,20 +14,22 @@
 from mintcleat.ports import timers as timer_ports
 from mintcleat.ports import wal as wal_ports
 
-# A snapshot writes at most this many times what was applied since the last;
-# else a large group with small commands would write its state all the time.
-_SMALL_ENTRIES = 4
+# A snapshot that is due by the number of entries waits until it is at most this
+# many times as large as the entries applied since the last one. Without this
+# bound, a large group with small commands would write its state all the time.
+_MAX_WRITE_AMPLIFICATION = 4
 
 
 class Limits(NamedTuple):
     """When a group is snapshotted.
 
     Attributes:
-        entries: Entries after which it is, unless they are small against
-            its last snapshot.
-        bytes: The same in bytes, or the size of the last snapshot when that
-            is more, so that snapshots cost a bounded share.
-        kept: Entries kept behind a snapshot for slow followers.
+        entries: Number of applied entries after which a snapshot is due,
+            unless they are small compared with the last snapshot.
+        bytes: Size of the applied entries after which a snapshot is due. The
+            size of the last snapshot counts instead if it is larger, so that
+            snapshots write at most as much as the entries do.
+        kept: Entries kept in the log behind a snapshot, for slow followers.
     """
 
     entries: int = 10_000
@@ -36,9 +38,11 @@
 
 
 class Growth:
-    """What a group has applied since its last snapshot.
+    """The growth of a group since its last snapshot.
 
     Attributes:
+        bytes: Size of the entries applied since the last snapshot.
+        snapshot_size: Size of the last snapshot in bytes.
         saving: Whether a snapshot is being written.
     """
 
@@ -49,7 +53,11 @@
 
 
 class SharedState:
-    """A state in memory while followers are sent it."""
+    """A snapshot's state in memory while it is sent to followers.
+
+    Attributes:
+        users: Number of transfers that use it.
+    """
 
     def __init__(self, state: bytes) -> None:
         self.state = state
@@ -61,9 +69,10 @@
 
     Attributes:
         stop_on_failure: Context that stops the replica when its body fails.
-        on_saved: Called after a snapshot is taken into the log.
-        in_use: States that are being sent, and to how many followers.
-        reading: Held while a state is read to be lent.
+        on_saved: Called when the writing of a snapshot has ended.
+        growth: Growth since the last snapshot, by group.
+        in_use: States that are being sent, by group and index.
+        read_lock: Held while a state is read from the disk.
     """
 
     def __init__(
@@ -84,29 +93,30 @@
         self.on_saved = on_saved
         self.growth: dict[str, Growth] = {}
         self.in_use: dict[tuple[str, int], SharedState] = {}
-        self.reading = semaphore.Semaphore(1)
+        self.read_lock = semaphore.Semaphore(1)
 
     def acquire(self, group: str, index: int) -> bytes:
-        """Returns a stored state; all that borrow it share one copy.
+        """Returns a stored state; concurrent users share one copy.
 
-        After a loss of power that took disks, a leader sends its state to
-        several followers at once, in the second in which it holds most.
+        `release` must follow. The copy is shared because after a power loss
+        that destroyed disks, a leader sends its state to several followers at
+        once, while its memory use is at its highest.
         """
-        # One at a time: read for two followers at once, it would stand in
-        # memory twice until one of the copies is dropped.
-        with self.reading:
+        # Reads are serialized: two concurrent reads would hold the state in
+        # memory twice until one copy is dropped.
+        with self.read_lock:
             if (group, index) not in self.in_use:
                 state = self.worker.run(self.wal.load_snapshot, group, index)
                 self.in_use[group, index] = SharedState(state)
-        lent = self.in_use[group, index]
-        lent.users += 1
-        return lent.state
+        shared = self.in_use[group, index]
+        shared.users += 1
+        return shared.state
 
     def release(self, group: str, index: int) -> None:
         """Drops the copy after its last user."""
-        lent = self.in_use[group, index]
-        lent.users -= 1
-        if not lent.users:
+        shared = self.in_use[group, index]
+        shared.users -= 1
+        if not shared.users:
             del self.in_use[group, index]
 
     def on_applied(
@@ -125,49 +135,54 @@
     def take(
         self, group: str, replica: replicas.Replica, machine: log.StateMachine
     ) -> bool:
-        """Starts a snapshot; False while one is being written."""
+        """Starts a snapshot; returns False if one is being written."""
         growth = self.growth.setdefault(group, Growth())
         if growth.saving:
             return False
-        mark = replica.snapshot_metadata()
+        metadata = replica.snapshot_metadata()
         state = machine.snapshot()
         growth.saving = True
         growth.bytes = 0
         growth.snapshot_size = len(state)
-        self.timers.spawn(self._save, replica, mark, state)
+        self.timers.spawn(self._save, replica, metadata, state)
         return True
 
-    def drop_below(self, marks: dict[str, int]) -> None:
-        """Removes snapshots whose successor is on record in the synced log.
+    def drop_below(self, indexes: dict[str, int]) -> None:
+        """Removes snapshots whose successor is recorded in the synced log.
 
-        The file of a successor is no reason yet: until its record is synced a
-        start reads the older one, and without that file the instance could
-        not start at all.
+        The successor's file alone is not enough. Until its record is synced,
+        a restart reads the older snapshot, and without that file the instance
+        could not start.
 
         Args:
-            marks: By group, the newest snapshot that a synced record names.
+            indexes: By group, the index of the newest snapshot that a synced
+                record names.
         """
-        for group, index in marks.items():
+        for group, index in indexes.items():
             self.wal.drop_snapshots(group, index)
 
     def _due(self, replica: replicas.Replica, growth: Growth) -> bool:
         entries = replica.state.applied - replica.state.snapshot.index
         if growth.bytes >= max(self.limits.bytes, growth.snapshot_size):
             return True
-        weight = growth.bytes * _SMALL_ENTRIES
-        return entries >= self.limits.entries and weight >= growth.snapshot_size
+        affordable = growth.bytes * _MAX_WRITE_AMPLIFICATION
+        return (
+            entries >= self.limits.entries
+            and affordable >= growth.snapshot_size
+        )
 
     def _save(
         self,
         replica: replicas.Replica,
-        mark: types.SnapshotMetadata,
+        metadata: types.SnapshotMetadata,
         state: bytes,
     ) -> None:
-        """Writes the file beside the loop, so that heartbeats go out.
+        """Writes the file outside the event loop, so that heartbeats go out.
 
-        Written on the loop, a large state would hold it for longer than the
-        election timeout, and a healthy leader would be replaced. A full disk
-        takes no snapshot; the next is due after as much again.
+        Written in the event loop, a large state would block it for longer
+        than the election timeout, and a healthy leader would be replaced. On
+        a full disk the snapshot is skipped; the next one is due after as much
+        growth again.
         """
         group = replica.state.group
         with self.stop_on_failure():
@@ -175,20 +190,22 @@
                 self.worker.run(
                     self.wal.save_snapshot,
                     group,
-                    mark.index,
+                    metadata.index,
                     state,
                     self.worker.pause,
                 )
             except errors.StorageFull as error:
-                logger.warning("No snapshot of {}: {}", group, error.detail)
+                logger.warning(
+                    "Skipped the snapshot of {}: {}", group, error.detail
+                )
             else:
-                self._saved(replica, mark)
+                self._compact(replica, metadata)
         self.growth[group].saving = False
         self.on_saved()
 
-    def _saved(
-        self, replica: replicas.Replica, mark: types.SnapshotMetadata
+    def _compact(
+        self, replica: replicas.Replica, metadata: types.SnapshotMetadata
     ) -> None:
-        # A snapshot of the leader may have been installed meanwhile.
-        if mark.index > replica.state.snapshot.index:
-            replica.compact(mark, self.limits.kept)
+        # A newer snapshot from the leader may have been installed meanwhile.
+        if metadata.index > replica.state.snapshot.index:
+            replica.compact(metadata, self.limits.kept)
