--- a/src/mintcleat/roles/control/actions.py
+++ b/src/mintcleat/roles/control/actions.py
@@ -1,7 +1,7 @@
-"""What operators do with the control instances and their groups.
+"""Operators' actions on the control instances and their groups.
 
-The groups are led by different instances, so an action is passed to all and
-each acts on the groups that it leads.
+The groups are led by different instances, so an action is sent to all control
+instances, and each acts on the groups that it leads.
 """
 
 import json
@@ -18,43 +18,48 @@
 
 
 class ControlActions:
-    """Serves and passes on actions; see `adapters.admin_http`."""
+    """Sends actions to all instances and serves them; see `admin_http`.
+
+    Attributes:
+        configured: Addresses of the control instances in the settings.
+    """
 
     def __init__(
         self,
         instance: str,
         log: replication.GroupLog,
         streams: streams_port.Streams,
-        settled: list[str],
+        configured: list[str],
     ) -> None:
         """Starts serving actions.
 
         Args:
             instance: This instance's name.
-            log: Its replicas.
-            streams: The way to the others.
-            settled: Addresses of the control instances in the settings.
+            log: The replicated log of this instance.
+            streams: Connects this instance to the others.
+            configured: Addresses of the control instances in the settings.
         """
         self.instance = instance
         self.log = log
         self.streams = streams
-        self.settled = settled
+        self.configured = configured
         streams.handle(operator_messages.ControlAction, self._serve_action)
         streams.handle(operator_messages.ShowGroups, self._serve_groups)
 
     def addresses(self) -> list[str]:
-        """Returns every control instance: those in the settings, and others.
+        """Returns the addresses of all control instances, without duplicates.
 
-        An instance that replaced one is in no settings file yet, and it may
-        be the leader that an action has to reach.
+        The live instances are included because one that replaced another may
+        be missing from the settings, and it can be the leader that an action
+        has to reach.
         """
-        return list(dict.fromkeys([*self.settled, *self.log.addresses()]))
+        return list(dict.fromkeys([*self.configured, *self.log.addresses()]))
 
     def status(self) -> list[dict[str, Any]]:
-        """Returns one row for each group, as its leader tells it.
+        """Returns one row for each group, as its leader reports it.
 
-        A group without a leader that answers is told as any instance sees
-        it, so that a lost quorum shows.
+        If no leader answers, the row of another instance is returned, so that
+        operators see a group that has lost its quorum.
         """
         rows: dict[str, dict[str, Any]] = {}
         for address in self.addresses():
@@ -70,26 +75,34 @@
     ) -> str:
         """Starts replacing a control instance in every group that has it.
 
+        Args:
+            old: Name of the instance to remove.
+            new: Name of the instance that replaces it.
+            address: Not used; the new instance announces its own address.
+            failure_domain: Not used, for the same reason.
+
         Raises:
-            errors.BadRequest: No group could begin.
+            errors.BadRequest: The replacement started in no group.
         """
         action = operator_messages.ControlAction("replace", old, new)
-        told = [self._pass_on(at, action) for at in self.addresses()]
-        begun = [detail for detail in told if detail.startswith("began")]
-        if not begun:
+        answers = [self._ask(at, action) for at in self.addresses()]
+        started = [detail for detail in answers if detail.startswith("began")]
+        if not started:
             raise errors.BadRequest(
-                "No group began: " + "; ".join(told) + ".",
+                "The replacement started in no group: "
+                + "; ".join(answers)
+                + ".",
                 remedy="Start the new instance first, then see "
                 "`mintcleat control status`.",
             )
-        return "; ".join(begun)
+        return "; ".join(started)
 
     def snapshot(self) -> str:
-        """Takes snapshots of all groups on every control instance."""
+        """Starts snapshots of all groups on every control instance."""
         action = operator_messages.ControlAction("snapshot")
-        return "; ".join(self._pass_on(at, action) for at in self.addresses())
+        return "; ".join(self._ask(at, action) for at in self.addresses())
 
-    def _pass_on(
+    def _ask(
         self, address: str, action: operator_messages.ControlAction
     ) -> str:
         try:
@@ -119,7 +132,10 @@
                 groups = self.log.snapshot()
                 detail = f"{self.instance} took {len(groups)} snapshots"
             case _:
-                raise errors.BadRequest(f"No control action {action.action}.")
+                raise errors.BadRequest(
+                    f"Unknown control action {action.action}; expected "
+                    "'replace' or 'snapshot'."
+                )
         exchange.send(identities.Done(detail))
 
     def _serve_groups(
@@ -132,7 +148,7 @@
 
 
 def _row(status: replication_status.GroupStatus) -> dict[str, Any]:
-    """Returns a group's state as operators see it; times in seconds."""
+    """Returns a group's status as a JSON object; times are in seconds."""
     return {
         "group": status.group,
         "role": status.role,
--- a/src/mintcleat/roles/control/programs/service.py
+++ b/src/mintcleat/roles/control/programs/service.py
@@ -21,8 +21,8 @@
 from mintcleat.programs import placement
 from mintcleat.programs import retention
 
-# Shorter than the client's wait for one try, so that it hears of a stuck
-# group from here and does not have to guess.
+# Shorter than the client's timeout for one attempt, so that the client gets an
+# error from here if a group makes no progress, instead of a timeout.
 PROPOSE_SECONDS = 1.5
 TICK_SECONDS = 5.0
 
@@ -36,10 +36,10 @@
 
 
 class GroupClock:
-    """A group's clock as its leader goes on with it.
+    """The clock of a group, as its leader continues it.
 
-    It counts seconds on this process's monotonic clock from the last value
-    in the log, so that no wall clock can make records expire early.
+    It advances with this process's monotonic clock from the last value in the
+    log, so that no step of a wall clock can make records expire early.
     """
 
     def __init__(
@@ -63,13 +63,15 @@
 class ProgramService:
     """Commits and reads program records for entries and sidecars.
 
-    A leader answers; any other replica names the leader it knows.
+    The leader of a group answers. Any other replica refuses with
+    `errors.NotLeader`, which names the leader if it is known.
 
     Attributes:
         groups: Names of all program groups of the deployment, in number
             order; the group of a program depends on how many there are.
         machines: The state machine of each group on this instance.
-        policies: Returns the policies in force, for the retention.
+        clocks: The clock of each group.
+        policies: Returns the policies in force.
         entry_loads: Running requests by upstream, as reported by the entries.
     """
 
@@ -86,9 +88,9 @@
         """Attaches a machine per group and registers the stream handlers.
 
         Args:
-            replicated_log: Not started yet.
-            stream_service: Where requests come in.
-            timer_service: Clocks and the retention tick.
+            replicated_log: The log of this instance, not started yet.
+            stream_service: Delivers the requests.
+            timer_service: Clocks, and the timer of the retention.
             groups: Names of all program groups.
             policies: Returns the policies in force.
             histories: Makes the `ports.histories.HistoryStore` of a group;
@@ -102,26 +104,28 @@
             group: machine.ProgramMachine(histories(group)) for group in groups
         }
         self.clocks = {
-            group: GroupClock(held, timer_service)
-            for group, held in self.machines.items()
+            group: GroupClock(group_machine, timer_service)
+            for group, group_machine in self.machines.items()
         }
         self.entry_loads = shared_load.EntryLoads()
-        for group, held in self.machines.items():
-            replicated_log.attach(group, held)
+        for group, group_machine in self.machines.items():
+            replicated_log.attach(group, group_machine)
         for kind in (*commands.MUTATIONS, *READS):
             stream_service.handle(kind, self._serve_one)
         stream_service.handle(identities.Batch, self._serve_batch)
         timer_service.every(TICK_SECONDS, self.tick)
 
     def tick(self) -> None:
-        """Lets old records leave from the groups that this replica leads."""
+        """Removes expired records of the groups that this replica leads."""
         policies = self.policies()
         request = commands.Tick(
             policies.program_idle, policies.record_retention
         )
-        for group, held in self.machines.items():
+        for group, group_machine in self.machines.items():
             clock = self.clocks[group].read()
-            if self.log.leads(group) and retention.is_due(held, clock, request):
+            if self.log.leads(group) and retention.is_due(
+                group_machine, clock, request
+            ):
                 self._commit(group, [request])
 
     def answer(self, requests: list[Any]) -> list[Any]:
@@ -133,10 +137,10 @@
         for place, request in enumerate(requests):
             if getattr(request, "running", None) is not None:
                 entries[place] = request.running.entry
-                requests[place] = self._take_report(request)
-            requests[place] = self._with_limit(requests[place])
+                requests[place] = self._record_running_calls(request)
+            requests[place] = self._with_current_limit(requests[place])
             try:
-                group = self._admit(requests[place])
+                group = self._checked_group(requests[place])
             except errors.MintcleatError as error:
                 replies[place] = error
             else:
@@ -154,23 +158,27 @@
                 replies[place] = reply._replace(others=others)
         return replies
 
-    def _with_limit(self, request: Any) -> Any:
-        """Returns a request; one that counts, with the limit in force here.
+    def _with_current_limit(self, request: Any) -> Any:
+        """Returns a request with the customer's rate limit in force here.
 
-        The sender's configuration may be older. What it names itself holds
-        until this instance knows the customer.
+        The limit in the request comes from the sender's configuration, which
+        may be older. It is kept while this instance doesn't know the
+        customer. Requests that count no calls are returned unchanged.
         """
         counting = (program_messages.OpenTurn, program_messages.CountCall)
         if not isinstance(request, counting) or request.limit is None:
             return request
         policies = self.policies()
-        held = policies.customers.get(request.customer)
-        if held is None:
+        customer = policies.customers.get(request.customer)
+        if customer is None:
             return request
-        return request._replace(limit=limits.limit_of(held, policies))
+        return request._replace(limit=limits.limit_of(customer, policies))
 
-    def _take_report(self, request: Any) -> Any:
-        """Takes what an entry has running, and returns the request without."""
+    def _record_running_calls(self, request: Any) -> Any:
+        """Records an entry's running calls; returns the request without them.
+
+        They are soft state in memory and are not committed.
+        """
         report = request.running
         self.entry_loads.report(
             report.entry, report.by_upstream, self.timers.now()
@@ -190,11 +198,15 @@
         replies = [_encode(reply) for reply in self.answer(requests)]
         exchange.send(identities.Batch(replies))
 
-    def _admit(self, request: Any) -> str:
-        """Returns the group of a request that may be proposed or read."""
+    def _checked_group(self, request: Any) -> str:
+        """Checks a request and returns its group.
+
+        Raises:
+            errors.MintcleatError: The request is invalid.
+        """
         if not isinstance(request, (*commands.MUTATIONS, *READS)):
             raise errors.BadRequest(
-                f"{type(request).__name__} is no program request."
+                f"{type(request).__name__} is not a program request."
             )
         checks.check(request)
         if isinstance(request, program_messages.ListPrograms):
@@ -203,7 +215,10 @@
             scope = placement.scope_of(request)
             group = placement.group_of(scope, len(self.groups))
         if group not in self.machines:
-            raise errors.BadRequest(f"There is no group {group!r}.")
+            raise errors.BadRequest(
+                f"There is no program group {group!r}; see `program_groups` "
+                "in the settings."
+            )
         return group
 
     def _answer_group(
@@ -213,7 +228,7 @@
         requests: list[Any],
         replies: list[Any],
     ) -> None:
-        """Fills in the replies of one group: one commit, then its reads."""
+        """Fills in the replies of one group: one commit, then the reads."""
         reads = [p for p in places if isinstance(requests[p], READS)]
         writes = [p for p in places if p not in reads]
         if writes:
--- a/src/mintcleat/roles/control/replication/evacuation.py
+++ b/src/mintcleat/roles/control/replication/evacuation.py
@@ -1,8 +1,9 @@
-"""Taking a control instance out of service without losing a replica.
+"""Evacuation of a control instance: moves all replicas off it.
 
-The moving itself is the groups' own repair: each leader replaces a voter on
-an emptied instance by one elsewhere, add first, remove after. Here is who may
-be emptied, and how far it is.
+The replicas are moved by the groups' repair: each leader replaces a voter on
+an evacuated instance by one elsewhere, and adds the new voter before it
+removes the old one. This module checks whether an instance may be evacuated,
+and whether its evacuation is complete.
 """
 
 import json
@@ -13,15 +14,15 @@
 from mintcleat.ports import log as log_ports
 from mintcleat.ports import streams as stream_ports
 
-# Groups need this many instances to bear one loss.
+# Number of instances that groups need to tolerate the loss of one.
 MIN_INSTANCES = 3
-# An instance that leads a group answers within a few milliseconds; one that
-# is cut off must not use up the operator's patience of a second.
+# An instance that leads a group answers within a few milliseconds. One that is
+# cut off must not use up the operator's timeout of one second.
 _ASK_SECONDS = 0.3
 
 
 class Evacuation:
-    """Answers operators who empty a control instance."""
+    """Answers operators who evacuate a control instance."""
 
     def __init__(
         self, log: log_ports.ReplicatedLog, streams: stream_ports.Streams
@@ -30,10 +31,10 @@
         self.streams = streams
 
     def find(self, label: str) -> str:
-        """Returns the instance of a name or label.
+        """Returns the name of the live instance with a name or label.
 
         Raises:
-            errors.UnknownInstance: None was heard lately.
+            errors.UnknownInstance: No live instance has it.
         """
         for name, known_as in self.log.live_instances().items():
             if label in (name, known_as):
@@ -41,10 +42,15 @@
         raise errors.UnknownInstance(f"No control instance {label}.")
 
     def check(self, instance: str, emptied: frozenset[str]) -> None:
-        """Refuses when the instances that would be left are too few.
+        """Refuses an evacuation that would leave too few instances.
+
+        Args:
+            instance: The instance to evacuate.
+            emptied: Instances that are evacuated already.
 
         Raises:
-            errors.TooFewInstances: They could not bear another loss.
+            errors.TooFewInstances: The remaining instances could not tolerate
+                the loss of one more.
         """
         left = set(self.log.live_instances()) - emptied - {instance}
         if len(left) < MIN_INSTANCES:
@@ -54,10 +60,10 @@
             )
 
     def done(self, instance: str, emptied: frozenset[str]) -> bool:
-        """Returns whether no group has a replica on an emptied instance.
+        """Returns whether an evacuated instance has no replica any more.
 
-        Each group's own leader is asked: a replica elsewhere may not have
-        heard yet that a group moved, or moved back.
+        The leader of each group is asked, because another replica may not
+        know yet that the group has moved, or moved back.
         """
         if instance not in emptied:
             return False
--- a/src/mintcleat/roles/control/replication/links.py
+++ b/src/mintcleat/roles/control/replication/links.py
@@ -1,7 +1,7 @@
-"""Frames between instances: one long-lived exchange per peer.
+"""Sends frames between instances over one long-lived exchange per peer.
 
-Frames are lost with their connection; the consensus core sends again what
-matters. So a link never keeps its caller waiting and holds only so much.
+Frames are lost when their connection fails. The consensus core sends them
+again if needed, so a link never blocks its caller and its queue is bounded.
 """
 
 from collections.abc import Callable
@@ -17,37 +17,44 @@
 from mintcleat.ports import streams as stream_ports
 from mintcleat.ports import timers as timer_ports
 
-# A frame travels in parts, so that a heartbeat waits behind little.
+# Frames are sent in parts of this size, so that a heartbeat never waits behind
+# a long frame.
 PART_BYTES = 1024 * 1024
-# A silent peer's queue is bounded: what does not fit is sent again later.
-_MAX_QUEUED = 256
+# Length of a peer's queue. Frames that don't fit are dropped; the consensus
+# core sends them again.
+_MAX_QUEUED_FRAMES = 256
+# The pause before a reconnect grows by this with each failure in a row.
 _REDIAL_SECONDS = 0.2
-_LONGEST_REDIAL_SECONDS = 0.5
-# A peer that is heard and can't be dialled is not dialled more often.
-_SHORTEST_REDIAL_SECONDS = 0.02
+_MAX_REDIAL_SECONDS = 0.5
+# Shortest pause, for a peer that sends frames but refuses connections.
+_MIN_REDIAL_SECONDS = 0.02
 
 
 class Link:
-    """The frames on their way to one address.
+    """The queue and the connection to one address.
 
     Attributes:
-        exchange: Set while no frame is being written by the link's thread.
-        called: Holds an item once the peer was heard since the last dial.
+        peer_seen: Holds an item if the peer has sent a frame since the last
+            attempt to connect to it.
+        failures: Failed connections in a row.
+        exchange: The open exchange while the link's thread is idle; None
+            while it is writing or there is no connection.
     """
 
     def __init__(self) -> None:
-        self.called: queue.LightQueue = queue.LightQueue(1)
-        self.queue: queue.LightQueue = queue.LightQueue(_MAX_QUEUED)
+        self.peer_seen: queue.LightQueue = queue.LightQueue(1)
+        self.queue: queue.LightQueue = queue.LightQueue(_MAX_QUEUED_FRAMES)
         self.failures = 0
         self.sent_bytes = 0
         self.exchange: stream_ports.Exchange | None = None
 
     def send_now(self, payload: bytes) -> bool:
-        """Sends a frame before returning, if the link is idle and takes it.
+        """Sends a frame at once if the link is idle; returns whether it did.
 
-        The writer's thread runs only once this one waits. A leader that
-        queues its entries and then syncs its disk would keep them from its
-        followers until after the sync; they sync at the same time instead.
+        The link's thread runs only when the calling thread blocks. If a
+        leader queued its entries and then synced its disk, its followers
+        would get them only after the sync. Sent at once, leader and followers
+        sync in parallel.
         """
         if self.exchange is None or not self.queue.empty():
             return False
@@ -61,11 +68,12 @@
 
 
 class Links:
-    """Sends frames to peers and delivers theirs.
+    """Sends frames to peers and delivers the frames received from them.
 
     Attributes:
-        deliver: Called with each whole frame that comes.
-        bulk_bytes: Bytes of the large frames on their way.
+        deliver: Called with each complete frame received.
+        links: By address.
+        bulk_bytes: Size of the large frames that are being sent.
     """
 
     def __init__(
@@ -83,7 +91,7 @@
         streams.handle(replication_messages.ReplicationFrame, self._serve)
 
     def send(self, address: str, payload: bytes) -> None:
-        """Queues a frame; drops it when the peer takes none."""
+        """Sends or queues a frame; drops it if the queue is full."""
         link = self.links.get(address)
         if link is None:
             link = self.links[address] = Link()
@@ -99,12 +107,13 @@
         pieces: Sequence[bytes],
         ended: Callable[[bool], None],
     ) -> None:
-        """Sends a large frame on an exchange of its own.
+        """Sends a large frame on a separate exchange.
 
         Args:
-            address: Where to; empty when it is not known.
-            pieces: The frame; it is not joined here.
-            ended: Called once, with whether all of it was sent.
+            address: The peer's address; empty if it is not known.
+            pieces: The frame in pieces, which are not joined here in order to
+                save memory.
+            ended: Called once, with whether all of the frame was sent.
         """
         if not address:
             ended(False)
@@ -112,18 +121,18 @@
         self.timers.spawn(self._write_bulk, address, pieces, ended)
 
     def peer_seen(self, address: str) -> None:
-        """Takes a frame from a peer as the word that it can be dialled.
+        """Notes that a peer has sent a frame, so it can be reconnected now.
 
-        After a loss of all processes each finds most others not started yet.
-        Without this, one that starts in the middle of a pause waits for the
-        rest of it, and the votes that it could give with it.
+        After a restart of all processes, each finds most others not started
+        yet. Without this, a peer that starts during the pause before a
+        reconnect gets no frames, and gives no vote, until the pause is over.
         """
         link = self.links.get(address)
-        if link is not None and link.called.empty():
-            link.called.put_nowait(None)
+        if link is not None and link.peer_seen.empty():
+            link.peer_seen.put_nowait(None)
 
     def stop(self) -> None:
-        """Ends every link."""
+        """Stops every link."""
         self.running = False
         for link in self.links.values():
             with contextlib.suppress(queue.Full):
@@ -137,13 +146,13 @@
             try:
                 self._write_from(address, link, payload)
             except errors.StreamClosed:
-                self._pause(link)
+                self._wait_before_redial(link)
         self.links.pop(address, None)
 
     def _write_from(self, address: str, link: Link, payload: bytes) -> None:
         parts = _parts(payload)
-        if not link.called.empty():
-            link.called.get_nowait()
+        if not link.peer_seen.empty():
+            link.peer_seen.get_nowait()
         exchange = self.streams.open(address, next(parts))
         try:
             for part in parts:
@@ -162,13 +171,13 @@
             link.exchange = None
             exchange.close()
 
-    def _pause(self, link: Link) -> None:
+    def _wait_before_redial(self, link: Link) -> None:
         link.failures += 1
-        pause = min(_REDIAL_SECONDS * link.failures, _LONGEST_REDIAL_SECONDS)
-        self.timers.sleep(_SHORTEST_REDIAL_SECONDS)
+        pause = min(_REDIAL_SECONDS * link.failures, _MAX_REDIAL_SECONDS)
+        self.timers.sleep(_MIN_REDIAL_SECONDS)
         with contextlib.suppress(queue.Empty):
-            link.called.get(timeout=pause - _SHORTEST_REDIAL_SECONDS)
-        # What has waited since is stale; the core has sent it again.
+            link.peer_seen.get(timeout=pause - _MIN_REDIAL_SECONDS)
+        # Frames queued meanwhile are stale; the core has sent them again.
         while not link.queue.empty():
             if link.queue.get_nowait() is None:
                 self.running = False
@@ -198,7 +207,7 @@
             self.bulk_bytes -= size
 
     def queued_bytes(self) -> int:
-        """Returns the bytes of frames that wait for their link."""
+        """Returns the size of all queued frames in bytes."""
         return sum(
             len(payload or b"")
             for link in self.links.values()
@@ -211,12 +220,12 @@
         first: replication_messages.ReplicationFrame,
     ) -> None:
         part = first
-        held: list[bytes] = []
+        received: list[bytes] = []
         while self.running:
-            held.append(part.payload)
+            received.append(part.payload)
             if not part.more:
-                payload = b"".join(held)
-                held = []
+                payload = b"".join(received)
+                received = []
                 self._deliver(exchange.peer, payload)
             try:
                 part = exchange.receive()
@@ -227,18 +236,21 @@
         try:
             self.deliver(payload)
         except errors.BadRequest as error:
-            logger.warning("{} sent a bad frame: {}", peer, error)
+            logger.warning("Ignored an invalid frame from {}: {}", peer, error)
 
 
 def _parts(
     *pieces: bytes,
 ) -> Iterator[replication_messages.ReplicationFrame]:
-    """Yields a frame's parts, one at a time: a snapshot is not copied whole."""
-    filled = [piece for piece in pieces if piece] or [b""]
-    for piece in filled:
+    """Yields a frame's parts.
+
+    Only one part is copied at a time, because a snapshot can be large.
+    """
+    nonempty = [piece for piece in pieces if piece] or [b""]
+    for piece in nonempty:
         for start in range(0, max(1, len(piece)), PART_BYTES):
             end = start + PART_BYTES
-            last = piece is filled[-1] and end >= len(piece)
+            last = piece is nonempty[-1] and end >= len(piece)
             yield replication_messages.ReplicationFrame(
                 piece[start:end], more=not last
             )
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -42,9 +42,9 @@
 
     Attributes:
         node: The instance's incarnation; its epoch grows with each start.
-        members: The instances that found the groups.
+        members: The instances in the settings, which establish the groups.
         group_names: Names of all groups.
-        own: This instance as a member; None if it is one of `members`.
+        own: This instance as a member; None to look it up in `members`.
         on_lead: By group, called once for each term in which this replica
             leads it.
         led_terms: By group, the last term for which `on_lead` was called.
--- a/src/mintcleat/roles/control/replication/status.py
+++ b/src/mintcleat/roles/control/replication/status.py
@@ -16,10 +16,11 @@
     Attributes:
         role: `leader`, `follower`, `candidate` or `pre-candidate`; `outside`
             when this instance holds no replica of the group.
-        lease_left: Seconds; 0 on a follower.
+        leader: The leader's stream address; empty if it is not known.
+        lease_left: Seconds left of the leader lease; 0 on a follower.
+        contact: By instance, the seconds since the last heartbeat that it
+            answered was sent; known on the leader only.
         settled: Whether the list of voters and learners is committed.
-        contact: By member instance: seconds since the last heartbeat that it
-            answered was sent; only known on the leader.
     """
 
     group: str
@@ -38,13 +39,13 @@
 def of_group(
     replica: replicas.Replica, position: log.Position, leader: str, now: float
 ) -> GroupStatus:
-    """Returns how a group stands.
+    """Returns the status of a group.
 
     Args:
-        replica: This instance's replica of it.
-        position: Where that stands.
-        leader: The leader's stream address; empty when it is not known.
-        now: The clock of `replica`.
+        replica: This instance's replica of the group.
+        position: The position of `replica` in the log.
+        leader: The leader's stream address; empty if it is not known.
+        now: The current time on the monotonic clock of `replica`.
     """
     state = replica.state
     peers = state.configuration.peers()
