--- a/testing/fakes/config_cluster.py
+++ b/testing/fakes/config_cluster.py
@@ -14,10 +14,11 @@
 from mintcleat.roles import follower
 from mintcleat.roles.control.configuration import service as config_service
 
-PATIENCE = 20.0
+WAIT_SECONDS = 20.0
 
 
 def text_of(version: str) -> str:
+    """Returns a manifest with one model service of a version."""
     service = manifest.Service(kind="model", model="m", version=version)
     return manifest.render(manifest.Manifest(services={"chat": service}))
 
@@ -25,6 +26,7 @@
 def push(
     expected: int, version: str, operator: str
 ) -> config_messages.PushManifest:
+    """Returns a push based on revision `expected`."""
     return config_messages.PushManifest(
         expected,
         f"{operator}-{expected}-{version}",
@@ -35,7 +37,7 @@
 
 
 class SkewedTimers(timers.EventletTimers):
-    """Real time, with a wall clock that is off by `skew` seconds."""
+    """Real time with a wall clock that is ahead by `skew` seconds."""
 
     def __init__(self) -> None:
         self.skew = 0.0
@@ -89,6 +91,7 @@
         return node
 
     def until(self, condition: Callable[[], bool]) -> None:
-        with eventlet.Timeout(PATIENCE):
+        """Waits for a condition; raises Timeout after `WAIT_SECONDS`."""
+        with eventlet.Timeout(WAIT_SECONDS):
             while not condition():
                 eventlet.sleep(0.02)
--- a/testing/test_config_service.py
+++ b/testing/test_config_service.py
@@ -1,4 +1,4 @@
-"""Pushes, leases and members over real streams and a log in memory."""
+"""The config service over real streams and a replicated log in memory."""
 
 from testing.fakes import config_cluster
 import testtools
@@ -24,11 +24,11 @@
         self.assertEqual([1] * 4, [item.revision for item in entries])
         self.assertTrue(all(item.lease > 0 for item in entries))
 
-    def test_equal_numbers_at_two_instances_have_one_winner(self) -> None:
-        """Two operators push over the same revision at two instances.
+    def test_second_push_on_the_same_revision_is_refused(self) -> None:
+        """Two operators push on the same revision at two instances.
 
-        One is told the new revision. The other is refused, and told who won
-        with which push, so that he can fetch, merge and push again.
+        One gets the new revision. The other is refused with an error that
+        names the accepted push, so that he can fetch, merge and push again.
         """
         cluster = config_cluster.Cluster(self, 3)
         cluster.control[1].ask(config_cluster.push(0, "1", "anna"))
@@ -40,11 +40,13 @@
         self.assertIn("anna won revision 1", error.detail)
         self.assertEqual(errors.NOT_RUN, error.outcome)
 
-    def test_resend_gets_its_first_answer_after_failover(self) -> None:
-        """The leader commits a push; the operator never gets the answer.
+    def test_resent_push_returns_its_first_revision_after_failover(
+        self,
+    ) -> None:
+        """The leader commits a push, but the operator gets no answer.
 
-        Another push follows, then the leader is lost. The operator resends
-        to the new leader and is told the revision that his push became.
+        Another push follows, then the leader is lost. The operator sends his
+        push again to the new leader and gets the revision of the first commit.
         """
         cluster = config_cluster.Cluster(self, 3)
         cluster.control[0].ask(config_cluster.push(0, "1", "anna"))
@@ -56,9 +58,9 @@
         self.assertEqual(2, view.revision)
 
     def test_lost_answer_is_retried_to_the_same_revision(self) -> None:
-        """The commit happens and its answer is lost inside control.
+        """A push is committed, but the proposal's result is lost.
 
-        The service asks again with the same id; the caller sees revision 1.
+        The service proposes it again with the same id and gets revision 1.
         """
         cluster = config_cluster.Cluster(self, 1)
         cluster.until(cluster.control[0].leads)
@@ -67,16 +69,17 @@
         self.assertEqual(1, answer.revision)
 
     def test_node_of_a_lost_instance_follows_another(self) -> None:
-        """The control instance that serves a node dies.
+        """The control instance that serves a node stops.
 
-        Its connection ends; the node opens a stream to another instance and
-        hears of the next push there.
+        The connection ends. The node opens a stream to another instance and
+        gets the next push from there.
         """
         cluster = config_cluster.Cluster(self, 3)
         cluster.control[0].ask(config_cluster.push(0, "1", "anna"))
         relays = [item.address for item in cluster.control[1:]]
-        # Which instance serves a node depends on the ports of this run; with
-        # eight fixed names none chose the lost one in 4 of 100 runs.
+        # The ports of a run decide which instance serves a node. With eight
+        # fixed names, no node preferred the lost instance in 4 of 100 runs, so
+        # four names that prefer it are selected.
         addresses = [item.address for item in cluster.control]
         lost = [
             name
@@ -86,8 +89,8 @@
         names = [*lost[:4], "other-1", "other-2", "other-3", "other-4"]
         nodes = [cluster.node(name) for name in names]
         cluster.until(lambda: all(node.has_lease() for node in nodes))
-        # Nodes that started before their instance had anything to give come
-        # back to it.
+        # Nodes that started before their preferred instance had a
+        # configuration return to it.
         cluster.until(
             lambda: relays[1] in [node.stream.address for node in nodes]
         )
@@ -100,14 +103,14 @@
 
 
 class RestrictionsTest(testtools.TestCase):
-    def test_drain_reaches_nodes_whatever_the_new_leaders_clock_says(
+    def test_drain_reaches_nodes_when_the_new_leaders_clock_is_behind(
         self,
     ) -> None:
         """An operator drains an upstream just after a change of leader.
 
-        The new leader's wall clock is an hour behind the old one's. Told
-        under a number made from that clock, the drain looked older than what
-        the node had heard, and the upstream went on getting requests.
+        The new leader's wall clock is an hour behind the old one's. If the
+        version of the restrictions came from that clock, the node would drop
+        the drain as outdated, and the upstream would go on getting requests.
         """
         cluster = config_cluster.Cluster(self, 2)
         old, new = cluster.control
@@ -123,14 +126,15 @@
         cluster.until(lambda: node.draining("u-1", ""))
 
 
-class DateTest(testtools.TestCase):
-    """The time of day jumps by an hour on the leader, and back again.
+class SteadyTimeTest(testtools.TestCase):
+    """The leader's wall clock steps by an hour, and back again.
 
-    Counted by it, a quarantine would end an hour early and a permit bucket
-    would fill; pauses would last an hour longer after the way back.
+    Measured with the wall clock, a quarantine would end an hour early and a
+    permit bucket would fill; after the step back, pauses would last an hour
+    longer.
     """
 
-    def test_no_step_of_the_time_of_day_shows(self) -> None:
+    def test_steps_of_the_wall_clock_have_no_effect(self) -> None:
         cluster = config_cluster.Cluster(self, 1)
         (leader,) = cluster.control
         cluster.until(leader.leads)
@@ -140,7 +144,7 @@
             passed = leader.steady_time() - before
             self.assertTrue(0.0 <= passed < 60.0, passed)
 
-    def test_next_leaders_date_does_not_go_back(self) -> None:
+    def test_time_does_not_go_back_at_the_next_leader(self) -> None:
         cluster = config_cluster.Cluster(self, 2)
         old, new = cluster.control
         cluster.until(old.leads)
--- a/testing/test_config_stream.py
+++ b/testing/test_config_stream.py
@@ -1,4 +1,4 @@
-"""Which control instance a node follows, played without a network."""
+"""Which control instance a node follows, simulated without a network."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 
 class Node:
-    """A `config_stream.Owner` that applies what it is given."""
+    """A `config_stream.Owner` that applies every revision it receives."""
 
     def __init__(
         self, instance: str, revision: int, clock: waiting_clock.Clock
@@ -48,9 +48,11 @@
 
 
 class Instances:
-    """Streams to three control instances; `c` serves from a time on.
+    """Streams to three control instances, of which only `c` ever serves.
 
-    A configuration takes `transfer` seconds to arrive.
+    Attributes:
+        serves_at: Time from which `c` serves.
+        transfer: Seconds that a configuration takes to arrive.
     """
 
     def __init__(
@@ -66,7 +68,7 @@
 
 
 class Exchange:
-    """The stream to one instance."""
+    """A stream to one instance."""
 
     def __init__(self, instances: Instances, address: str) -> None:
         self.instances = instances
@@ -82,22 +84,22 @@
             instances.stream.stop()
             return 7
         instances.clock.sleep(timeout)
-        raise errors.StreamTimeout("Nothing came.")
+        raise errors.StreamTimeout("No message arrived in time.")
 
     def send(self, message: Any) -> None:
-        """Takes a report."""
+        """Ignores a report."""
 
     def close(self) -> None:
         """Ends the stream."""
 
 
-def play(
+def run_until_configured(
     revision: int,
     serves_at: float = 0.0,
     transfer: float = 0.01,
     instance: str = "e1",
 ) -> tuple[float, Node]:
-    """Returns when a node has a configuration, and the node."""
+    """Runs a node until it has a configuration; returns the time and it."""
     clock = waiting_clock.Clock()
     instances = Instances(clock, serves_at, transfer)
     node = Node(instance, revision, clock)
@@ -110,51 +112,53 @@
 
 
 class FirstConfigurationTest(testtools.TestCase):
-    """All processes ended together; one control instance lost its disk.
+    """All processes restart together, and one control instance lost its disk.
 
-    Callers' connections come to entries that know no configuration and refuse
-    them. An entry that waits at the empty instance hears nothing there, while
-    another instance leads and would serve it.
+    An entry without a configuration refuses its callers. At the empty control
+    instance it would wait in vain, while another instance leads and could
+    serve it.
     """
 
-    def test_started_node_passes_empty_instances_soon(self) -> None:
-        # 1.4 s where it waits at each for as long as a node that can serve.
-        took, node = play(revision=0)
+    def test_started_node_skips_empty_instances_quickly(self) -> None:
+        # It takes 1.4 s if a node without a configuration waits at each
+        # instance as long as one that has a configuration.
+        took, node = run_until_configured(revision=0)
         self.assertEqual(["a", "b", "c"], node.tried)
         self.assertThat(took, matchers.LessThan(0.8))
 
-    def test_started_nodes_find_a_new_leader_soon(self) -> None:
-        # Seconds after the election, mean of 40 entries: 0.77 and 0.47 where
-        # each instance is waited for as by a node that can serve.
+    def test_started_nodes_find_a_new_leader_quickly(self) -> None:
+        # Mean of 40 entries in seconds after the election. It is 0.77 and 0.47
+        # if they wait at each instance as long as configured nodes do.
         for elected in (0.6, 0.9):
             took = [
-                play(0, serves_at=elected, instance=f"e{n}")[0] - elected
+                run_until_configured(0, serves_at=elected, instance=f"e{n}")[0]
+                - elected
                 for n in range(40)
             ]
             mean = sum(took) / len(took)
             self.assertThat(mean, matchers.LessThan(0.35))
 
-    def test_slow_configuration_arrives_all_the_same(self) -> None:
-        took, node = play(revision=0, transfer=0.55)
+    def test_slow_transfer_of_a_configuration_completes(self) -> None:
+        took, node = run_until_configured(revision=0, transfer=0.55)
         self.assertEqual(7, node.revision)
         self.assertThat(took, matchers.LessThan(6.0))
 
-    def test_node_goes_back_to_the_instance_that_it_passed_over(self) -> None:
-        # Started together, all nodes would stay with the leader, which then
-        # serves what several instances share otherwise.
+    def test_node_returns_to_the_instance_that_it_skipped(self) -> None:
+        # Otherwise all nodes that started together would stay with the leader,
+        # which would serve the load that several instances should share.
         due = []
         for number in range(20):
-            _, node = play(revision=0, instance=f"e{number}")
+            _, node = run_until_configured(revision=0, instance=f"e{number}")
             due += [at for at, _ in node.clock.due]
         self.assertEqual(20, len(due))
         self.assertTrue(1.0 < min(due) < max(due) < 4.0, due)
         self.assertThat(max(due) - min(due), matchers.GreaterThan(1.0))
 
-    def test_node_that_passed_nothing_over_stays(self) -> None:
-        _, node = play(revision=3)
+    def test_node_that_skipped_no_instance_stays(self) -> None:
+        _, node = run_until_configured(revision=3)
         self.assertEqual([], node.clock.due)
 
-    def test_node_that_can_serve_is_in_no_hurry(self) -> None:
-        # Hundreds of nodes that hop through a failover would slow it down.
-        took, _ = play(revision=3)
+    def test_configured_node_waits_before_it_moves(self) -> None:
+        # Hundreds of nodes that reconnect often would slow a failover down.
+        took, _ = run_until_configured(revision=3)
         self.assertThat(took, matchers.GreaterThan(2 * MOVE_AFTER))
--- a/testing/test_control_actions.py
+++ b/testing/test_control_actions.py
@@ -1,4 +1,4 @@
-"""What operators do with control instances, against a stand-in log."""
+"""Operators' actions on control instances, with a fake log."""
 
 import json
 from typing import Any
@@ -12,20 +12,20 @@
 
 
 class Log:
-    """Replicas that heard of one instance beyond the settings."""
+    """A log that knows one instance that is not in the settings."""
 
     def addresses(self) -> list[str]:
         return ["a:1", "c:1"]
 
 
 class Streams:
-    """Answers for each address; `c:1` leads, `b:1` is gone."""
+    """Answers for each address; `c:1` leads, `b:1` is unreachable."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
 
     def handle(self, kind: type, handler: Any) -> None:
-        """Serves nobody here."""
+        """Does nothing; no request arrives in these tests."""
 
     def ask(self, address: str, message: Any, seconds: float) -> Any:
         self.asked.append(address)
@@ -40,10 +40,10 @@
 
 
 class ControlActionsTest(testtools.TestCase):
-    """The instance that leads replaced one, and no settings name it.
+    """The leader replaced another instance and is missing from the settings.
 
-    Operators ask an instance whose settings name `a:1` and `b:1`. Asked these
-    two only, a status shows no leader and a replacement never begins.
+    The settings name `a:1` and `b:1`. If only these two were asked, the status
+    would show no leader and a replacement would never start.
     """
 
     def setUp(self) -> None:
@@ -53,11 +53,11 @@
             "a", Log(), self.streams, ["a:1", "b:1"]
         )
 
-    def test_status_is_told_by_a_leader_beyond_the_settings(self) -> None:
+    def test_status_comes_from_a_leader_not_in_the_settings(self) -> None:
         (row,) = self.actions.status()
         self.assertEqual("leader", row["role"])
 
-    def test_replacement_reaches_a_leader_beyond_the_settings(self) -> None:
+    def test_replacement_reaches_a_leader_not_in_the_settings(self) -> None:
         found = self.actions.replace("b", "d", "d:1", "hall-a")
         self.assertIn("began", found)
 
--- a/testing/test_links.py
+++ b/testing/test_links.py
@@ -46,8 +46,8 @@
     def test_peer_that_reads_nothing_never_blocks_the_sender(self) -> None:
         """A peer accepts the connection and then reads nothing.
 
-        The socket's buffers fill; frames beyond the bounded queue are
-        dropped, and the caller goes on at once.
+        The socket buffers fill up. Frames that don't fit into the bounded
+        queue are dropped, and the caller never blocks.
         """
         listener = eventlet.listen(("127.0.0.1", 0))
         self.addCleanup(listener.close)
@@ -57,20 +57,21 @@
             eventlet.sleep(0)
         link = self.links.links[f"{host}:{port}"]
         self.assertTrue(link.queue.full())
-        # What waits is told, so that a peer like this one can be found.
+        # The size of the queue is reported, so that operators can find a
+        # stuck peer.
         queued = link.queue.qsize() * 100_000
         self.assertEqual(queued, self.links.queued_bytes())
 
-    def test_peer_that_calls_is_dialled_before_the_pause_is_over(self) -> None:
-        """All processes start anew, each at a time of its own.
+    def test_peer_that_sends_is_redialled_before_the_pause_ends(self) -> None:
+        """All processes restart, each at a different time.
 
-        A link that found nobody pauses, longer each time, and drops what
-        waited. Its peer starts meanwhile and greets; an election waits for
-        the frames that go the other way.
+        A link that can't connect pauses, longer each time, and drops the
+        queued frames. Its peer starts during the pause and sends a greeting.
+        An election needs the frames in the other direction without delay.
         """
-        taken = streams.TcpStreams("127.0.0.1:0")
-        address = taken.address
-        taken.stop()
+        reserved = streams.TcpStreams("127.0.0.1:0")
+        address = reserved.address
+        reserved.stop()
         eventlet.sleep(0.01)
         self.links.send(address, b"early")
         link = self.links.links[address]
