--- a/testing/fakes/config_cluster.py
+++ b/testing/fakes/config_cluster.py
@@ -17,7 +17,7 @@
 WAIT_SECONDS = 20.0
 
 
-def text_of(version: str) -> str:
+def manifest_text(version: str) -> str:
     """Returns a manifest with one model service of a version."""
     service = manifest.Service(kind="model", model="m", version=version)
     return manifest.render(manifest.Manifest(services={"chat": service}))
@@ -30,7 +30,7 @@
     return config_messages.PushManifest(
         expected,
         f"{operator}-{expected}-{version}",
-        text_of(version),
+        manifest_text(version),
         operator,
         "test",
     )
--- a/testing/test_admin_http.py
+++ b/testing/test_admin_http.py
@@ -105,7 +105,7 @@
 
     def file(self, version: str) -> str:
         path = self.folder / f"{version}.json"
-        path.write_text(config_cluster.text_of(version))
+        path.write_text(config_cluster.manifest_text(version))
         return str(path)
 
     def run_cli(self, *arguments: str, token: str = "") -> tuple[int, str, str]:
@@ -167,7 +167,7 @@
         self.assertEqual("1", shown["manifest"]["services"]["chat"]["version"])
 
     def push_customers(self) -> None:
-        text = json.loads(config_cluster.text_of("1"))
+        text = json.loads(config_cluster.manifest_text("1"))
         text["policies"] = {
             **text.get("policies", {}),
             "require_keys": True,
