--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -1,7 +1,8 @@
-"""Seeded schedules of faults over whole control instances, in virtual time.
+"""Seeded schedules of faults for control instances, in virtual time.
 
 `python testing/control_explorer.py --seeds 200` runs that many schedules and
-prints the failing seeds with their stories. Set PYTHONHASHSEED to repeat one.
+prints the failing seeds, with `--story` also their events. Set PYTHONHASHSEED
+to repeat one.
 """
 
 from collections.abc import Callable
@@ -15,16 +16,19 @@
 from mintcleat.domain import operator_messages
 
 Fault = control_cluster.Fault
-# A machine counts as lost until so long after it is back.
-CATCH_UP = 6.0
-LOSSES = 2
-RECOVERY = 15.0
-# Losses of all at the end of a schedule, each with the groups whole again.
-STRIKES = 3
+# An instance counts as lost until this long after it has returned.
+CATCH_UP_SECONDS = 6.0
+# Number of instances that may be lost at the same time.
+MAX_LOST = 2
+# Time in which the cluster must recover after the faults.
+RECOVERY_SECONDS = 15.0
+# Failures of all instances at the end of a schedule. The groups are repaired
+# before each of them.
+TOTAL_FAILURES = 3
 
 
 class Schedule:
-    """Draws faults from the seed; no more are lost at once than is borne."""
+    """Draws faults from the seed, at most `MAX_LOST` instances at a time."""
 
     def __init__(self, cluster: control_cluster.Cluster) -> None:
         self.cluster = cluster
@@ -45,8 +49,8 @@
             self._disturb()
             eventlet.sleep(self.rng.choice((0.0, 0.1, 0.5, 1.0, 2.0)))
         self._settle()
-        for _ in range(STRIKES):
-            self._strike()
+        for _ in range(TOTAL_FAILURES):
+            self._fail_all()
             self._settle()
         cluster.running = False
 
@@ -66,7 +70,7 @@
                 raise Fault(f"{what} within {seconds} s")
             eventlet.sleep(0.05)
 
-    # Who may be lost.
+    # Which instances may be lost.
 
     def _lost(self) -> list[control_cluster.Instance]:
         now = self.cluster.now()
@@ -77,29 +81,29 @@
         ]
 
     def _victims(self, most: int) -> list[control_cluster.Instance]:
-        """Returns instances that may be lost now, leaders more often."""
-        room = min(most, LOSSES - len(self._lost()))
+        """Returns instances that may be lost now, the leader more often."""
+        room = min(most, MAX_LOST - len(self._lost()))
         found = []
         lost = self._lost()
-        well = [
+        healthy = [
             one
             for one in self.cluster.instances.values()
             if one not in lost and one.running()
         ]
         for _ in range(room):
             leader = self.cluster.leader()
-            if leader in well and self.rng.random() < 0.5:
+            if leader in healthy and self.rng.random() < 0.5:
                 pick = leader
-            elif well:
-                pick = self.rng.choice(well)
+            elif healthy:
+                pick = self.rng.choice(healthy)
             else:
                 break
-            well.remove(pick)
+            healthy.remove(pick)
             found.append(pick)
         return found
 
     def _lose(self, one: control_cluster.Instance, seconds: float) -> None:
-        one.lost_until = self.cluster.now() + seconds + CATCH_UP
+        one.lost_until = self.cluster.now() + seconds + CATCH_UP_SECONDS
 
     # Faults.
 
@@ -123,7 +127,7 @@
                 self._all_killed,
                 self._replace,
                 self._retire,
-                self._weather,
+                self._degrade_network,
             )
         )
         action()
@@ -185,7 +189,7 @@
         self._heal_later(seconds)
 
     def _split(self) -> None:
-        """Halves lose each other; that is no loss."""
+        """Partitions the instances into halves; none of them is lost."""
         if self._lost():
             return
         names = list(self.cluster.instances)
@@ -232,7 +236,7 @@
             eventlet.spawn_after(2.0, one.start)
 
     def _busy(self) -> None:
-        """Other work holds the loop for up to some milliseconds a turn."""
+        """Lets other work block the event loop for a while in each turn."""
         for one in self._victims(1):
             self._lose(one, 3.0)
             one.busy = self.rng.choice((0.005, 0.05, 0.2))
@@ -258,7 +262,10 @@
         return pause
 
     def _holders(self, most: int) -> list[str]:
-        """Returns instances whose disks may be lost, voters most often."""
+        """Returns names of instances whose disks may be lost.
+
+        They are mostly voters of the config group, with the leader first.
+        """
         victims = self._victims(most) if most else []
         leader = self.cluster.leader()
         if len(victims) == most and leader and self.rng.random() < 0.7:
@@ -275,34 +282,34 @@
         if self.rng.random() < 0.3:
             self._all("killed", False)
 
-    def _newcomer(self) -> None:
+    def _add_replacement(self) -> None:
         self.replaced += 1
         domain = f"d{self.rng.randrange(4)}"
         one = self.cluster.add(f"n{self.replaced}", domain)
         one.start()
         self._lose(one, 0.0)
 
-    def _gone(self, one: control_cluster.Instance) -> None:
+    def _remove(self, one: control_cluster.Instance) -> None:
         one.lose_power(True)
         del self.cluster.instances[one.name]
         self.cluster.gone.append(one)
 
     def _replace(self) -> None:
-        """A machine is gone for good, an empty one comes at another address."""
+        """Removes an instance for good; an empty one joins as a new one."""
         for one in self._victims(1):
             self.cluster.note(f"{one.name} gone for good")
-            # It counts as lost until its successor has caught up.
+            # It counts as lost until the new instance has caught up.
             self._lose(one, 1.0)
-            self._gone(one)
-            eventlet.spawn_after(1.0, self._newcomer)
+            self._remove(one)
+            eventlet.spawn_after(1.0, self._add_replacement)
 
     def _retire(self) -> None:
         for one in self._victims(1):
             self._lose(one, 10.0)
-            self.cluster.spawn(self._empty, one)
+            self.cluster.spawn(self._evacuate, one)
 
-    def _empty(self, one: control_cluster.Instance) -> None:
-        """Empties an instance; once that is done it may go with its disk."""
+    def _evacuate(self, one: control_cluster.Instance) -> None:
+        """Evacuates an instance; once that is done, its disk is lost too."""
         cluster = self.cluster
         cluster.note(f"{one.name} to be emptied")
         end = cluster.now() + 10.0
@@ -311,28 +318,28 @@
             message = operator_messages.EvacuateControl(
                 one.name, start, "o", "t"
             )
-            answer = cluster.anyone().call(message)
+            answer = cluster.any_instance().call(message)
             start = start and answer is None
             if answer is not None and answer.done:
                 cluster.note(f"{one.name} emptied")
                 one.lost_until = 0.0
                 if one.name in cluster.instances:
-                    self._gone(one)
-                    self._newcomer()
+                    self._remove(one)
+                    self._add_replacement()
                 if self.rng.random() < 0.5:
                     self._wipe()
                 return
             eventlet.sleep(0.3)
 
-    def _weather(self) -> None:
+    def _degrade_network(self) -> None:
         network = self.cluster.network
         network.loss = self.rng.choice((0.0, 0.0, 0.05))
         network.delay = self.rng.choice((0.0005, 0.002, 0.02))
 
     # The end.
 
-    def _strike(self) -> None:
-        """A loss of all, right after a push was sent or acknowledged."""
+    def _fail_all(self) -> None:
+        """Fails all instances just after a push was sent or acknowledged."""
         cluster = self.cluster
         for one in (*cluster.instances.values(), *cluster.gone):
             one.lost_until = 0.0
@@ -346,11 +353,11 @@
             cluster.spawn(cluster.push)
             eventlet.sleep(self.rng.uniform(0.005, 0.4))
         kind = self.rng.choice(("dark", "killed", "wiped", "wiped"))
-        self._all(kind, kind != "killed", LOSSES if kind == "wiped" else 0)
+        self._all(kind, kind != "killed", MAX_LOST if kind == "wiped" else 0)
         eventlet.sleep(2.0)
 
     def _settle(self) -> None:
-        """Without faults all must answer, with what was acknowledged."""
+        """Ends all faults; every instance must then answer reads."""
         cluster = self.cluster
         cluster.network.heal()
         cluster.network.loss = 0.0
@@ -362,7 +369,9 @@
             one.disk.sync_seconds = 0.005
         cluster.network.flush()
         self._until(
-            lambda: cluster.leader() is not None, RECOVERY, "nobody leads"
+            lambda: cluster.leader() is not None,
+            RECOVERY_SECONDS,
+            "nobody leads",
         )
         for _ in range(40):
             cluster.check()
@@ -371,16 +380,18 @@
         for one in cluster.instances.values():
             self._until(
                 lambda one=one: cluster.read(one),
-                RECOVERY,
+                RECOVERY_SECONDS,
                 f"{one.name} answered no read",
             )
-        self._until(cluster.whole, RECOVERY, "the groups were not repaired")
+        self._until(
+            cluster.whole, RECOVERY_SECONDS, "the groups were not repaired"
+        )
         cluster.check()
         cluster.check_machines()
 
 
 def explore(seed: int, seconds: float = 20.0) -> control_cluster.Cluster:
-    """Runs one schedule; raises Fault when a guarantee is broken."""
+    """Runs one schedule; raises Fault if a guarantee is violated."""
 
     def body() -> control_cluster.Cluster:
         cluster = control_cluster.Cluster(seed)
--- a/testing/fakes/config_links.py
+++ b/testing/fakes/config_links.py
@@ -1,7 +1,7 @@
-"""Control instances and nodes in virtual time, joined by links in memory.
+"""Control instances and nodes in virtual time, connected in memory.
 
-A link does what `roles.config_stream` does over a socket; links and requests
-between two addresses can be cut silently.
+A link replaces a `ConfigStream` over a socket. Links and requests between two
+addresses can be cut without either side being notified.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 class Replies:
-    """An exchange that keeps what the handler sends."""
+    """An exchange that stores the messages sent by the handler."""
 
     peer = "peer"
 
@@ -33,16 +33,20 @@
         self.closed = False
 
     def send(self, message: Any) -> None:
-        """Keeps a message."""
+        """Stores a message."""
         self.sent.append(message)
 
     def close(self) -> None:
-        """Ends the exchange."""
+        """Closes the exchange."""
         self.closed = True
 
 
 class Network:
-    """Who serves which address, and which pairs of addresses are cut."""
+    """The handlers and services by address, and the network partition.
+
+    Attributes:
+        cut_off: Addresses that reach only each other.
+    """
 
     def __init__(self) -> None:
         self.handlers: dict[str, dict[type, Callable[..., None]]] = {}
@@ -50,12 +54,12 @@
         self.cut_off: set[str] = set()
 
     def reaches(self, one: str, other: str) -> bool:
-        """Tells whether messages pass; those of a cut address are lost."""
+        """Returns whether messages pass between two addresses."""
         return (one in self.cut_off) == (other in self.cut_off)
 
 
 class MemoryStreams:
-    """`ports.streams.Streams` of one address; only `ask` and `handle`."""
+    """The parts `ask` and `handle` of `ports.streams.Streams`."""
 
     def __init__(self, network: Network, address: str) -> None:
         self.network = network
@@ -67,9 +71,9 @@
         self.network.handlers[self.address][kind] = handler
 
     def ask(self, address: str, message: Any, timeout: float) -> Any:
-        """Runs the peer's handler at once."""
+        """Runs the peer's handler at once and returns its answer."""
         if not self.network.reaches(self.address, address):
-            raise errors.StreamTimeout(f"{address} is silent.")
+            raise errors.StreamTimeout(f"{address} does not answer.")
         replies = Replies()
         handler = self.network.handlers[address].get(type(message))
         if handler is None:
@@ -79,7 +83,12 @@
 
 
 class Link:
-    """Does for an owner what a ConfigStream does, step by step."""
+    """Does for an owner what a `ConfigStream` does, one step per tick.
+
+    Attributes:
+        due: When the next report is sent.
+        received: All messages received, for tests.
+    """
 
     def __init__(
         self,
@@ -105,39 +114,39 @@
         clock.every(STEP, self.step)
 
     def start(self) -> None:
-        """A link runs from the beginning."""
+        """Does nothing; a link runs from its creation."""
 
     def stop(self) -> None:
-        """Ends the link; the other side notices by itself."""
+        """Stops the link without notifying the other side."""
         self.stopped = True
 
     def report(self) -> None:
-        """Renews at the next step."""
+        """Sends a report at the next step."""
         self.due = 0.0
 
     def close(self) -> None:
-        """Ends the stream; the next step opens another."""
+        """Closes the stream; the next step opens another one."""
         if self.peer is not None:
             self.network.services[self.address].feed.detach(self.peer)
         self.peer = None
         self.address = ""
 
     def return_to_preferred(self) -> None:
-        """Leaves for the preferred control instance."""
+        """Reconnects to the preferred control instance."""
         self.close()
         self.attempt = 0
 
     def step(self) -> None:
-        """Opens, renews, receives, or gives the control instance up."""
+        """Opens the stream, exchanges messages, or closes a silent one."""
         if self.stopped:
             return
         if self.peer is None:
             self._open()
             return
         service = self.network.services[self.address]
-        if self._passes() and not self.peer.closed:
+        if self._is_connected() and not self.peer.closed:
             if self.timers.now() >= self.due:
-                self._renew(service)
+                self._report(service)
             for message in service.feed.take_pending(self.peer):
                 self.received.append(message)
                 update = self.reassembler.take(message)
@@ -151,7 +160,7 @@
             self.address = ""
             self.attempt += 1
 
-    def _passes(self) -> bool:
+    def _is_connected(self) -> bool:
         return self.network.reaches(self.own_address, self.address)
 
     def _open(self) -> None:
@@ -160,8 +169,8 @@
             self.attempt += 1
             return
         self.opened = self.timers.now()
-        if not self._passes():
-            # A silent peer looks like one that has not answered yet.
+        if not self._is_connected():
+            # A peer that is cut off looks like one that has not answered yet.
             self.peer = config_feed.Peer(
                 Replies(), self.owner.follow_request(), self.opened
             )
@@ -177,7 +186,7 @@
         self.due = self.opened + self.renew
         self._send(service, True)
 
-    def _renew(self, service: config_service.ConfigService) -> None:
+    def _report(self, service: config_service.ConfigService) -> None:
         self.due = self.timers.now() + self.renew
         self._send(service, False)
 
@@ -194,7 +203,7 @@
 
 
 class Cluster:
-    """Control instances `control-0`, ... and the nodes that a test adds."""
+    """Control instances `control-0`, `control-1`, ... and nodes of a test."""
 
     def __init__(self, size: int) -> None:
         self.timers = timers.VirtualTimers()
@@ -231,7 +240,14 @@
         announcer: follower.Announcer | None = None,
         control: list[str] | None = None,
     ) -> follower.Follower:
-        """Starts a node that knows all control instances, or some."""
+        """Starts a node and returns it.
+
+        Args:
+            name: Name of the node's instance.
+            epoch: Epoch of its incarnation.
+            announcer: Makes the node a sidecar with this announcement.
+            control: Control instances that it knows; all by default.
+        """
         address = f"{name}/{epoch}"
         node = follower.Follower(
             identities.Incarnation(name, epoch),
@@ -249,7 +265,7 @@
         return node
 
     def push(self, instance: int, expected: int, version: str) -> int:
-        """Pushes at one control instance; returns the revision."""
+        """Pushes a version at one control instance; returns the revision."""
         request = config_messages.PushManifest(
             expected, f"push-{version}", manifest_text(version), "anna", "test"
         )
--- a/testing/fakes/control_cluster.py
+++ b/testing/fakes/control_cluster.py
@@ -1,8 +1,8 @@
 """Control instances in virtual time: the real driver, log and config service.
 
-Only what lies outside of a process is played: clocks, streams, the disk and
+Only the environment of a process is simulated: clocks, streams, the disk and
 its thread. An operator pushes numbered configurations through any instance and
-resends those without an answer; readers ask any instance at all times.
+sends them again until they are answered; readers ask any instance at any time.
 """
 
 from collections.abc import Callable
@@ -35,21 +35,23 @@
 )
 
 OTHER_GROUP = "records"
-ANSWER = 0.85
-PATIENCE = 1.0
+# Timeout of a request at an instance, and of the caller that sent it.
+ASK_SECONDS = 0.85
+CALL_SECONDS = 1.0
 TIMES = lease.Times(max_lease=1.2, renew=0.3, relay_renew=0.15, move_after=0.6)
 
 
 class Fault(AssertionError):
-    """A guarantee was broken."""
+    """A guarantee was violated."""
 
 
 class Records:
-    """A machine with some bulk, for the other group.
+    """A state machine with large commands, for the other group.
 
     Attributes:
-        kept: The last commands; older ones count only.
-        counts: What every replica's count must be after an index.
+        count: Number of commands applied.
+        kept: The last commands; older ones are only counted.
+        counts: By log index, the count that every replica must have.
     """
 
     def __init__(self, counts: dict[int, int]) -> None:
@@ -73,10 +75,14 @@
 
 
 class Instance:
-    """A machine with a disk, and the process that runs there, if one does.
+    """A host with a disk, and the process that runs on it, if any.
 
     Attributes:
-        lost_until: Until when it counts as lost.
+        domain: Its failure domain.
+        life: The lifetime of the current process.
+        skew: Offset of its wall clock in seconds.
+        busy: Longest time in seconds that other work blocks a loop turn.
+        lost_until: Time until which the schedule counts it as lost.
     """
 
     def __init__(self, cluster: "Cluster", name: str, domain: str) -> None:
@@ -171,11 +177,16 @@
     def end(self) -> None:
         self.life.end()
         if self.log is not None and self.log.wal.lock >= 0:
-            # A process's locks end with it; here they would live on.
+            # The locks of a real process end with it. This process goes on,
+            # so the lock must be released here.
             fcntl.flock(self.log.wal.lock, fcntl.LOCK_UN)
 
     def lose_power(self, wipe: bool = False) -> None:
-        """Ends the process without a word; unsynced bytes may be lost."""
+        """Ends the process without a shutdown; unsynced bytes may be lost.
+
+        Args:
+            wipe: Whether everything on the disk is lost.
+        """
         self.end()
         if wipe:
             self.disk.wipe()
@@ -183,7 +194,7 @@
             self.disk.lose_power()
 
     def terminate(self) -> None:
-        """Stops the process as its operator does."""
+        """Stops the process by a planned shutdown."""
         life, log, config = self.life, self.log, self.config
         if not self.running():
             return
@@ -198,34 +209,34 @@
         eventlet.spawn(stop)
 
     def call(self, message: Any) -> Any:
-        """Asks this instance as an outside caller does.
+        """Sends a request to this instance as an external caller does.
 
         Returns:
-            The answer, or None when none came in time.
+            The answer, or None if there was none in time.
         """
         answers: list[Any] = []
-        came = eventlet.Event()
+        done = eventlet.Event()
         life, config = self.life, self.config
 
         def serve() -> None:
             try:
                 life.check()
-                answers.append(config.ask(message, ANSWER))
+                answers.append(config.ask(message, ASK_SECONDS))
             except errors.MintcleatError:
                 pass
-            if not life.dead and not came.ready():
-                came.send()
+            if not life.dead and not done.ready():
+                done.send()
 
         if life.dead or not self.started:
             eventlet.sleep(0.01)
             return None
         eventlet.spawn(serve)
-        came.wait(PATIENCE)
-        return answers[0] if answers and came.ready() else None
+        done.wait(CALL_SECONDS)
+        return answers[0] if answers and done.ready() else None
 
 
 class Options:
-    """Limits of a schedule; small ones, so that each run meets several."""
+    """Limits of a schedule, so small that each run reaches several of them."""
 
     def __init__(self) -> None:
         self.size = 8
@@ -262,10 +273,13 @@
     """The instances, the operator and the readers.
 
     Attributes:
-        gone: Instances whose machines were taken away.
+        gone: Instances that were removed for good.
         acknowledged: Highest version that was acknowledged.
-        failures: Why processes ended by themselves.
-        story: What happened, with its time.
+        version: Highest version that was pushed.
+        reads: Number of reads sent.
+        answered: Number of reads answered.
+        failures: Errors with which processes stopped by themselves.
+        story: The events of the schedule with their times.
     """
 
     def __init__(self, seed: int, options: Options | None = None) -> None:
@@ -311,7 +325,7 @@
         self.story.append(f"{self.now():8.3f} {text}")
 
     def spawn(self, function: Callable[..., None], *args: Any) -> None:
-        """Runs a part of the schedule; the first fault ends it."""
+        """Runs a part of the schedule; `check` raises its first fault."""
 
         def body() -> None:
             try:
@@ -330,8 +344,12 @@
 
     # The operator.
 
-    def push(self, patience: float = 30.0) -> int:
-        """Sends the next version until it is acknowledged."""
+    def push(self, timeout: float = 30.0) -> int:
+        """Sends the next version until it is acknowledged.
+
+        Returns:
+            The version, or 0 if it was not acknowledged in time.
+        """
         self.version += self.rng.randint(1, 4)
         version = self.version
         message = config_messages.PushManifest(
@@ -343,10 +361,10 @@
             version,
             f"source of {version}",
         )
-        until = self.now() + patience
+        until = self.now() + timeout
         pause = 0.05
         while self.now() < until and self.running:
-            target = self.anyone()
+            target = self.any_instance()
             answer = target.call(message)
             if answer is not None:
                 self.note(f"version {version} acknowledged by {target.name}")
@@ -357,17 +375,25 @@
         return 0
 
     def read(self, target: Instance) -> bool:
-        """Reads at an instance; tells whether it answered."""
-        floor = self.acknowledged
+        """Reads at an instance and checks the answer.
+
+        Returns:
+            Whether the instance answered.
+
+        Raises:
+            Fault: The answer is older than the version acknowledged before
+                the read, or its source is not the pushed one.
+        """
+        expected = self.acknowledged
         self.reads += 1
         view = target.call(config_messages.ReadManifest())
         if view is None:
             return False
         self.answered += 1
-        if view.version < floor:
+        if view.version < expected:
             raise Fault(
                 f"{target.name} answered version {view.version};"
-                f" {floor} was acknowledged"
+                f" {expected} was acknowledged"
             )
         if view.version and view.source != f"source of {view.version}":
             raise Fault(f"{view.version} was read back as {view.source}")
@@ -376,10 +402,10 @@
     def read_forever(self, period: float) -> None:
         while self.running:
             eventlet.sleep(self.rng.expovariate(1 / period))
-            self.spawn(self.read, self.anyone())
+            self.spawn(self.read, self.any_instance())
 
     def write_forever(self, period: float) -> None:
-        """Fills the other group, so that the shared log grows."""
+        """Writes to the other group, so that the shared log grows."""
         while self.running:
             eventlet.sleep(self.rng.expovariate(1 / period))
             eventlet.spawn(self._write)
@@ -400,7 +426,7 @@
                 )
             return
 
-    def anyone(self) -> Instance:
+    def any_instance(self) -> Instance:
         return self.rng.choice(list(self.instances.values()))
 
     # Views of all instances, for schedules.
@@ -419,7 +445,7 @@
         return [p.replica.instance for p in state.configuration.voters]
 
     def whole(self) -> bool:
-        """Tells whether each group is led, full, and of living disks."""
+        """Returns whether each group has a leader and all its voters run."""
         for group in (machine.GROUP, OTHER_GROUP):
             leader = self.leader(group)
             if leader is None:
@@ -439,7 +465,11 @@
         return True
 
     def check_machines(self) -> None:
-        """Compares each machine with the commands that its log applied."""
+        """Compares each state machine with the commands that its log applied.
+
+        Raises:
+            Fault: A machine lacks an applied command.
+        """
         for instance in self.instances.values():
             if not instance.running() or instance.log.driver is None:
                 continue
