--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -37,7 +37,7 @@
 
     def run(self, seconds: float) -> None:
         cluster = self.cluster
-        self._until(cluster.whole, 12.0, "the groups were not founded")
+        self._until(cluster.is_healthy, 12.0, "the groups were not founded")
         cluster.push()
         cluster.spawn(cluster.read_forever, 0.05)
         cluster.spawn(cluster.write_forever, self.rng.choice((0.01, 0.05)))
@@ -384,7 +384,7 @@
                 f"{one.name} answered no read",
             )
         self._until(
-            cluster.whole, RECOVERY_SECONDS, "the groups were not repaired"
+            cluster.is_healthy, RECOVERY_SECONDS, "the groups were not repaired"
         )
         cluster.check()
         cluster.check_machines()
--- a/testing/fakes/control_cluster.py
+++ b/testing/fakes/control_cluster.py
@@ -444,7 +444,7 @@
         state = leader.log.driver.core.replicas[group].state
         return [p.replica.instance for p in state.configuration.voters]
 
-    def whole(self) -> bool:
+    def is_healthy(self) -> bool:
         """Returns whether each group has a leader and all its voters run."""
         for group in (machine.GROUP, OTHER_GROUP):
             leader = self.leader(group)
--- a/testing/test_control_instances.py
+++ b/testing/test_control_instances.py
@@ -35,7 +35,7 @@
         options.size = size
         cluster = control_cluster.Cluster(seed, options)
         try:
-            assert until(cluster.whole)
+            assert until(cluster.is_healthy)
             cluster.push()
             return scenario(cluster)
         finally:
