--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -312,7 +312,7 @@
                 )
             )
         return operator_messages.EvacuationStatus(
-            evacuator.done(instance, state.emptied())
+            evacuator.is_complete(instance, state.emptied())
         )
 
     def _audit_refusal(
--- a/src/mintcleat/roles/control/replication/evacuation.py
+++ b/src/mintcleat/roles/control/replication/evacuation.py
@@ -59,7 +59,7 @@
                 f"and the groups need {MIN_INSTANCES}."
             )
 
-    def done(self, instance: str, emptied: frozenset[str]) -> bool:
+    def is_complete(self, instance: str, emptied: frozenset[str]) -> bool:
         """Returns whether an evacuated instance has no replica any more.
 
         The leader of each group is asked, because another replica may not
