--- a/src/mintcleat/main/hosted.py
+++ b/src/mintcleat/main/hosted.py
@@ -252,7 +252,7 @@
 
     def sizes(self) -> dict[str, int]:
         """Returns the sizes of what grows with the load, by name."""
-        return self.wrapped.log.held()
+        return self.wrapped.log.resource_usage()
 
     def in_flight(self) -> int:
         """Returns the number of requests without a response."""
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -54,7 +54,7 @@
         self.index += 1
         return self.machine.apply(self.index, commands.encode(command))
 
-    def date(self) -> float:
+    def steady_time(self) -> float:
         return self.timers.wall_time()
 
 
@@ -72,7 +72,7 @@
         self.leader = Leader(state)
         self.leader.index = old.index
         self.registrar = registrar.Registrar(self.leader)
-        self.registrar.take_lead()
+        self.registrar.on_elected()
         self.directory = state.directory
 
 
@@ -140,12 +140,12 @@
 
     def test_expiry_of_an_incarnation_spares_the_next_one(self) -> None:
         self.registrar.register(registration(100, 1))
-        self.leader.timers.advance(registrar.SILENCE + 0.1)
+        self.leader.timers.advance(registrar.SILENCE_SECONDS + 0.1)
         self.registrar.tick()
         self.registrar.register(registration(200, 1))
         self.leader.timers.advance(0.1)
         self.assertEqual(200, self.directory.entries["e1"].started)
-        self.assertIn("e1", self.registrar.heard)
+        self.assertIn("e1", self.registrar.last_registrations)
 
     def test_ended_incarnation_is_remembered_across_clock_steps(self) -> None:
         """The leader's wall clock is stepped by an hour, forward and back.
@@ -303,7 +303,7 @@
         self.leader = Leader(state)
         self.leader.index = index
         self.registrar = registrar.Registrar(self.leader)
-        self.registrar.take_lead()
+        self.registrar.on_elected()
         # A new leader knows the sequence numbers of changes only: renewals
         # were known to the old leader alone.
         self.newest = {
