--- a/src/mintcleat/roles/entry/customer_calls.py
+++ b/src/mintcleat/roles/entry/customer_calls.py
@@ -103,4 +103,4 @@
         if self.calls.view_program(program).customer != self.customer:
             # The same text as for a program that doesn't exist, so that it
             # reveals nothing about other customers' programs.
-            raise errors.UnknownProgram(f"No program {program}.")
+            raise errors.UnknownProgram(f"Program {program} does not exist.")
--- a/testing/test_own_customers.py
+++ b/testing/test_own_customers.py
@@ -106,6 +106,28 @@
         own = self.send("GET", "/v1/programs/p", FARMERS_KEY)
         self.assertEqual("open", own.json()["state"])
 
+    def test_unknown_and_another_customers_program_are_answered_alike(
+        self,
+    ) -> None:
+        # Any difference would tell a customer that the program exists.
+        self.create_program(FARMERS_KEY, id="the-farmers-own")
+        for method, path in (
+            ("GET", "/v1/programs/{}"),
+            ("GET", "/v1/programs/{}/history"),
+            ("DELETE", "/v1/programs/{}"),
+        ):
+            anothers = self.error_of("the-farmers-own", method, path)
+            unknown = self.error_of("owned-by-nobody", method, path)
+            self.assertEqual(404, unknown["http_status"])
+            self.assertEqual(unknown, anothers)
+
+    def error_of(self, program: str, method: str, path: str) -> dict[str, Any]:
+        """Returns an error without its request id and the program's id."""
+        answer = self.send(method, path.format(program), STUDIOS_KEY)
+        problem = json.loads(answer.data.decode().replace(program, "ID"))
+        del problem["request_id"]
+        return {"http_status": answer.status, **problem}
+
     def test_key_is_not_forwarded_to_upstreams(self) -> None:
         answer = self.send("GET", "/v1/services/dispatch/a", FARMERS_KEY)
         self.assertEqual(200, answer.status)
