--- a/src/mintcleat/platform/callers.py
+++ b/src/mintcleat/platform/callers.py
@@ -97,7 +97,9 @@
                 send_error(reply, error, request_id)
         except Exception:
             if not reply.started:
-                failure = errors.MintcleatError("This process has a fault.")
+                failure = errors.MintcleatError(
+                    "An unexpected error occurred in this process."
+                )
                 send_error(reply, failure, request_id)
             raise
 
@@ -133,7 +135,7 @@
     """
     header = request.header
     if not header(REQUEST_ID):
-        raise errors.BadRequest("The request carries no id.")
+        raise errors.BadRequest(f"The request has no header {REQUEST_ID}.")
     listed = {name.strip().lower() for name in header("connection").split(",")}
     dropped = _DROPPED_FIELDS | listed
     return routed_calls.RoutedCall(
@@ -183,9 +185,14 @@
     try:
         value = float(text)
     except ValueError:
-        raise errors.BadRequest(f"{text!r} is no number.") from None
+        raise errors.BadRequest(
+            f"Expected a number in a header, but found {text!r}."
+        ) from None
     if not 0.0 <= value < 2.0**53:
-        raise errors.BadRequest(f"{text!r} is out of range.")
+        raise errors.BadRequest(
+            "Expected a number from 0 to below 2**53 in a header, but found "
+            f"{text!r}."
+        )
     return value
 
 
--- a/src/mintcleat/platform/configuration.py
+++ b/src/mintcleat/platform/configuration.py
@@ -1,5 +1,6 @@
 """Converts the operators' configuration to a manifest."""
 
+import reprlib
 from typing import Any
 
 import msgspec
@@ -22,7 +23,10 @@
     """
     version = _decode(body).get("version")
     if not isinstance(version, int) or version < 1:
-        raise errors.InvalidManifest("$.version: must be a number above 0.")
+        raise errors.InvalidManifest(
+            "$.version: must be an integer above 0, but is "
+            f"{reprlib.repr(version)}."
+        )
     return version
 
 
@@ -55,7 +59,7 @@
         return msgspec.json.encode(built).decode()
     except (KeyError, TypeError, AttributeError, ValueError) as error:
         raise errors.InvalidManifest(
-            f"$: a field is missing or of another type: {error!r}."
+            f"$: a field is missing, of the wrong type or repeated: {error!r}."
         ) from None
 
 
@@ -63,9 +67,13 @@
     try:
         fields = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeError) as error:
-        raise errors.InvalidManifest(f"$: no valid JSON: {error}.") from None
+        raise errors.InvalidManifest(
+            f"$: must be valid JSON: {error}."
+        ) from None
     if not isinstance(fields, dict):
-        raise errors.InvalidManifest("$: must be an object.")
+        raise errors.InvalidManifest(
+            f"$: must be an object, but is of type {type(fields).__name__}."
+        )
     return fields
 
 
@@ -73,7 +81,9 @@
     built: dict[str, Any] = {}
     for item in items:
         if item["name"] in built:
-            raise ValueError(f"the name {item['name']!r} comes twice")
+            raise ValueError(
+                f"the name {item['name']!r} occurs twice; names must be unique"
+            )
         built[item["name"]] = build(item)
     return built
 
--- a/src/mintcleat/platform/control_api.py
+++ b/src/mintcleat/platform/control_api.py
@@ -1,5 +1,6 @@
 """The HTTP API of control for the platform's operators and upstreams."""
 
+import reprlib
 from typing import Any
 from typing import Protocol
 
@@ -95,7 +96,9 @@
                 return self._evacuate(
                     text.removeprefix(_EVACUATE_STATUS), False
                 )
-        raise errors.UnknownRoute(f"No {request.method} {path} here.")
+        raise errors.UnknownRoute(
+            f"The control API has no {request.method} {path}."
+        )
 
     def _submit(self, message: Any) -> bytes:
         self.config.ask(message, self.timeout)
@@ -118,7 +121,10 @@
     def _get_configuration(self) -> bytes:
         view = self.config.ask(config_messages.ReadManifest(), self.timeout)
         if not view.version:
-            raise errors.ControlUnavailable("No configuration was pushed yet.")
+            raise errors.ControlUnavailable(
+                "No configuration has been pushed yet; push one with "
+                "POST /v1/Configuration.Put."
+            )
         return view.source.encode()
 
     def _heartbeat(self, upstream: str, request: http1_server.Request) -> bytes:
@@ -189,19 +195,31 @@
         type(started) is not int
         or not 0 <= started <= registrations.MAX_INTEGER
     ):
-        raise errors.BadRequest(f"No start of a life: {_STARTED}.")
+        raise errors.BadRequest(
+            f"{_STARTED} must be an integer from 0 to "
+            f"{registrations.MAX_INTEGER}, but is "
+            f"{reprlib.repr(started)}."
+        )
     return started
 
 
 def _decode_object(body: bytes) -> dict[str, Any]:
     if len(body) > _MAX_HEARTBEAT_BYTES:
-        raise errors.BadRequest(f"No heartbeat: {len(body)} bytes.")
+        raise errors.BadRequest(
+            f"The body has {len(body)} bytes; at most {_MAX_HEARTBEAT_BYTES} "
+            "are allowed."
+        )
     try:
         fields = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
-        raise errors.BadRequest(f"No heartbeat: {error}.") from None
+        raise errors.BadRequest(
+            f"The body must be a JSON object: {error}."
+        ) from None
     if not isinstance(fields, dict):
-        raise errors.BadRequest("No heartbeat: not an object.")
+        raise errors.BadRequest(
+            "The body must be a JSON object, but is of type "
+            f"{type(fields).__name__}."
+        )
     return fields
 
 
--- a/src/mintcleat/platform/machine_settings.py
+++ b/src/mintcleat/platform/machine_settings.py
@@ -111,13 +111,13 @@
         return translate(fields, role)
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise errors.InvalidSettings(
-            f"{path} can't be read: {error}.",
-            remedy="Let the platform write the file anew.",
+            f"The settings file {path} can't be read: {error}.",
+            remedy="Let the platform write the file again.",
         ) from None
     except KeyError as error:
         raise errors.InvalidSettings(
-            f"{path} lacks the field {error}.",
-            remedy="Let the platform write the file anew.",
+            f"The settings file {path} has no field {error}.",
+            remedy="Let the platform write the file again.",
         ) from None
 
 
--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -125,18 +125,28 @@
         """
         if status == _WRONG_UPSTREAM:
             raise errors.WrongUpstream(
-                f"{self.upstream.address} is another upstream by now."
+                f"Expected upstream {self.upstream.upstream} at "
+                f"{self.upstream.address}, but it answered {status}: another "
+                "upstream has this address now."
             )
         if _NOT_EXECUTED in self.fields:
             with contextlib.suppress(errors.StreamClosed):
                 self.body()
             raise errors.UpstreamBusy(
-                f"{self.upstream.upstream} took no more and said {status}."
+                f"Upstream {self.upstream.upstream} refused the request with "
+                f"status {status} and {_NOT_EXECUTED}."
             )
         if "content-encoding" in self.fields:
-            raise errors.StreamClosed("The answer's body is encoded.")
+            raise errors.StreamClosed(
+                f"Expected a response of {self.upstream.upstream} without "
+                "content-encoding, but found "
+                f"{self.fields['content-encoding']!r}."
+            )
         if status in _SUCCESS and _SIGNATURE not in self.fields:
-            raise errors.StreamClosed("The answer bears no mark.")
+            raise errors.StreamClosed(
+                f"The response of {self.upstream.upstream} with status "
+                f"{status} has no header {_SIGNATURE}."
+            )
 
 
 def _headers(
@@ -170,7 +180,9 @@
             return head
         connection.skip_response()
     raise errors.StreamClosed(
-        f"{connection.address} answers other requests only."
+        f"Expected a response of {connection.address} to request "
+        f"{request!r}, but found {_MAX_SKIPPED_RESPONSES} responses with "
+        f"another {callers.REQUEST_ID}."
     )
 
 
