--- a/bench/limits.py
+++ b/bench/limits.py
@@ -35,7 +35,7 @@
     """One entry's own part of a way."""
 
     def __init__(self) -> None:
-        self.ahead = decisions.RequestPrefetch()
+        self.ahead = decisions.CountAhead()
         self.sent: dict[str, collections.deque[float]] = {}
 
 
@@ -128,7 +128,7 @@
         if self.held.admit(customer, program, LIMIT, now) is not None:
             return False
         if self.way == "ahead" and is_turn:
-            wanted = entry.ahead.prefetch_count(customer, now)
+            wanted = entry.ahead.requests_ahead(customer, now)
             given = self.held.count_ahead(customer, wanted, LIMIT, now)
             entry.ahead.put(customer, given, now + limits.AHEAD_SECONDS)
         return True
--- a/src/mintcleat/decisions/limits.py
+++ b/src/mintcleat/decisions/limits.py
@@ -4,7 +4,7 @@
 entries, each of which sees less than one request per second. If an entry asked
 control before every tool call, each would be delayed by a commit. If it had
 requests counted long before it needs them, other entries would refuse requests
-within the limit. So a turn also prefetches the requests expected to follow it.
+within the limit. So a turn also counts ahead the requests expected after it.
 """
 
 import collections
@@ -58,17 +58,17 @@
 
 
 class CountedRequests(NamedTuple):
-    """Requests that were counted in advance; valid until the time `until`."""
+    """Requests that were counted ahead; valid until the time `until`."""
 
     count: int
     until: float
 
 
-class RequestPrefetch:
-    """Requests counted in advance, and how many more to ask for.
+class CountAhead:
+    """Requests counted ahead, and how many more to ask for.
 
     Attributes:
-        requests: Requests counted in advance, by customer, oldest first.
+        requests: Requests counted ahead, by customer, oldest first.
         turns: Decaying count of turns of customers with limits.
         calls: Decaying count of their other requests.
     """
@@ -78,8 +78,8 @@
         self.turns = 0.0
         self.calls = 0.0
 
-    def prefetch_count(self, customer: str, now: float) -> int:
-        """Returns how many requests to have counted with a turn."""
+    def requests_ahead(self, customer: str, now: float) -> int:
+        """Returns how many requests to count ahead with a turn."""
         self.turns = self.turns * _DECAY + 1.0
         self.calls *= _DECAY
         return max(
--- a/src/mintcleat/domain/events.py
+++ b/src/mintcleat/domain/events.py
@@ -187,7 +187,7 @@
 class CallCounted(NamedTuple):
     """Control counted a call against its customer's limit before it was sent.
 
-    Calls that were counted in advance, with an earlier turn, have no such
+    Calls that were counted ahead, with an earlier turn, have no such
     line.
 
     Attributes:
--- a/src/mintcleat/domain/program_messages.py
+++ b/src/mintcleat/domain/program_messages.py
@@ -68,7 +68,7 @@
         customer: Owner of the program; empty for none. Programs and turns are
             visible to their owner only.
         limit: Rate limit of the customer; None for no limit.
-        ahead: Number of further requests to count in advance, for calls that
+        ahead: Number of further requests to count ahead, for calls that
             will follow the turn.
     """
 
@@ -113,7 +113,7 @@
         others: Running calls of other entries by incarnation of the upstream.
         counted_at: Group clock at which the request was counted against the
             customer's limit; negative if it was not counted.
-        ahead: Number of requests that were counted in advance.
+        ahead: Number of requests that were counted ahead.
     """
 
     chain: list[KeptTurn]
@@ -141,7 +141,7 @@
     """Answer to CountCall: the request may be sent.
 
     Attributes:
-        ahead: Number of requests that were counted in advance.
+        ahead: Number of requests that were counted ahead.
     """
 
     ahead: int = 0
--- a/src/mintcleat/roles/entry/rate_limiter.py
+++ b/src/mintcleat/roles/entry/rate_limiter.py
@@ -2,7 +2,7 @@
 
 A program group counts the requests of a customer. A request that opens a turn
 is counted in the commit that opens the turn. Any other request takes a commit
-of its own, unless an earlier commit prefetched an allowance for it.
+of its own, unless an earlier commit counted it ahead.
 """
 
 from typing import Any
@@ -35,7 +35,7 @@
     """Counts requests at the groups that hold their customers' limits.
 
     Attributes:
-        prefetched: Requests counted in advance and not used yet.
+        counted_ahead: Requests counted ahead and not used yet.
         waiting: Requests that wait here until their limit admits them.
     """
 
@@ -50,7 +50,7 @@
         self.configuration = configuration
         self.timers = timers
         self.events = events
-        self.prefetched = limits.RequestPrefetch()
+        self.counted_ahead = limits.CountAhead()
         self.waiting = 0
 
     def limit_of(self, customer: str) -> program_messages.RateLimit | None:
@@ -80,7 +80,7 @@
         """
         limit = self.limit_of(customer)
         now = self.timers.now()
-        if limit is None or self.prefetched.take(customer, now):
+        if limit is None or self.counted_ahead.take(customer, now):
             return
         scope = placement.limit_scope(customer)
         count = program_messages.CountCall(customer, program, limit)
@@ -129,7 +129,7 @@
                 self._wait(seconds)
             else:
                 until = began + counting.AHEAD_SECONDS
-                self.prefetched.put(request.customer, reply.ahead, until)
+                self.counted_ahead.put(request.customer, reply.ahead, until)
                 return reply
 
     def _wait(self, seconds: float) -> None:
--- a/src/mintcleat/roles/entry/turn_client.py
+++ b/src/mintcleat/roles/entry/turn_client.py
@@ -145,7 +145,7 @@
         began = self.timers.now()
         ahead = 0
         if limit:
-            ahead = self.rate_limiter.prefetched.prefetch_count(
+            ahead = self.rate_limiter.counted_ahead.requests_ahead(
                 call.customer, began
             )
         request = program_messages.OpenTurn(
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -167,7 +167,7 @@
     """An entry that may freeze between counting a request and sending it."""
 
     def __init__(self) -> None:
-        self.ahead = decisions.RequestPrefetch()
+        self.ahead = decisions.CountAhead()
         self.frozen_until = 0.0
 
 
@@ -306,7 +306,7 @@
         self.assertGreater(found, 10)
 
     def test_requests_counted_ahead_expire(self) -> None:
-        ahead = decisions.RequestPrefetch()
+        ahead = decisions.CountAhead()
         ahead.put("farmers", 3, until=1.0)
         self.assertTrue(ahead.take("farmers", 0.9))
         self.assertFalse(ahead.take("farmers", 6.0))
