--- a/src/mintcleat/decisions/admission.py
+++ b/src/mintcleat/decisions/admission.py
@@ -12,8 +12,8 @@
 from mintcleat.decisions import calls
 
 # Fraction of the maximum wait at which a program's first call is refused.
-# Refusing a later call wastes the work done for the program so far, so an
-# overload is shed at first calls.
+# Refusing a later call wastes the work done for the program so far, so load is
+# shed by refusing first calls.
 NEW_PROGRAM_SHARE = 1 / 3
 # Safety factor on predicted times: a call is admitted only if it meets its
 # deadline even when wait and service take this many times the prediction.
@@ -25,7 +25,7 @@
 
 
 class Refuse(NamedTuple):
-    """The call is refused.
+    """A refusal of a call.
 
     Attributes:
         kind: Kind of the typed error in `domain.errors`.
@@ -122,22 +122,34 @@
             self.active_weight = 0.0
 
     def serve(self, flow: str, weight: float, service: float) -> None:
-        """Charges a flow for a call that starts, by its expected service."""
+        """Charges a flow for a call that starts.
+
+        Args:
+            flow: The flow that the call belongs to.
+            weight: Weight of the flow.
+            service: Expected service time of the call in seconds.
+        """
         start = max(self.virtual_time, self.start_tags.get(flow, 0.0))
         self.virtual_time = start
         self._move(flow, start + service / weight)
 
     def correct(self, flow: str, weight: float, difference: float) -> None:
-        """Charges a flow for service beyond (or below) the expectation."""
+        """Adjusts the charge for a call that ended.
+
+        Args:
+            flow: The flow that the call belongs to.
+            weight: Weight of the flow.
+            difference: Actual minus expected service time in seconds.
+        """
         start = self.start_tags.get(flow)
         if start is not None:
             self._move(flow, start + difference / weight)
 
     def drop_idle(self) -> None:
-        """Drops idle flows whose start tag lies in the past.
+        """Drops idle flows whose start tag isn't ahead of the virtual time.
 
-        It bounds the memory that thousands of occasional customers take. Only
-        flows that are backlogged or ahead of the virtual time carry state.
+        They would restart at the virtual time anyway. Without this, thousands
+        of occasional customers would take memory for ever.
         """
         if len(self.start_tags) <= _MAX_IDLE_FLOWS + len(self.weights):
             return
--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -1,8 +1,8 @@
 """Retention of a program's KV cache while its tool runs.
 
-For engines whose memory holds fewer histories than there are programs in
-progress. If caches were dropped at each pause, every turn would recompute its
-history. If they were held without limit, hung and abandoned programs would
+Applies to engines whose memory holds fewer histories than there are programs
+in progress. If caches were dropped at each pause, every turn would recompute
+its history. If they were held without limit, hung and abandoned programs would
 take the memory. And eviction by age drops the caches that are about to be used.
 
 So each cache is held, exported or dropped by expected cost, based on the
@@ -23,7 +23,7 @@
 # nothing is held for more than ten minutes.
 MIN_HUNG_SECONDS = 30.0
 MAX_HUNG_SECONDS = 600.0
-# Histograms to keep, about 400 bytes each.
+# Maximum number of histograms, about 400 bytes each.
 MAX_TOOLS = 512
 # A cache that will be used within this time isn't worth evicting: recomputing
 # an average history on a shared engine takes about as long.
@@ -239,6 +239,7 @@
         if paused.waiting:
             return math.inf
         if not self.options.by_pause:
+            # The cache of the longest pause has the lowest value.
             return paused.since
         histogram = self.histogram(paused.tool)
         elapsed = now - paused.since
@@ -270,6 +271,7 @@
     def _evict(self, paused: Paused) -> Action:
         self._forget(paused.program)
         rate = self.options.export_rate
+        # The cache is transferred twice: by the export and by the import.
         if rate and 2 * self.options.prefill_rate < rate:
             return Export(paused.program)
         return Drop(paused.program)
--- a/src/mintcleat/decisions/class_queue.py
+++ b/src/mintcleat/decisions/class_queue.py
@@ -129,11 +129,14 @@
             self.total_service = 0.0
 
     def service_before(self, flow: str, key: float) -> float:
-        """Returns the flow's service scheduled before `key`, in seconds."""
-        known = self.flows.get(flow)
-        if known is None:
+        """Returns the flow's service scheduled before `key`, in seconds.
+
+        It is estimated from the mean service of the flow's calls.
+        """
+        waiting = self.flows.get(flow)
+        if waiting is None:
             return 0.0
-        return known.work * known.count_before(key) / len(known)
+        return waiting.work * waiting.count_before(key) / len(waiting)
 
     def share(self, flow: str, weight: float) -> float:
         """Returns the fraction of this queue's service the flow would get."""
--- a/src/mintcleat/decisions/concurrency.py
+++ b/src/mintcleat/decisions/concurrency.py
@@ -20,9 +20,11 @@
 # stronger sign of overload.
 _SLOW_FACTOR = 0.9
 _FAILURE_FACTOR = 0.7
-# Relative increase of the best value per round of calls, so that a single
-# unusually fast sample or a former speed doesn't lower the limit for ever.
+# Relative increase of the baseline per round of calls. Otherwise one unusually
+# fast sample, or a speed that the upstream no longer has, would keep the limit
+# low for ever.
 _BEST_DRIFT = 0.0005
+# Weight of a new sample in the moving average.
 _SMOOTHING = 1 / 8
 
 
@@ -66,8 +68,8 @@
         if not outcome.ok:
             self._reduce(_FAILURE_FACTOR, now, outcome.seconds)
             return
-        work = max(1, outcome.generated)
-        sample = (outcome.seconds - outcome.first_token) / work
+        tokens = max(1, outcome.generated)
+        sample = (outcome.seconds - outcome.first_token) / tokens
         if self.best_token_time == 0.0:
             self.best_token_time = self.token_time = sample
         self.token_time += (sample - self.token_time) * _SMOOTHING
--- a/src/mintcleat/decisions/control_outage.py
+++ b/src/mintcleat/decisions/control_outage.py
@@ -1,4 +1,4 @@
-"""Waiting limits of an entry that can't reach control.
+"""How long an entry holds requests while control can't record their turns.
 
 An entry that is disconnected from control can't record the turns of its
 callers, while other entries still can. If it held requests for as long as an
--- a/src/mintcleat/decisions/limits.py
+++ b/src/mintcleat/decisions/limits.py
@@ -1,10 +1,11 @@
-"""Rate limits of customers at an entry, apart from the counting in control.
+"""Rate limits of customers, as applied by an entry and counted by control.
 
 A customer can have a limit of a few requests per second and use twenty or more
 entries, each of which sees less than one request per second. If an entry asked
 control before every tool call, each would be delayed by a commit. If it had
 requests counted long before it needs them, other entries would refuse requests
-within the limit. So a turn also prefetches the requests expected to follow it.
+within the limit. So the message that opens a turn also asks control to count
+the requests that are expected to follow it.
 """
 
 import collections
@@ -45,7 +46,7 @@
     and the rest of the limit is left to programs that have started.
 
     Args:
-        wait: Seconds until the request may be sent, from the program group.
+        wait: Seconds until the request may be sent, as control replied.
         waited: Seconds that it has been held already.
         held: Other requests that are held here.
 
--- a/src/mintcleat/decisions/load_balancing.py
+++ b/src/mintcleat/decisions/load_balancing.py
@@ -12,7 +12,8 @@
 
 import xxhash
 
-# Reasons of a choice.
+# Reasons of a choice: the upstream has the program's cache, it is preferred for
+# the affinity key, or it is the least loaded of those compared.
 RESIDENT = "resident"
 AFFINITY = "affinity"
 LEAST = "least"
@@ -163,6 +164,6 @@
         found = {}
         for name, latency in known.items():
             excess = max(0.0, latency.mean / median - 1.0)
-            age = 0.5 ** ((now - latency.updated_at) / SLOWDOWN_HALF_LIFE)
-            found[name] = 1.0 + excess * age
+            decay = 0.5 ** ((now - latency.updated_at) / SLOWDOWN_HALF_LIFE)
+            found[name] = 1.0 + excess * decay
         return found
--- a/src/mintcleat/decisions/migration.py
+++ b/src/mintcleat/decisions/migration.py
@@ -154,5 +154,6 @@
 ) -> bool:
     if not source.export_rate:
         return False
-    moving = 2 * paused.tokens / source.export_rate
-    return moving < paused.tokens / max(target.prefill_rate, 1.0)
+    # The cache is transferred twice: by the export and by the import.
+    transfer_seconds = 2 * paused.tokens / source.export_rate
+    return transfer_seconds < paused.tokens / max(target.prefill_rate, 1.0)
--- a/src/mintcleat/decisions/outliers.py
+++ b/src/mintcleat/decisions/outliers.py
@@ -7,7 +7,8 @@
 
 from typing import NamedTuple
 
-# Factor over the median latency that load alone doesn't explain.
+# An upstream whose latency exceeds the median by this factor is slow. Load
+# alone doesn't cause such a difference.
 SLOW_FACTOR = 4.0
 # Fraction of failed calls above which an upstream is ejected, and the number of
 # calls needed before the fraction counts.
@@ -16,9 +17,11 @@
 # Maximum fraction of ejected upstreams. If more look bad, they have a common
 # cause (overload, a bad deployment), and ejecting them would overload the rest.
 MAX_EJECTED = 0.25
-# Duration of the first ejection; it doubles each time up to the maximum.
+# Duration of the first ejection; it doubles with each consecutive one, up to
+# the maximum.
 EJECT_SECONDS = 5.0
 MAX_EJECT_SECONDS = 120.0
+# Weight of a new sample in the moving average of failed calls.
 _GAIN = 1 / 4
 
 
@@ -95,9 +98,9 @@
         """Returns an ejected upstream to probe with one call, or None."""
         for name in sorted(self.ejected):
             record = self.records[name]
-            idle = now - record.probe_started_at >= PROBE_TIMEOUT
+            timed_out = now - record.probe_started_at >= PROBE_TIMEOUT
             if now >= record.ejected_until and (
-                not record.probe_started_at or idle
+                not record.probe_started_at or timed_out
             ):
                 return name
         return None
--- a/src/mintcleat/decisions/pauses.py
+++ b/src/mintcleat/decisions/pauses.py
@@ -10,6 +10,8 @@
 # Assumed duration and probability of return without enough samples.
 FALLBACK_SECONDS = 5.0
 FALLBACK_RETURN_PROBABILITY = 0.9
+# Lower bound of the first bucket, ratio of the bounds of consecutive buckets,
+# and number of buckets.
 _MIN_SECONDS = 0.01
 _GROWTH = math.sqrt(2.0)
 _BUCKETS = 48
@@ -55,6 +57,7 @@
         if not self.has_evidence():
             return FALLBACK_RETURN_PROBABILITY
         later = sum(self.counts[_bucket(elapsed) :])
+        # The small terms avoid a division by zero.
         return (later + 0.01) / (later + self.abandoned + 0.02)
 
     def mean_remaining(self, elapsed: float) -> float:
--- a/src/mintcleat/decisions/placement.py
+++ b/src/mintcleat/decisions/placement.py
@@ -1,10 +1,10 @@
 """An entry's choice of an upstream for one call.
 
-Weighs the prefix cache against load. Calls that always went to the upstream
-with the cached history would overload it while others are idle. Calls that
-always went to the least loaded upstream would recompute the history at each
-turn, and since load reports lag, all entries would pick the same upstream
-until the next report.
+Weighs the prefix cache against load. If calls always went to the upstream with
+the cached history, it could be overloaded while others are idle. If they always
+went to the least loaded upstream, the history would be recomputed at each turn;
+and since load reports lag, all entries would pick the same upstream until the
+next report.
 """
 
 import statistics
@@ -26,6 +26,7 @@
 MOVE_PENALTY = 6.0
 # Upstreams outside the subset are dropped when no report came for this long.
 FORGET_SECONDS = 600.0
+# State in the load report of an upstream that accepts calls.
 READY = "ready"
 
 
@@ -105,8 +106,8 @@
 
     def take(self, report: call_messages.LoadReport, now: float) -> bool:
         """Stores a report; returns False if it is older than the current."""
-        age = (report.sidecar.epoch, report.counter)
-        if age < (self.report.sidecar.epoch, self.report.counter):
+        version = (report.sidecar.epoch, report.counter)
+        if version < (self.report.sidecar.epoch, self.report.counter):
             return False
         self.report = report
         self.received_at = now
@@ -216,10 +217,13 @@
         self.outliers.report_slowness(name, slowness, len(self.subset), now)
 
 
-def _median(values: list[float], otherwise: float) -> float:
-    """Returns the median of the measured values; 0 means not measured."""
+def _median(values: list[float], default: float) -> float:
+    """Returns the median of the measured values, or `default` without any.
+
+    Values of 0 were not measured.
+    """
     measured = [value for value in values if value > 0]
-    return statistics.median(measured) if measured else otherwise
+    return statistics.median(measured) if measured else default
 
 
 def choose(
@@ -283,7 +287,8 @@
 ) -> list[str]:
     """Returns up to two upstreams that accept calls, by a hash of the call.
 
-    If all ready upstreams are ejected, they are used rather than refusing.
+    If all ready upstreams are ejected, they are used rather than refusing the
+    call.
     """
     total = len(fleet.subset)
     if not total:
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -1,6 +1,6 @@
 """Admission control and scheduling of calls at one upstream.
 
-The gate reads no clock: every method takes the current time in seconds. The
+`Gate` reads no clock: the current time in seconds is passed to it. The
 sidecar calls `offer` for each call, `next` whenever one may start (after
 `offer`, `finished`, `cancel` and `configure`), `finished` when a started call
 ends, and `expire` a few times a second.
@@ -293,7 +293,7 @@
     def _slot_wait(
         self, item: class_queue.QueueItem, queue: class_queue.ClassQueue
     ) -> float:
-        """Returns the service time scheduled earlier, divided by the slots.
+        """Returns the service time scheduled before a call, per slot.
 
         Calls of other customers count only as far as fair queueing serves
         them first, so a burst leads to refusals for its own customer only.
@@ -308,13 +308,13 @@
         shared = min(
             queue.total_service + own, own / queue.share(item.flow, weight)
         )
-        other = self._other(item.klass)
+        other = self._other_class(item.klass)
         if other.count:
-            part = CLASS_WEIGHTS[item.klass]
-            shared = min(shared + other.total_service, shared / part)
+            class_share = CLASS_WEIGHTS[item.klass]
+            shared = min(shared + other.total_service, shared / class_share)
         return shared / limit
 
-    def _other(self, klass: str) -> class_queue.ClassQueue:
+    def _other_class(self, klass: str) -> class_queue.ClassQueue:
         if klass == calls.BATCH:
             return self.queues[calls.INTERACTIVE]
         return self.queues[calls.BATCH]
--- a/src/mintcleat/decisions/remaining_work.py
+++ b/src/mintcleat/decisions/remaining_work.py
@@ -12,8 +12,8 @@
 # Finished programs needed for an estimate. With fewer, a single unusual program
 # would determine the order of the whole queue.
 MIN_EVIDENCE = 8
-# Samples after which a histogram is halved, so that it adapts to a changed
-# agent within this many finished programs.
+# Samples after which all counts are halved, so that the histogram adapts to a
+# changed agent within this many finished programs.
 MAX_SAMPLES = 512
 # Mean tokens of a program, assumed until some have finished.
 INITIAL_MEAN_TOKENS = 4000.0
--- a/src/mintcleat/decisions/retry.py
+++ b/src/mintcleat/decisions/retry.py
@@ -1,8 +1,8 @@
-"""Retry budget: retries are a fraction of successes.
+"""Retry budget: limits retries to a fraction of successes.
 
-Made for an overload or an outage, when nearly every call fails. Without a
-budget each entry repeats each failed call, the offered load doubles or
-trebles, and the overload feeds itself after its cause has gone.
+It matters in an overload or an outage, when nearly every call fails. Without a
+budget each entry repeats each failed call, the offered load doubles or triples,
+and the retries keep up the overload after its cause is gone.
 """
 
 # One retry per ten successes adds at most a tenth to the offered load.
--- a/src/mintcleat/decisions/routes.py
+++ b/src/mintcleat/decisions/routes.py
@@ -17,8 +17,9 @@
 class Table:
     """The routes of one configuration revision, indexed for lookup.
 
-    A lookup takes time by the number of path segments, not of routes: an
-    operator may add thousands of routes while entries are busy.
+    The time of a lookup depends on the number of path segments, not on the
+    number of routes: an operator may add thousands of them while entries are
+    busy.
 
     Attributes:
         hosts: Routes by host and prefix.
--- a/src/mintcleat/decisions/shared_load.py
+++ b/src/mintcleat/decisions/shared_load.py
@@ -1,9 +1,9 @@
 """How many requests run at each upstream, summed over all entries.
 
-Several entries share the upstreams. If each knew only its own requests, chance
-would put 19 of them on one engine with 16 slots while another has two, and
-programs at the former would wait for a whole turn. So entries report what they
-have running to the leader that opens their turns, within the request that
+Several entries share the upstreams. If each knew only its own requests, random
+variation could put 19 requests on one engine with 16 slots and two on another,
+and programs at the former would wait for a whole turn. So entries report what
+they have running to the leader that opens their turns, within the request that
 opens a turn, and the reply has the counts of the other entries.
 
 With a few turns per second and entry, a count is about 50 ms old. One entry
--- a/src/mintcleat/decisions/slots.py
+++ b/src/mintcleat/decisions/slots.py
@@ -170,8 +170,8 @@
             return False
         if item.call.suspect and self.suspects:
             return False
-        top = self.options.max_running.get(item.call.customer, 0)
-        if top and self.running_of.get(item.flow, 0) >= top:
+        max_running = self.options.max_running.get(item.call.customer, 0)
+        if max_running and self.running_of.get(item.flow, 0) >= max_running:
             return False
         if item.klass == calls.BATCH:
             batch_slots = max(1, limit - int(limit * INTERACTIVE_RESERVE))
@@ -225,8 +225,8 @@
         memory = self.options.memory
         if not memory:
             return True
-        need = context(item.call)
-        if self.tokens + need > memory:
+        call_tokens = context(item.call)
+        if self.tokens + call_tokens > memory:
             return False
         if not self.options.protect or item.need == class_queue.RESIDENT:
             return True
@@ -236,7 +236,7 @@
             and waited >= PROTECTED_WAIT_SECONDS
         ):
             return True
-        return self.tokens + self.protected + need <= memory
+        return self.tokens + self.protected + call_tokens <= memory
 
     def _prefill_fits(self, item: class_queue.QueueItem) -> bool:
         seconds = self.options.prefill
--- a/src/mintcleat/decisions/upstream_health.py
+++ b/src/mintcleat/decisions/upstream_health.py
@@ -38,7 +38,8 @@
         failures: Failure count at `updated_at`, reduced by successes.
         updated_at: When `failures` last changed.
         last_failure: When a request last failed.
-        until: Until when it is excluded, if there are other upstreams.
+        until: End of its exclusion, which is ignored if no other upstream is
+            healthy.
     """
 
     failures: float
@@ -69,11 +70,11 @@
         failures = 1.0
         if before is not None:
             failures = min(MAX_FAILURES, before.current(now) + 1.0)
-        pause = min(
+        exclusion = min(
             MAX_EXCLUSION_SECONDS,
             FIRST_EXCLUSION_SECONDS * 2.0 ** (failures - 1.0),
         )
-        until = now + pause
+        until = now + exclusion
         if before is not None:
             until = max(until, before.until)
         penalty = FailurePenalty(failures, now, now, until)
--- a/src/mintcleat/decisions/workingset.py
+++ b/src/mintcleat/decisions/workingset.py
@@ -26,6 +26,7 @@
 ABSENT_SECONDS = 60.0
 # Assumed seconds between two admissions until some were measured.
 _FIRST_INTERVAL = 1.0
+# Weights of a new sample in the moving averages, and in that of the duty cycle.
 _GAIN = 1 / 8
 _DUTY_GAIN = 1 / 32
 
@@ -114,13 +115,13 @@
             return
         pause = now - ended
         agent = self.members[program].agent
-        whole = service + pause
-        if whole <= 0:
+        cycle = service + pause
+        if cycle <= 0:
             return
-        duty = (service + min(pause, MAX_COUNTED_PAUSE_SECONDS)) / whole
+        duty = (service + min(pause, MAX_COUNTED_PAUSE_SECONDS)) / cycle
         known = self.duty_cycle.get(agent, 1.0)
         # Weighted by duration, as a long pause frees memory for longer.
-        weight = min(1.0, whole / (service + MAX_COUNTED_PAUSE_SECONDS))
+        weight = min(1.0, cycle / (service + MAX_COUNTED_PAUSE_SECONDS))
         self.duty_cycle[agent] = known + (duty - known) * weight * _DUTY_GAIN
 
     def leave(self, program: str) -> None:
@@ -135,6 +136,7 @@
             return
         self.tokens -= member.footprint
         self.used[member.flow] -= member.footprint
+        # Less than a token is a rounding error.
         if self.used[member.flow] < 1.0:
             del self.used[member.flow]
 
