--- a/src/mintcleat/configuration/audit.py
+++ b/src/mintcleat/configuration/audit.py
@@ -4,11 +4,12 @@
 from typing import Any
 from typing import NamedTuple
 
-# Age and number of the entries kept, as documented for operators.
+# Maximum age in seconds and maximum number of the entries that are kept. Both
+# are documented for operators.
 KEPT_SECONDS = 7 * 86_400.0
 KEPT_ENTRIES = 20_000
-# Longest subject or outcome that is kept; a push may list thousands of
-# changed sections.
+# Maximum length of a subject or outcome; a push may list thousands of changed
+# sections.
 SUMMARY_CHARACTERS = 400
 
 
@@ -17,7 +18,7 @@
 
     Attributes:
         at: When it happened, in seconds since 1970.
-        operator: Who did it; `mintcleat` for actions nobody asked for.
+        operator: Who did it; `mintcleat` for automatic actions.
         origin: Address that the request came from.
         action: Kind of the action, such as `push` or `drain`.
         subject: What the action was applied to.
@@ -66,7 +67,7 @@
         return [self.next_number, [list(entry) for entry in self.entries]]
 
     def load(self, state: list[Any]) -> None:
-        """Replaces the state by what `state` returned."""
+        """Replaces the state with what `state` returned."""
         self.next_number = state[0]
         self.entries = deque(Entry(*entry) for entry in state[1])
 
--- a/src/mintcleat/configuration/commands.py
+++ b/src/mintcleat/configuration/commands.py
@@ -52,7 +52,7 @@
 
 
 class PushVersion(NamedTuple):
-    """Replaces the manifest if `version` is higher than the present one.
+    """Replaces the manifest if `version` is higher than that in force.
 
     Attributes:
         version: Number that the operator gave to the manifest.
@@ -90,9 +90,9 @@
     """Removes an upstream from the directory.
 
     Attributes:
-        final: Whether the upstream signed off itself, so that this
-            incarnation never comes back. One that was only silent for too
-            long may register again.
+        final: Whether the upstream deregistered itself, so that this
+            incarnation never comes back. One that was removed because it was
+            silent for too long may register again.
         at: Seconds since 1970. For people who read the log; the machine
             ignores it.
         started: Start of the incarnation in ms since 1970, by the upstream's
@@ -180,7 +180,7 @@
 
 
 class Release(NamedTuple):
-    """Removes a request from the quarantine list."""
+    """Removes a request from quarantine, or from the suspects."""
 
     digest: bytes
     operator: str
@@ -212,7 +212,7 @@
 
     Attributes:
         target: Model, version and adapters; see `plan.target_of`.
-        previous: Target to roll back to when the new one fails; empty for
+        previous: Target to roll back to if the new one fails; empty for
             none.
     """
 
@@ -304,7 +304,7 @@
 def decode(data: bytes) -> Any:
     """Returns the command that was encoded to these bytes.
 
-    Section keys that an earlier release wrote get their present names.
+    Section keys that an earlier release wrote are renamed to the present ones.
     """
     items = msgspec.msgpack.decode(data)
     command = msgspec.convert(items[1:], KINDS[items[0] - 1])
--- a/src/mintcleat/configuration/directory.py
+++ b/src/mintcleat/configuration/directory.py
@@ -1,9 +1,9 @@
 """Upstreams that registered themselves, as part of the config group's state.
 
-It is replicated, so that a registration or a leave that was acknowledged
-survives the leader. It changes only when an upstream joins, changes its state
-or leaves, which is rare. Renewals that change nothing are kept in the leader's
-memory.
+It is replicated, so that an acknowledged registration or deregistration
+survives the loss of the leader. It changes only when an upstream joins, changes
+its state or leaves, which is rare. Renewals that change nothing are kept in
+the leader's memory.
 
 An upstream may restart under the same id; each run is an incarnation of it.
 """
@@ -12,12 +12,13 @@
 
 from mintcleat.domain import member_messages
 
-# Upstreams whose ended incarnations are remembered. A delayed registration of
-# one that was dropped from here would be in force until it expires. Enough for
-# a week of 480 restarts and replacements a day; delays are in seconds.
+# Number of upstreams whose ended incarnations are remembered. A delayed
+# registration of one that is no longer remembered would be in force until it
+# expires. The number covers a week at 480 restarts and replacements a day;
+# delays are in seconds.
 ENDED_KEPT = 4_096
-# Removals that are kept for deltas. Nodes that are older than the oldest one
-# get the whole directory instead.
+# Number of removals that are kept for deltas. Nodes at a version before the
+# oldest one get the whole directory instead.
 REMOVALS_KEPT = 4_096
 
 
@@ -29,7 +30,7 @@
     their sequence number. Neither is compared with a clock of this system.
 
     Attributes:
-        version: Grows with each change that nodes must hear of.
+        version: Grows with each change that is sent to nodes.
         horizon: Oldest version from which a delta can be made.
         entries: The registrations in force, by upstream.
         changed_at: Version of the last change, by upstream.
@@ -153,7 +154,7 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Replaces the state by what `state` returned, here or earlier."""
+        """Replaces the state with what `state` returned, here or earlier."""
         self.version, self.horizon = state[:2]
         found = [member_messages.Registration(*item) for item in state[2]]
         self.entries = {item.upstream: item for item in found}
@@ -202,7 +203,7 @@
 ) -> bool:
     """Returns whether two registrations differ only in `sequence` or `cold`.
 
-    Those change with renewals, and no node needs to hear of that.
+    Those change with renewals and aren't sent to nodes for their own sake.
     """
     return one._replace(sequence=0, cold=0.0) == other._replace(
         sequence=0, cold=0.0
--- a/src/mintcleat/configuration/document.py
+++ b/src/mintcleat/configuration/document.py
@@ -12,16 +12,16 @@
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 
-# Ids of accepted pushes that are kept to recognise resends, which come within
-# minutes. Enough for two days at the design load of 9,600 changes a day.
+# Number of accepted pushes whose ids are kept to recognise resends, which come
+# within minutes. It covers two days at the design load of 9,600 changes a day.
 PUSHES_KEPT = 20_000
-# Removals of sections that are kept for deltas. Nodes that are older than the
-# oldest one get the whole manifest instead.
+# Number of removals of sections that are kept for deltas. Nodes at a revision
+# before the oldest one get the whole manifest instead.
 REMOVALS_KEPT = 5_000
 # Share of the manifest's text above which a node gets all sections instead of
-# a delta: that costs hardly more and also repairs whatever the node holds.
+# a delta: it costs hardly more and also corrects any wrong section of the node.
 WHOLE_SHARE = 0.8
-# Updates kept for further nodes. At any time the nodes are spread over few
+# Number of updates cached for other nodes. At any time the nodes are at few
 # distinct revisions.
 UPDATES_CACHED = 64
 
@@ -65,7 +65,7 @@
         pushes: Accepted compare-and-set pushes by id, oldest first.
         cached: Updates by the revision that they start from.
         assembly: The decoded sections.
-        assembled: Manifest assembled from them last.
+        assembled: Manifest that was last assembled from them.
         undecoded: Sections changed since then, by key; an empty text for a
             removed one.
         version: Highest number of a numbered push; 0 before the first.
@@ -115,7 +115,7 @@
     def push(
         self, command: commands.Push
     ) -> Accepted | errors.RevisionConflict:
-        """Applies a push, or returns the outcome of the same push before.
+        """Applies a push; a repeated push returns the outcome of the first one.
 
         The id is looked up before the revision is compared. Otherwise an
         operator who lost the answer and sends the push again would get a
@@ -154,11 +154,11 @@
 
         An update to the present or an earlier revision changes nothing.
 
-        All sections of a delta count as changed at its last revision, even
-        one whose text is the same as here: a node that another instance
-        brought to a revision in between may hold a different text. An update
-        with all sections doesn't say which of them changed, so that nodes at
-        earlier revisions get all sections in turn.
+        All sections of a delta count as changed at its last revision, even one
+        whose text is the same as here: a node that another instance updated to
+        a revision in between may hold a different text. An update with all
+        sections doesn't say which of them changed, so nodes at earlier
+        revisions get all sections from here as well.
         """
         if update.revision <= self.revision:
             return
@@ -203,7 +203,7 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Replaces the state by what `state` returned, here or earlier.
+        """Replaces the state with what `state` returned, here or earlier.
 
         Snapshots of releases without numbered pushes have 6 items, and those
         without the times of keys have 8.
--- a/src/mintcleat/configuration/fencing.py
+++ b/src/mintcleat/configuration/fencing.py
@@ -4,13 +4,13 @@
 
 
 class Gate:
-    """Admits each order once, and none that is older than another one seen.
+    """Admits orders, except those older than one that was seen before.
 
     Some engines ignore fencing tokens, so the sidecar, which is the only
-    path to its engine, checks them. The highest token is lost in a restart of
-    the sidecar. An order that a replaced leader had sent could then load an
-    old version over the new one, so no order is admitted before `learn`,
-    which takes the highest token from a linearizable read.
+    path to its engine, checks them. A restart of the sidecar loses the highest
+    token, and a delayed order of a replaced leader could then load an old
+    version over the new one. So no order is admitted before `learn` is called
+    with the highest token from a linearizable read.
 
     Attributes:
         highest: Highest token seen or learned; None before `learn`.
@@ -22,11 +22,15 @@
         self.finished = 0
 
     def learn(self, fencing_token: int) -> None:
-        """Takes the highest committed token, from a linearizable read."""
+        """Raises the lowest token that is admitted.
+
+        Args:
+            fencing_token: Highest committed token, from a linearizable read.
+        """
         self.highest = max(self.highest or 0, fencing_token)
 
     def admit(self, fencing_token: int) -> bool:
-        """Returns whether an order must be carried out; False if it was.
+        """Returns whether to carry out an order; False if it already was.
 
         Raises:
             errors.FencedOff: A newer order was seen, or `learn` wasn't called
--- a/src/mintcleat/configuration/lease.py
+++ b/src/mintcleat/configuration/lease.py
@@ -12,8 +12,8 @@
 # Interval of a node's renewals. Three may be lost before the lease expires.
 RENEW = 1.0
 # Interval of a control instance's renewals. It is shorter, so that the nodes
-# behind it get leases of at least MAX_LEASE - RELAY_RENEW, which survive two
-# lost renewals.
+# connected to it get leases of at least MAX_LEASE - RELAY_RENEW, which survive
+# two lost renewals.
 RELAY_RENEW = 0.5
 # Silence after which a node turns to another control instance. Half of its
 # lease is then left to find one.
@@ -23,8 +23,8 @@
 # configuration to give for about a second, while another one already leads.
 UNCONFIGURED_MOVE_AFTER = 0.15
 # Control instances that such a node tries before it waits for MOVE_AFTER as
-# well. That gives a configuration that takes long to arrive the time for it,
-# and ends the frequent reconnects while the quorum is lost.
+# well. A configuration that takes long to transfer then has time to arrive, and
+# nodes don't reconnect all the time while the quorum is lost.
 UNCONFIGURED_ATTEMPTS = 9
 # Lease of a sidecar's announcement.
 MEMBER_LEASE = 4.0
@@ -39,8 +39,8 @@
     Attributes:
         key_grace: Time after the end of its lease during which a node still
             accepts customers' keys. A removed key stops working everywhere
-            within `max_lease + key_grace` of the accepted push, also at nodes
-            that are cut off; a node without control serves customers for
+            within `max_lease + key_grace` of the accepted push, also at
+            disconnected nodes; a node without control serves customers for
             about that long.
     """
 
@@ -60,7 +60,7 @@
 
     It runs from the time at which the holder sent the request that the grant
     echoes. If it ran from the arrival of the grant, a delayed grant would let
-    a node that is cut off act on its revision after the granter considers the
+    a disconnected node act on its revision after the granter considers the
     lease expired.
 
     Attributes:
@@ -73,7 +73,7 @@
         self.expires = float("-inf")
 
     def renew(self, echo: float, seconds: float) -> None:
-        """Takes a grant of a request sent at `echo`.
+        """Applies the grant of a request that was sent at `echo`.
 
         A grant of 0 seconds renews nothing: the granter has no lease itself.
         """
@@ -83,7 +83,12 @@
         self.expires = max(self.expires, echo + seconds)
 
     def left(self, now: float, grace: float = 0.0) -> float:
-        """Returns the seconds left until `grace` after its end; 0 if over."""
+        """Returns the seconds left of the lease.
+
+        Args:
+            now: The holder's clock.
+            grace: Seconds added to the end of the lease.
+        """
         return max(0.0, self.expires + grace - now)
 
 
--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -23,7 +23,7 @@
 GROUP = "config"
 # Version of the snapshot format that `snapshot` writes.
 FORMAT = 2
-# Still read: snapshots of releases that had no directory of upstreams.
+# Older format that `restore` still reads; it has no directory of upstreams.
 _FORMAT_WITHOUT_DIRECTORY = 1
 # Draining in this scope moves all replicas off a control instance.
 CONTROL_SCOPE = "control"
@@ -63,7 +63,7 @@
     """The replicated state of the config group.
 
     Attributes:
-        leader_epoch: Epoch of the present config leader.
+        leader_epoch: Epoch of the config leader.
         document: The manifest in force.
         trail: The audit trail.
         ledger: Orders to upstreams, and rollouts.
@@ -265,7 +265,7 @@
         return result
 
     def emptied(self) -> frozenset[str]:
-        """Returns the control instances that shall hold no replica.
+        """Returns the control instances that must hold no replica.
 
         Those are the ones that are drained in `CONTROL_SCOPE`; some of their
         replicas may not have been moved yet.
--- a/src/mintcleat/configuration/members.py
+++ b/src/mintcleat/configuration/members.py
@@ -14,10 +14,11 @@
 
 # Source of the announcements made to this control instance itself.
 DIRECT = ""
-# Operators see how often an instance started within so many seconds.
+# Seconds within which starts of an instance are counted, so that operators see
+# instances that restart repeatedly.
 FLAP_WINDOW = 60.0
-# Removals that are kept for deltas. Nodes that are older than the oldest one
-# get the whole list instead.
+# Number of removals that are kept for deltas. Nodes at a version before the
+# oldest one get the whole list instead.
 REMOVALS_KEPT = 4_096
 
 
@@ -39,7 +40,7 @@
     """The announced upstreams, merged from all sources.
 
     Attributes:
-        version: Grows with each change that nodes must hear of.
+        version: Grows with each change that is sent to nodes.
         horizon: Oldest version from which a delta can be made.
         sources: Records by source and incarnation.
         holders: Sources that list an instance, with its incarnation there, by
@@ -65,7 +66,7 @@
     def announce(
         self, announcement: member_messages.Announcement, now: float
     ) -> None:
-        """Takes a direct announcement and renews its lease."""
+        """Stores a direct announcement and renews its lease."""
         expires = now + lease.MEMBER_LEASE
         self._put(DIRECT, Record(announcement, now, expires), now)
 
@@ -80,7 +81,7 @@
     def apply_update(
         self, source: str, update: member_messages.MembersUpdate, now: float
     ) -> None:
-        """Applies what another control instance relays."""
+        """Applies an update relayed by another control instance."""
         if update.whole:
             listed = {item.sidecar for item in update.members}
             held = self.sources.get(source, {})
@@ -92,9 +93,9 @@
             self._drop(source, sidecar)
 
     def expire_source(self, source: str, now: float, grace: float) -> None:
-        """Expires a source's records after `grace` seconds.
+        """Makes a source's records expire `grace` seconds from now.
 
-        Those that the source relays again meanwhile don't expire.
+        Those that the source relays again before then don't expire.
         """
         for sidecar, record in self.sources.get(source, {}).items():
             limit = min(record.expires, now + grace)
@@ -103,8 +104,10 @@
     def expire(self, now: float) -> None:
         """Drops expired records, and starts that left the flap window."""
         for source, records in self.sources.items():
-            late = [key for key, item in records.items() if item.expires < now]
-            for sidecar in late:
+            expired = [
+                key for key, item in records.items() if item.expires < now
+            ]
+            for sidecar in expired:
                 self._drop(source, sidecar)
         for instance, starts in list(self.starts.items()):
             for epoch, seen in list(starts.items()):
@@ -171,10 +174,16 @@
         since: float,
         now: float,
     ) -> bool:
-        """Returns whether it still renews after its successor's start.
+        """Returns whether an incarnation renewed after its successor's start.
 
         The source of a relayed record drops it within a member lease if it
         isn't renewed there.
+
+        Args:
+            source: Source that lists the incarnation.
+            sidecar: The older incarnation.
+            since: When the newest incarnation was first seen.
+            now: The present time.
         """
         record = self.sources[source][sidecar]
         if source == DIRECT:
--- a/src/mintcleat/configuration/permits.py
+++ b/src/mintcleat/configuration/permits.py
@@ -9,7 +9,7 @@
 
 
 class Bucket:
-    """A token bucket that gets its times from the commands.
+    """A token bucket of permits; the time comes with each command.
 
     Its level is replicated. If each new leader started with a full bucket, a
     failover would let a burst through and the weight store would throttle all
@@ -34,7 +34,7 @@
         """Takes one permit, once per holder.
 
         Args:
-            holder: Id of the taker.
+            holder: Id of the holder; see `commands.TakePermit`.
             per_minute: Refill rate in permits per minute.
             burst: Capacity in permits; at least 1.
             at: Present time in seconds since 1970.
@@ -63,7 +63,7 @@
         return [self.level, self.filled_at, self.holders]
 
     def load(self, state: list[Any]) -> None:
-        """Replaces the state by what `state` returned."""
+        """Replaces the state with what `state` returned."""
         self.level, self.filled_at, self.holders = state
 
     def _fill(self, rate: float, burst: int, at: float) -> None:
@@ -71,8 +71,8 @@
             self.level = float(burst)
             self.filled_at = at
             return
-        # The wall clock of a new leader may be behind that of the old one. No
-        # interval is refilled twice.
+        # The wall clock of a new leader may be behind that of the old one, and
+        # no interval may be refilled twice.
         passed = max(0.0, at - self.filled_at)
         self.level = min(float(burst), self.level + passed * rate)
         self.filled_at = max(at, self.filled_at)
--- a/src/mintcleat/configuration/plan.py
+++ b/src/mintcleat/configuration/plan.py
@@ -1,13 +1,12 @@
 """Plans the next orders that bring a service to what the manifest asks for.
 
 The plan is computed from scratch each time, from the replicated state and the
-announcements of upstreams. A leader that takes over halfway therefore goes on
-where the last one stopped.
+announcements of upstreams. A new leader therefore continues where the
+previous one stopped.
 
-A rollout goes through the failure domains one by one. It keeps at least
-`floor` upstreams ready, so that the service stays up under load. It pauses
-between failure domains, so that a faulty version shows before it has reached
-all of them.
+A rollout updates one failure domain after another. It keeps at least `floor`
+upstreams ready, so that the service stays up under load. It pauses between
+failure domains, so that a faulty version is noticed before all of them run it.
 """
 
 from typing import NamedTuple
@@ -21,8 +20,8 @@
 # States of upstreams, as they announce them.
 READY = "ready"
 DOWN = "down"
-# Time after a successful order during which the upstream may still announce
-# its old model; it gets no new order for that.
+# Time after a successful order during which the upstream may still announce its
+# old model without getting another order.
 SETTLE_SECONDS = 10.0
 # Pause after a failed order, so that a broken upstream doesn't use up the
 # permits to load from the weight store.
@@ -60,8 +59,8 @@
 
     Attributes:
         target: Target that the manifest asks for; see `target_of`.
-        floor: Upstreams that must stay ready during a rollout.
-        replicas: Upstreams that shall hold the target; 0 for all.
+        floor: Number of upstreams that must stay ready during a rollout.
+        replicas: Number of upstreams that must hold the target; 0 for all.
         pause: Seconds between failure domains.
         upstreams: All announced upstreams of the service.
         rollout: The service's latest rollout, if any.
@@ -116,7 +115,7 @@
 
 
 def next_steps(view: View) -> list[Step]:
-    """Returns the steps to take now; none while there is to wait."""
+    """Returns the steps to take now; empty if there are none yet."""
     rollout = view.rollout
     if rollout is None or rollout.target != view.target:
         return [StartRollout(view.target, _previous(view))]
@@ -174,7 +173,7 @@
     """Returns why a version counts as faulty; empty if it doesn't."""
     for upstream in view.upstreams:
         order = upstream.order
-        if order is None or order.fencing_token <= rollout.started:
+        if order is None or order.fencing_token <= rollout.start_fencing_token:
             continue
         if order.model != model or order.epoch != upstream.epoch:
             continue
@@ -261,7 +260,10 @@
 
 
 def _must_pause(view: View, first: Upstream, rollout: rollouts.Rollout) -> bool:
-    """Returns whether the first order to a domain must wait for the pause."""
+    """Returns whether the next order must wait for the pause.
+
+    Only the first order to a failure domain waits.
+    """
     inside = [
         item
         for item in view.upstreams
@@ -282,7 +284,7 @@
 
 
 def _holders(view: View, model: str) -> list[Upstream]:
-    """Returns the upstreams that shall hold the model.
+    """Returns the upstreams that must hold the model.
 
     If there are more upstreams than wanted replicas, those that hold the
     model already come first, and the others are spread over the failure
@@ -359,4 +361,6 @@
 def _belongs_to(
     order: rollouts.Order | None, rollout: rollouts.Rollout
 ) -> bool:
-    return order is not None and order.fencing_token > rollout.started
+    return (
+        order is not None and order.fencing_token > rollout.start_fencing_token
+    )
--- a/src/mintcleat/configuration/quarantine.py
+++ b/src/mintcleat/configuration/quarantine.py
@@ -8,8 +8,9 @@
 from typing import Any
 from typing import NamedTuple
 
-# Upstreams that a request must crash before it is quarantined. One crash may
-# have another cause, such as an upstream that was failing anyway; two don't.
+# Number of upstreams that a request must crash before it is quarantined. A
+# single crash may have another cause, such as an upstream that was failing
+# anyway; two crashes hardly have.
 CRASHES_TO_QUARANTINE = 2
 # Bounds the list that is sent to every node; the oldest are dropped first.
 ENTRIES_KEPT = 1_000
@@ -115,7 +116,7 @@
         return [[list(e) for e in self.entries.values()], self.crashes]
 
     def load(self, state: list[Any]) -> None:
-        """Replaces the state by what `state` returned."""
+        """Replaces the state with what `state` returned."""
         entries = [Entry(*item) for item in state[0]]
         self.entries = {entry.digest: entry for entry in entries}
         self.crashes = state[1]
@@ -123,8 +124,8 @@
     def _only_suspect(self, digests: list[bytes]) -> bytes | None:
         """Returns the only request that can have caused a crash, if any.
 
-        Where a request in flight was a suspect before, those that weren't
-        are not blamed.
+        If requests in flight were suspects before the crash, only these can
+        have caused it.
         """
         known = [digest for digest in digests if digest in self.entries]
         candidates = known or digests
--- a/src/mintcleat/configuration/rollouts.py
+++ b/src/mintcleat/configuration/rollouts.py
@@ -1,8 +1,8 @@
 """Orders to upstreams, and rollouts, in the replicated state.
 
-An order is committed with its fencing token before it is sent. A leader that
-takes over halfway finds the order and sends it again with the same token,
-instead of a second order for the same step.
+An order is committed with its fencing token before it is sent. A new leader
+finds the order and sends it again with the same token, rather than a second
+order for the same step.
 """
 
 from typing import Any
@@ -20,8 +20,9 @@
 # Other outcomes of an order; SENT means that there is none yet.
 FAILED = "failed"
 SENT = "sent"
-# Instances whose last order is kept. For the others, the highest fencing token
-# that was dropped is used, which is at least as high as their own.
+# Number of instances whose last order is kept. The others are treated as if
+# their last order had the highest fencing token dropped so far, which is at
+# least as high as their own.
 ORDERS_KEPT = 20_000
 
 
@@ -53,7 +54,7 @@
         previous: Target to roll back to; empty for none.
         state: RUNNING, PAUSED, ROLLING_BACK, ROLLED_BACK or DONE.
         reason: Why it was paused or rolled back; empty otherwise.
-        started: Highest fencing token at the start; orders of this rollout
+        start_fencing_token: Highest token at the start; orders of this rollout
             have higher ones.
         at: Time of the last change of state, in seconds since 1970.
     """
@@ -63,7 +64,7 @@
     previous: str
     state: str
     reason: str
-    started: int
+    start_fencing_token: int
     at: float
 
 
@@ -169,7 +170,7 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Replaces the state by what `state` returned."""
+        """Replaces the state with what `state` returned."""
         self.fencing_token = state[0]
         self.orders = {name: Order(*item) for name, item in state[1].items()}
         self.forgotten_fencing_token = state[2]
--- a/src/mintcleat/configuration/sections.py
+++ b/src/mintcleat/configuration/sections.py
@@ -67,7 +67,8 @@
     """Returns stored sections with the present names of keys and policies.
 
     A control instance that couldn't read its disk after an upgrade would have
-    to be set up from scratch; if a majority were, the manifest would be lost.
+    to be set up from scratch. If a majority had to, the manifest would be
+    lost.
     """
     found = upgraded_keys(stored)
     old, new = _RENAMED_POLICY
--- a/src/mintcleat/configuration/transfer.py
+++ b/src/mintcleat/configuration/transfer.py
@@ -2,9 +2,10 @@
 
 A node that has just started waits only briefly for a control instance before
 it turns to the next one, and a whole configuration takes longer than that over
-a slow link. As a single message it would be given up and started again at one
-instance after another, while the node refuses all callers. Each part resets
-the node's timeout, and another instance goes on where the last one stopped.
+a slow link. If it were a single message, the node would abort the transfer and
+start again at one instance after another, and refuse all callers meanwhile.
+Each part resets the node's timeout, and another instance continues where the
+previous one stopped.
 """
 
 from typing import Any
@@ -20,8 +21,8 @@
 
 # Size of one part; a link of 15 Mbit/s carries it in 9 ms.
 PART_BYTES = 16 * 1024
-# Largest updates that are sent as one message: characters of section texts,
-# and registrations.
+# Largest updates that are sent as one message: total characters of the section
+# texts, and number of registrations.
 MAX_SINGLE_SECTION_CHARACTERS = 16 * 1024
 MAX_SINGLE_REGISTRATIONS = 80
 # Largest decompressed update; the same as the limit of a message.
@@ -29,7 +30,7 @@
 # The fastest level of zlib. It reduces sections, which repeat their field
 # names, to an eighth; higher levels gain little and take up to twice as long.
 COMPRESSION_LEVEL = 1
-# Updates cached for further nodes. At any time the nodes are spread over few
+# Number of updates cached for other nodes. At any time the nodes are at few
 # distinct revisions.
 UPDATES_CACHED = 8
 
@@ -61,7 +62,7 @@
 
 
 def is_large(update: Any) -> bool:
-    """Returns whether an update shall be sent in parts."""
+    """Returns whether an update must be sent in parts."""
     match update:
         case config_messages.ConfigUpdate(sections=sections):
             return (
@@ -74,7 +75,7 @@
 
 
 def pack(update: Any) -> Packed:
-    """Returns the compressed update; it is the same on every instance."""
+    """Returns the compressed update; its bytes are equal on all instances."""
     data = zlib.compress(codec.encode(update), COMPRESSION_LEVEL)
     return Packed(xxhash.xxh3_128_digest(data), data)
 
@@ -133,11 +134,11 @@
         )
 
     def take(self, message: Any) -> Any:
-        """Takes a message and returns it, or the update that it completes.
+        """Handles a received message, which may be a part of an update.
 
         Returns:
-            A message that is no part as it is; for a part the update if this
-            was the last one, and None otherwise.
+            The update if this was its last part; None for any other part. A
+            message that isn't a part is returned unchanged.
 
         Raises:
             errors.BadRequest: A part is missing, or the update is damaged. The
--- a/src/mintcleat/decisions/class_queue.py
+++ b/src/mintcleat/decisions/class_queue.py
@@ -50,7 +50,7 @@
 
     Attributes:
         by_need: A sorted list of items for each memory need.
-        work: Expected service of the calls, in seconds.
+        service: Expected service of the calls, in seconds.
     """
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
             sortedcontainers.SortedKeyList(key=_sort_key)
             for _ in (RESIDENT, RETURNING, NEW_PROGRAM)
         ]
-        self.work = 0.0
+        self.service = 0.0
 
     def __len__(self) -> int:
         return sum(map(len, self.by_need))
@@ -107,7 +107,7 @@
             flow = self.flows[item.flow] = Flow()
             self.clock.activate(item.flow, weight)
         flow.by_need[item.need].add(item)
-        flow.work += item.service
+        flow.service += item.service
         self.total_service += item.service
         self.count += 1
         self.need_counts[item.need] += 1
@@ -117,7 +117,7 @@
         """Removes a waiting call."""
         flow = self.flows[item.flow]
         flow.by_need[item.need].remove(item)
-        flow.work -= item.service
+        flow.service -= item.service
         self.total_service -= item.service
         self.count -= 1
         self.need_counts[item.need] -= 1
@@ -136,7 +136,7 @@
         waiting = self.flows.get(flow)
         if waiting is None:
             return 0.0
-        return waiting.work * waiting.count_before(key) / len(waiting)
+        return waiting.service * waiting.count_before(key) / len(waiting)
 
     def share(self, flow: str, weight: float) -> float:
         """Returns the fraction of this queue's service the flow would get."""
--- a/src/mintcleat/decisions/slots.py
+++ b/src/mintcleat/decisions/slots.py
@@ -88,7 +88,7 @@
 
     Attributes:
         running: Running calls by call id.
-        running_of: Number of running calls by customer.
+        running_by_customer: Number of running calls by customer.
         batch: Number of running batch calls.
         suspects: Number of running suspect calls.
         tokens: Context tokens of all running calls.
@@ -102,7 +102,7 @@
         self.speed = estimated_speed
         self.working_set = workingset.WorkingSet()
         self.running: dict[str, Running] = {}
-        self.running_of: dict[str, int] = {}
+        self.running_by_customer: dict[str, int] = {}
         self.batch = 0
         self.suspects = 0
         self.tokens = 0
@@ -119,7 +119,9 @@
         call = item.call
         backlog = self.prefill_tokens
         self.running[call.call_id] = Running(item, now, backlog)
-        self.running_of[item.flow] = self.running_of.get(item.flow, 0) + 1
+        self.running_by_customer[item.flow] = (
+            self.running_by_customer.get(item.flow, 0) + 1
+        )
         self.batch += item.klass == calls.BATCH
         self.suspects += call.suspect
         self.tokens += context(call)
@@ -142,9 +144,9 @@
             return False
         self.prefilled(call_id)
         item = running.item
-        self.running_of[item.flow] -= 1
-        if not self.running_of[item.flow]:
-            del self.running_of[item.flow]
+        self.running_by_customer[item.flow] -= 1
+        if not self.running_by_customer[item.flow]:
+            del self.running_by_customer[item.flow]
         self.batch -= item.klass == calls.BATCH
         self.suspects -= item.call.suspect
         self.tokens -= context(item.call)
@@ -160,8 +162,8 @@
 
         The share is its weight relative to all customers with running calls.
         """
-        share = self._share(flow, self.running_of)
-        return self.running_of.get(flow, 0) >= limit * share
+        share = self._share(flow, self.running_by_customer)
+        return self.running_by_customer.get(flow, 0) >= limit * share
 
     def allows(self, item: class_queue.QueueItem, limit: int) -> bool:
         """Returns whether the call may take a slot, memory aside."""
@@ -171,7 +173,10 @@
         if item.call.suspect and self.suspects:
             return False
         max_running = self.options.max_running.get(item.call.customer, 0)
-        if max_running and self.running_of.get(item.flow, 0) >= max_running:
+        if (
+            max_running
+            and self.running_by_customer.get(item.flow, 0) >= max_running
+        ):
             return False
         if item.klass == calls.BATCH:
             batch_slots = max(1, limit - int(limit * INTERACTIVE_RESERVE))
