--- a/src/mintcleat/configuration/directory.py
+++ b/src/mintcleat/configuration/directory.py
@@ -62,8 +62,10 @@
         name = registration.upstream
         if self.has_ended(name, registration.started):
             return False
-        held = self.entries.get(name)
-        if held is not None and recency_key(held) > recency_key(registration):
+        current = self.entries.get(name)
+        if current is not None and recency_key(current) > recency_key(
+            registration
+        ):
             return False
         others = [
             other
@@ -88,12 +90,12 @@
                 incarnation and of earlier ones.
             started: Start of the incarnation; 0 for the registered one.
         """
-        held = self.entries.get(upstream)
-        if not started and held is not None:
-            started = held.started
+        current = self.entries.get(upstream)
+        if not started and current is not None:
+            started = current.started
         if final and not self.has_ended(upstream, started):
             self._remember_ended(upstream, started)
-        if held is None or held.started > started:
+        if current is None or current.started > started:
             return False
         self._remove(upstream, self.version + 1)
         return True
@@ -156,8 +158,10 @@
     def load(self, state: list[Any]) -> None:
         """Replaces the state with what `state` returned, here or earlier."""
         self.version, self.horizon = state[:2]
-        found = [member_messages.Registration(*item) for item in state[2]]
-        self.entries = {item.upstream: item for item in found}
+        registrations = [
+            member_messages.Registration(*item) for item in state[2]
+        ]
+        self.entries = {item.upstream: item for item in registrations}
         self.changed_at, self.removed_at = state[3:5]
         # Earlier releases had no starts; they stored the time of the leave
         # here, as a float.
@@ -168,9 +172,9 @@
 
     def _put(self, registration: member_messages.Registration) -> None:
         name = registration.upstream
-        held = self.entries.get(name)
+        current = self.entries.get(name)
         self.entries[name] = registration
-        if held is not None and same_except_renewal(held, registration):
+        if current is not None and same_except_renewal(current, registration):
             return
         self.version += 1
         self.changed_at[name] = self.version
--- a/src/mintcleat/configuration/document.py
+++ b/src/mintcleat/configuration/document.py
@@ -250,18 +250,18 @@
             return Update(self.revision, False, {})
         if revision < self.horizon or not revision:
             return Update(self.revision, True, self._all_sections())
-        found = {
+        changed = {
             key: self.sections[key]
             for key, at in self.changed_at.items()
             if at > revision
         }
-        size = sum(map(len, found.values()))
+        size = sum(map(len, changed.values()))
         if size > WHOLE_SHARE * sum(map(len, self.sections.values())):
             return Update(self.revision, True, self._all_sections())
         for key, at in self.removed_at.items():
             if at > revision:
-                found[key] = ""
-        return Update(self.revision, False, found)
+                changed[key] = ""
+        return Update(self.revision, False, changed)
 
     def _all_sections(self) -> dict[str, str]:
         """Returns all sections, sorted by key.
--- a/src/mintcleat/configuration/members.py
+++ b/src/mintcleat/configuration/members.py
@@ -84,8 +84,8 @@
         """Applies an update relayed by another control instance."""
         if update.whole:
             listed = {item.sidecar for item in update.members}
-            held = self.sources.get(source, {})
-            for sidecar in [key for key in held if key not in listed]:
+            records = self.sources.get(source, {})
+            for sidecar in [key for key in records if key not in listed]:
                 self._drop(source, sidecar)
         for announcement in update.members:
             self._put(source, Record(announcement, now, float("inf")), now)
@@ -196,11 +196,11 @@
     def _put(self, source: str, record: Record, now: float) -> None:
         sidecar = record.announcement.sidecar
         records = self.sources.setdefault(source, {})
-        held = records.get(sidecar)
-        if held is not None and held.announcement.counter > (
+        current = records.get(sidecar)
+        if current is not None and current.announcement.counter > (
             record.announcement.counter
         ):
-            record = record._replace(announcement=held.announcement)
+            record = record._replace(announcement=current.announcement)
         records[sidecar] = record
         holders = self.holders.setdefault(sidecar.instance, set())
         holders.add((source, sidecar))
@@ -219,34 +219,36 @@
 
     def _refresh(self, instance: str) -> None:
         """Recomputes the announcement in force for one instance."""
-        found = [
+        announcements = [
             self.sources[source][sidecar].announcement
             for source, sidecar in self.holders[instance]
         ]
-        held = self.view.get(instance)
-        if not found:
-            if held is not None:
-                self._remove(held)
+        current = self.view.get(instance)
+        if not announcements:
+            if current is not None:
+                self._remove(current)
             return
-        best = max(found, key=lambda item: (item.sidecar.epoch, item.counter))
-        if held is not None and held._replace(counter=0) == best._replace(
+        best = max(
+            announcements, key=lambda item: (item.sidecar.epoch, item.counter)
+        )
+        if current is not None and current._replace(counter=0) == best._replace(
             counter=0
         ):
             self.view[instance] = best
             return
         self.version += 1
-        if held is not None and held.sidecar != best.sidecar:
-            self._note_removal(held.sidecar)
+        if current is not None and current.sidecar != best.sidecar:
+            self._note_removal(current.sidecar)
         self.removed_at.pop(best.sidecar, None)
         self.view[instance] = best
         self.changed_at[instance] = self.version
 
-    def _remove(self, held: member_messages.Announcement) -> None:
+    def _remove(self, announcement: member_messages.Announcement) -> None:
         self.version += 1
-        instance = held.sidecar.instance
+        instance = announcement.sidecar.instance
         del self.view[instance]
         del self.changed_at[instance]
-        self._note_removal(held.sidecar)
+        self._note_removal(announcement.sidecar)
 
     def _note_removal(self, sidecar: identities.Incarnation) -> None:
         self.removed_at.pop(sidecar, None)
--- a/src/mintcleat/configuration/plan.py
+++ b/src/mintcleat/configuration/plan.py
@@ -202,26 +202,26 @@
 ) -> list[Step]:
     holders = _holders(view, model)
     spare = [item for item in view.upstreams if item not in holders]
-    wanted: list[tuple[Upstream, str, str]] = [
+    orders: list[tuple[Upstream, str, str]] = [
         (item, LOAD, model)
         for item in _first_unsettled_domain(holders, model, view.now)
         if not _has_loaded(item, model, view.now)
     ]
-    if not wanted and _complete(view, model):
-        wanted = [(item, UNLOAD, item.model) for item in spare if item.model]
-    if wanted and _must_pause(view, wanted[0][0], rollout):
+    if not orders and _complete(view, model):
+        orders = [(item, UNLOAD, item.model) for item in spare if item.model]
+    if orders and _must_pause(view, orders[0][0], rollout):
         return []
-    return _within_floor(view, wanted)
+    return _within_floor(view, orders)
 
 
 def _within_floor(
-    view: View, wanted: list[tuple[Upstream, str, str]]
+    view: View, orders: list[tuple[Upstream, str, str]]
 ) -> list[Step]:
     """Returns the orders that leave at least `floor` upstreams ready."""
     serving = [item for item in view.upstreams if _serves(item)]
     allowed = len(serving) - view.floor
     steps: list[Step] = []
-    for upstream, action, model in wanted:
+    for upstream, action, model in orders:
         if not _can_take_order(upstream, view.now):
             continue
         if _serves(upstream):
@@ -244,13 +244,13 @@
     minutes, so that two domains would load at the same time.
     """
     for domain in sorted({item.failure_domain for item in upstreams}):
-        inside = [
+        in_domain = [
             item
             for item in upstreams
             if item.failure_domain == domain and item.state != DOWN
         ]
-        if not all(_settled(item, model, now) for item in inside):
-            return inside
+        if not all(_settled(item, model, now) for item in in_domain):
+            return in_domain
     return []
 
 
@@ -264,12 +264,12 @@
 
     Only the first order to a failure domain waits.
     """
-    inside = [
+    in_domain = [
         item
         for item in view.upstreams
         if item.failure_domain == first.failure_domain
     ]
-    if any(_belongs_to(item.order, rollout) for item in inside):
+    if any(_belongs_to(item.order, rollout) for item in in_domain):
         return False
     return not _pause_is_over(view, rollout)
 
@@ -298,9 +298,9 @@
         if item.state != DOWN and not item.drained
     ]
     live.sort(key=lambda item: (item.model != model, item.instance))
-    taken: list[Upstream] = []
+    holders: list[Upstream] = []
     by_domain: dict[str, int] = {}
-    while live and len(taken) < view.replicas:
+    while live and len(holders) < view.replicas:
         best = min(
             live,
             key=lambda item: (
@@ -310,10 +310,10 @@
             ),
         )
         live.remove(best)
-        taken.append(best)
+        holders.append(best)
         count = by_domain.get(best.failure_domain, 0)
         by_domain[best.failure_domain] = count + 1
-    return taken
+    return holders
 
 
 def _has_loaded(upstream: Upstream, model: str, now: float) -> bool:
--- a/src/mintcleat/configuration/sections.py
+++ b/src/mintcleat/configuration/sections.py
@@ -70,20 +70,20 @@
     to be set up from scratch. If a majority had to, the manifest would be
     lost.
     """
-    found = upgraded_keys(stored)
+    renamed = upgraded_keys(stored)
     old, new = _RENAMED_POLICY
-    if POLICIES in found:
-        found[POLICIES] = found[POLICIES].replace(old, new)
-    return found
+    if POLICIES in renamed:
+        renamed[POLICIES] = renamed[POLICIES].replace(old, new)
+    return renamed
 
 
 def upgraded_keys(stored: dict[str, Any]) -> dict[str, Any]:
     """Returns values by section key with the present names of the keys."""
-    found = {}
+    renamed = {}
     for key, value in stored.items():
         group, slash, name = key.partition("/")
-        found[_RENAMED.get(group, group) + slash + name] = value
-    return found
+        renamed[_RENAMED.get(group, group) + slash + name] = value
+    return renamed
 
 
 def difference(before: dict[str, str], after: dict[str, str]) -> Delta:
--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -264,9 +264,14 @@
         if not rate or self.tokens < PRESSURE_THRESHOLD * self.options.memory:
             return False
         transfer_seconds = 2 * paused.tokens / rate
-        rebuild = paused.tokens / self.options.prefill_rate
-        left = self.histogram(paused.tool).mean_remaining(now - paused.since)
-        return transfer_seconds < rebuild and left > 2 * transfer_seconds
+        recompute_seconds = paused.tokens / self.options.prefill_rate
+        remaining_pause = self.histogram(paused.tool).mean_remaining(
+            now - paused.since
+        )
+        return (
+            transfer_seconds < recompute_seconds
+            and remaining_pause > 2 * transfer_seconds
+        )
 
     def _evict(self, paused: Paused) -> Action:
         self._forget(paused.program)
--- a/src/mintcleat/decisions/load_balancing.py
+++ b/src/mintcleat/decisions/load_balancing.py
@@ -161,9 +161,9 @@
         # For an even number the lower median, so that of two upstreams the
         # slower one is compared with the faster.
         median = means[(len(means) - 1) // 2]
-        found = {}
+        factors = {}
         for name, latency in known.items():
             excess = max(0.0, latency.mean / median - 1.0)
             decay = 0.5 ** ((now - latency.updated_at) / SLOWDOWN_HALF_LIFE)
-            found[name] = 1.0 + excess * decay
-        return found
+            factors[name] = 1.0 + excess * decay
+        return factors
--- a/src/mintcleat/decisions/order.py
+++ b/src/mintcleat/decisions/order.py
@@ -56,10 +56,10 @@
     """
     delay = 0.0
     if switches.attained:
-        left = call.attained
+        tokens = call.attained
         if switches.learned and remaining.known:
-            left = remaining.tokens
-        delay = MAX_DELAY * left / (left + max(mean_tokens, 1.0))
+            tokens = remaining.tokens
+        delay = MAX_DELAY * tokens / (tokens + max(mean_tokens, 1.0))
     if switches.gating and not call.gating:
         delay += NOT_GATING_DELAY
     return now + min(delay, MAX_DELAY)
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -196,12 +196,12 @@
         self.slots.working_set.expire_absent(now)
         for queue in self.queues.values():
             queue.clock.drop_idle()
-        late = []
+        expired = []
         while self.latest and self.latest[0][0] < now:
             item = self.waiting[self.latest[0][1]]
             self._dequeue(item)
-            late.append(item.call)
-        return late
+            expired.append(item.call)
+        return expired
 
     def drain(self) -> list[calls.Call]:
         """Removes and returns every waiting call, before a planned stop."""
--- a/src/mintcleat/decisions/remaining_work.py
+++ b/src/mintcleat/decisions/remaining_work.py
@@ -123,8 +123,10 @@
         tokens = self.tokens.get(agent)
         if tokens is None or tokens.total < MIN_EVIDENCE:
             return Remaining(float(attained), 0.0, known=False)
-        left = self.turns[agent].mean_remaining(turns)
-        return Remaining(tokens.mean_remaining(attained), left, known=True)
+        remaining_turns = self.turns[agent].mean_remaining(turns)
+        return Remaining(
+            tokens.mean_remaining(attained), remaining_turns, known=True
+        )
 
 
 def _bucket(value: float) -> int:
--- a/src/mintcleat/decisions/shared_load.py
+++ b/src/mintcleat/decisions/shared_load.py
@@ -55,15 +55,15 @@
     def others(self, entry: str) -> dict[str, int]:
         """Returns the requests of all other entries, by upstream."""
         _, own = self.reports.get(entry, (0.0, {}))
-        found = {
+        counts = {
             upstream: count - own.get(upstream, 0)
             for upstream, count in self.totals.items()
             if count > own.get(upstream, 0)
         }
-        if len(found) > MAX_UPSTREAMS:
-            busiest = sorted(found, key=found.__getitem__)[-MAX_UPSTREAMS:]
-            found = {upstream: found[upstream] for upstream in busiest}
-        return found
+        if len(counts) > MAX_UPSTREAMS:
+            busiest = sorted(counts, key=counts.__getitem__)[-MAX_UPSTREAMS:]
+            counts = {upstream: counts[upstream] for upstream in busiest}
+        return counts
 
     def _remove(self, entry: str) -> None:
         _, running = self.reports.pop(entry, (0.0, {}))
--- a/src/mintcleat/decisions/upstream_health.py
+++ b/src/mintcleat/decisions/upstream_health.py
@@ -202,10 +202,10 @@
         repeatable: Whether the request may be repeated elsewhere.
         now: The current time.
     """
-    found = [
+    names = [
         name
         for name in upstreams
         if (penalties is None or penalties.allows(name, repeatable, now))
         and (silence_detector is None or not silence_detector.silent(name, now))
     ]
-    return found or list(upstreams)
+    return names or list(upstreams)
