--- a/src/mintcleat/decisions/jitter.py
+++ b/src/mintcleat/decisions/jitter.py
@@ -1,4 +1,4 @@
-"""Jitter for retry advice.
+"""Jitter for the time after which refused callers should retry.
 
 During an outage or overload, hundreds of callers are refused within a moment.
 If all got the same retry time, they would retry together and be refused again.
--- a/src/mintcleat/decisions/outliers.py
+++ b/src/mintcleat/decisions/outliers.py
@@ -80,7 +80,14 @@
             self._eject(name, total, now)
 
     def answered(self, name: str, ok: bool, total: int, now: float) -> None:
-        """Records the result of a call; a successful probe ends an ejection."""
+        """Records the result of a call; a successful probe ends an ejection.
+
+        Args:
+            name: The upstream.
+            ok: Whether the call succeeded.
+            total: Number of upstreams among which it may be ejected.
+            now: The current time.
+        """
         record = self.records.get(name, _NEW_RECORD)
         failures = record.failures + (float(not ok) - record.failures) * _GAIN
         record = record._replace(failures=failures, samples=record.samples + 1)
--- a/src/mintcleat/decisions/queue.py
+++ b/src/mintcleat/decisions/queue.py
@@ -165,7 +165,7 @@
 
     def progressed(self, token_time: float) -> None:
         """Updates the seconds per token from a stream that is running."""
-        self.speed.observe_gap(token_time)
+        self.speed.observe_token_time(token_time)
 
     def protect(self, tokens: int) -> None:
         """Sets the tokens of paused caches that will be used again soon."""
--- a/src/mintcleat/decisions/remaining_work.py
+++ b/src/mintcleat/decisions/remaining_work.py
@@ -96,8 +96,8 @@
 
     def answered(self, agent: str, generated: int) -> None:
         """Records the number of tokens in one answer."""
-        known = self.answer_sizes.get(agent, float(generated))
-        self.answer_sizes[agent] = known + (generated - known) / 16
+        mean = self.answer_sizes.get(agent, float(generated))
+        self.answer_sizes[agent] = mean + (generated - mean) / 16
 
     def answer_tokens(self, agent: str, fallback: int) -> int:
         """Returns the expected tokens in an answer to a call of this agent."""
@@ -112,8 +112,8 @@
     def remaining(self, agent: str, attained: int, turns: int = 0) -> Remaining:
         """Returns the expected remaining work of a program.
 
-        Without enough samples the attained tokens stand in for the remaining
-        ones, which gives least-attained-service order.
+        Without enough samples the attained tokens are returned as the
+        remaining ones, which gives least-attained-service order.
 
         Args:
             agent: Name of the agent program.
--- a/src/mintcleat/decisions/slots.py
+++ b/src/mintcleat/decisions/slots.py
@@ -48,7 +48,7 @@
         protect: Whether calls wait rather than evict caches that will be used
             again soon.
         adaptive: Whether the concurrency limit adapts to latency.
-        fair: Whether customers get fair shares; else one common queue.
+        fair: Whether customers get fair shares; otherwise they share a queue.
         bounded: Whether calls are refused by predicted wait and deadline.
         classes: Whether interactive calls take precedence over batch calls.
         ordering: Parts of the scheduling order within a customer.
--- a/src/mintcleat/decisions/speed.py
+++ b/src/mintcleat/decisions/speed.py
@@ -51,7 +51,9 @@
             return
         first = outcome.first_token
         if outcome.generated > 1 and first > 0:
-            self.observe_gap((outcome.seconds - first) / outcome.generated)
+            self.observe_token_time(
+                (outcome.seconds - first) / outcome.generated
+            )
         if outcome.computed >= _MIN_PREFILL_SAMPLE and first > 0:
             rate = (backlog + outcome.computed) / first
             self.prefill_samples += 1
@@ -62,7 +64,7 @@
         self.service += (outcome.seconds - self.service) * _GAIN
         self.samples += 1
 
-    def observe_gap(self, token_time: float) -> None:
+    def observe_token_time(self, token_time: float) -> None:
         """Adds the seconds per token of a stream that is still running.
 
         Otherwise a slow upstream would be noticed only when its calls end, and
--- a/src/mintcleat/decisions/workingset.py
+++ b/src/mintcleat/decisions/workingset.py
@@ -119,10 +119,10 @@
         if cycle <= 0:
             return
         duty = (service + min(pause, MAX_COUNTED_PAUSE_SECONDS)) / cycle
-        known = self.duty_cycle.get(agent, 1.0)
+        mean = self.duty_cycle.get(agent, 1.0)
         # Weighted by duration, as a long pause frees memory for longer.
         weight = min(1.0, cycle / (service + MAX_COUNTED_PAUSE_SECONDS))
-        self.duty_cycle[agent] = known + (duty - known) * weight * _DUTY_GAIN
+        self.duty_cycle[agent] = mean + (duty - mean) * weight * _DUTY_GAIN
 
     def leave(self, program: str) -> None:
         """Removes a program that ended, moved or hung.
