--- a/src/mintcleat/configuration/directory.py
+++ b/src/mintcleat/configuration/directory.py
@@ -1,9 +1,9 @@
 """Upstreams that registered themselves, as part of the config group's state.
 
-It is replicated, so that a registration or a leave that was acknowledged
-survives the leader. It changes only when an upstream joins, changes its state
-or leaves, which is rare. Renewals that change nothing are kept in the leader's
-memory.
+It is replicated, so that an acknowledged registration or deregistration
+survives the loss of the leader. It changes only when an upstream joins, changes
+its state or leaves, which is rare. Renewals that change nothing are kept in
+the leader's memory.
 
 An upstream may restart under the same id; each run is an incarnation of it.
 """
@@ -12,12 +12,13 @@
 
 from mintcleat.domain import member_messages
 
-# Upstreams whose ended incarnations are remembered. A delayed registration of
-# one that was dropped from here would be in force until it expires. Enough for
-# a week of 480 restarts and replacements a day; delays are in seconds.
+# Number of upstreams whose ended incarnations are remembered. A delayed
+# registration of one that is no longer remembered would be in force until it
+# expires. The number covers a week at 480 restarts and replacements a day;
+# delays are in seconds.
 ENDED_KEPT = 4_096
-# Removals that are kept for deltas. Nodes that are older than the oldest one
-# get the whole directory instead.
+# Number of removals that are kept for deltas. Nodes at a version before the
+# oldest one get the whole directory instead.
 REMOVALS_KEPT = 4_096
 
 
@@ -29,7 +30,7 @@
     their sequence number. Neither is compared with a clock of this system.
 
     Attributes:
-        version: Grows with each change that nodes must hear of.
+        version: Grows with each change that is sent to nodes.
         horizon: Oldest version from which a delta can be made.
         entries: The registrations in force, by upstream.
         changed_at: Version of the last change, by upstream.
@@ -61,8 +62,10 @@
         name = registration.upstream
         if self.has_ended(name, registration.started):
             return False
-        held = self.entries.get(name)
-        if held is not None and recency_key(held) > recency_key(registration):
+        current = self.entries.get(name)
+        if current is not None and recency_key(current) > recency_key(
+            registration
+        ):
             return False
         others = [
             other
@@ -87,12 +90,12 @@
                 incarnation and of earlier ones.
             started: Start of the incarnation; 0 for the registered one.
         """
-        held = self.entries.get(upstream)
-        if not started and held is not None:
-            started = held.started
+        current = self.entries.get(upstream)
+        if not started and current is not None:
+            started = current.started
         if final and not self.has_ended(upstream, started):
             self._remember_ended(upstream, started)
-        if held is None or held.started > started:
+        if current is None or current.started > started:
             return False
         self._remove(upstream, self.version + 1)
         return True
@@ -153,10 +156,12 @@
         ]
 
     def load(self, state: list[Any]) -> None:
-        """Replaces the state by what `state` returned, here or earlier."""
+        """Replaces the state with what `state` returned, here or earlier."""
         self.version, self.horizon = state[:2]
-        found = [member_messages.Registration(*item) for item in state[2]]
-        self.entries = {item.upstream: item for item in found}
+        registrations = [
+            member_messages.Registration(*item) for item in state[2]
+        ]
+        self.entries = {item.upstream: item for item in registrations}
         self.changed_at, self.removed_at = state[3:5]
         # Earlier releases had no starts; they stored the time of the leave
         # here, as a float.
@@ -167,9 +172,9 @@
 
     def _put(self, registration: member_messages.Registration) -> None:
         name = registration.upstream
-        held = self.entries.get(name)
+        current = self.entries.get(name)
         self.entries[name] = registration
-        if held is not None and same_except_renewal(held, registration):
+        if current is not None and same_except_renewal(current, registration):
             return
         self.version += 1
         self.changed_at[name] = self.version
@@ -202,7 +207,7 @@
 ) -> bool:
     """Returns whether two registrations differ only in `sequence` or `cold`.
 
-    Those change with renewals, and no node needs to hear of that.
+    Those change with renewals and aren't sent to nodes for their own sake.
     """
     return one._replace(sequence=0, cold=0.0) == other._replace(
         sequence=0, cold=0.0
--- a/src/mintcleat/configuration/members.py
+++ b/src/mintcleat/configuration/members.py
@@ -14,10 +14,11 @@
 
 # Source of the announcements made to this control instance itself.
 DIRECT = ""
-# Operators see how often an instance started within so many seconds.
+# Seconds within which starts of an instance are counted, so that operators see
+# instances that restart repeatedly.
 FLAP_WINDOW = 60.0
-# Removals that are kept for deltas. Nodes that are older than the oldest one
-# get the whole list instead.
+# Number of removals that are kept for deltas. Nodes at a version before the
+# oldest one get the whole list instead.
 REMOVALS_KEPT = 4_096
 
 
@@ -39,7 +40,7 @@
     """The announced upstreams, merged from all sources.
 
     Attributes:
-        version: Grows with each change that nodes must hear of.
+        version: Grows with each change that is sent to nodes.
         horizon: Oldest version from which a delta can be made.
         sources: Records by source and incarnation.
         holders: Sources that list an instance, with its incarnation there, by
@@ -65,7 +66,7 @@
     def announce(
         self, announcement: member_messages.Announcement, now: float
     ) -> None:
-        """Takes a direct announcement and renews its lease."""
+        """Stores a direct announcement and renews its lease."""
         expires = now + lease.MEMBER_LEASE
         self._put(DIRECT, Record(announcement, now, expires), now)
 
@@ -80,11 +81,11 @@
     def apply_update(
         self, source: str, update: member_messages.MembersUpdate, now: float
     ) -> None:
-        """Applies what another control instance relays."""
+        """Applies an update relayed by another control instance."""
         if update.whole:
             listed = {item.sidecar for item in update.members}
-            held = self.sources.get(source, {})
-            for sidecar in [key for key in held if key not in listed]:
+            records = self.sources.get(source, {})
+            for sidecar in [key for key in records if key not in listed]:
                 self._drop(source, sidecar)
         for announcement in update.members:
             self._put(source, Record(announcement, now, float("inf")), now)
@@ -92,9 +93,9 @@
             self._drop(source, sidecar)
 
     def expire_source(self, source: str, now: float, grace: float) -> None:
-        """Expires a source's records after `grace` seconds.
+        """Makes a source's records expire `grace` seconds from now.
 
-        Those that the source relays again meanwhile don't expire.
+        Those that the source relays again before then don't expire.
         """
         for sidecar, record in self.sources.get(source, {}).items():
             limit = min(record.expires, now + grace)
@@ -103,8 +104,10 @@
     def expire(self, now: float) -> None:
         """Drops expired records, and starts that left the flap window."""
         for source, records in self.sources.items():
-            late = [key for key, item in records.items() if item.expires < now]
-            for sidecar in late:
+            expired = [
+                key for key, item in records.items() if item.expires < now
+            ]
+            for sidecar in expired:
                 self._drop(source, sidecar)
         for instance, starts in list(self.starts.items()):
             for epoch, seen in list(starts.items()):
@@ -171,10 +174,16 @@
         since: float,
         now: float,
     ) -> bool:
-        """Returns whether it still renews after its successor's start.
+        """Returns whether an incarnation renewed after its successor's start.
 
         The source of a relayed record drops it within a member lease if it
         isn't renewed there.
+
+        Args:
+            source: Source that lists the incarnation.
+            sidecar: The older incarnation.
+            since: When the newest incarnation was first seen.
+            now: The present time.
         """
         record = self.sources[source][sidecar]
         if source == DIRECT:
@@ -187,11 +196,11 @@
     def _put(self, source: str, record: Record, now: float) -> None:
         sidecar = record.announcement.sidecar
         records = self.sources.setdefault(source, {})
-        held = records.get(sidecar)
-        if held is not None and held.announcement.counter > (
+        current = records.get(sidecar)
+        if current is not None and current.announcement.counter > (
             record.announcement.counter
         ):
-            record = record._replace(announcement=held.announcement)
+            record = record._replace(announcement=current.announcement)
         records[sidecar] = record
         holders = self.holders.setdefault(sidecar.instance, set())
         holders.add((source, sidecar))
@@ -210,34 +219,36 @@
 
     def _refresh(self, instance: str) -> None:
         """Recomputes the announcement in force for one instance."""
-        found = [
+        announcements = [
             self.sources[source][sidecar].announcement
             for source, sidecar in self.holders[instance]
         ]
-        held = self.view.get(instance)
-        if not found:
-            if held is not None:
-                self._remove(held)
+        current = self.view.get(instance)
+        if not announcements:
+            if current is not None:
+                self._remove(current)
             return
-        best = max(found, key=lambda item: (item.sidecar.epoch, item.counter))
-        if held is not None and held._replace(counter=0) == best._replace(
+        best = max(
+            announcements, key=lambda item: (item.sidecar.epoch, item.counter)
+        )
+        if current is not None and current._replace(counter=0) == best._replace(
             counter=0
         ):
             self.view[instance] = best
             return
         self.version += 1
-        if held is not None and held.sidecar != best.sidecar:
-            self._note_removal(held.sidecar)
+        if current is not None and current.sidecar != best.sidecar:
+            self._note_removal(current.sidecar)
         self.removed_at.pop(best.sidecar, None)
         self.view[instance] = best
         self.changed_at[instance] = self.version
 
-    def _remove(self, held: member_messages.Announcement) -> None:
+    def _remove(self, announcement: member_messages.Announcement) -> None:
         self.version += 1
-        instance = held.sidecar.instance
+        instance = announcement.sidecar.instance
         del self.view[instance]
         del self.changed_at[instance]
-        self._note_removal(held.sidecar)
+        self._note_removal(announcement.sidecar)
 
     def _note_removal(self, sidecar: identities.Incarnation) -> None:
         self.removed_at.pop(sidecar, None)
--- a/src/mintcleat/configuration/plan.py
+++ b/src/mintcleat/configuration/plan.py
@@ -1,13 +1,12 @@
 """Plans the next orders that bring a service to what the manifest asks for.
 
 The plan is computed from scratch each time, from the replicated state and the
-announcements of upstreams. A leader that takes over halfway therefore goes on
-where the last one stopped.
+announcements of upstreams. A new leader therefore continues where the
+previous one stopped.
 
-A rollout goes through the failure domains one by one. It keeps at least
-`floor` upstreams ready, so that the service stays up under load. It pauses
-between failure domains, so that a faulty version shows before it has reached
-all of them.
+A rollout updates one failure domain after another. It keeps at least `floor`
+upstreams ready, so that the service stays up under load. It pauses between
+failure domains, so that a faulty version is noticed before all of them run it.
 """
 
 from typing import NamedTuple
@@ -21,8 +20,8 @@
 # States of upstreams, as they announce them.
 READY = "ready"
 DOWN = "down"
-# Time after a successful order during which the upstream may still announce
-# its old model; it gets no new order for that.
+# Time after a successful order during which the upstream may still announce its
+# old model without getting another order.
 SETTLE_SECONDS = 10.0
 # Pause after a failed order, so that a broken upstream doesn't use up the
 # permits to load from the weight store.
@@ -60,8 +59,8 @@
 
     Attributes:
         target: Target that the manifest asks for; see `target_of`.
-        floor: Upstreams that must stay ready during a rollout.
-        replicas: Upstreams that shall hold the target; 0 for all.
+        floor: Number of upstreams that must stay ready during a rollout.
+        replicas: Number of upstreams that must hold the target; 0 for all.
         pause: Seconds between failure domains.
         upstreams: All announced upstreams of the service.
         rollout: The service's latest rollout, if any.
@@ -116,7 +115,7 @@
 
 
 def next_steps(view: View) -> list[Step]:
-    """Returns the steps to take now; none while there is to wait."""
+    """Returns the steps to take now; empty if there are none yet."""
     rollout = view.rollout
     if rollout is None or rollout.target != view.target:
         return [StartRollout(view.target, _previous(view))]
@@ -174,7 +173,7 @@
     """Returns why a version counts as faulty; empty if it doesn't."""
     for upstream in view.upstreams:
         order = upstream.order
-        if order is None or order.fencing_token <= rollout.started:
+        if order is None or order.fencing_token <= rollout.start_fencing_token:
             continue
         if order.model != model or order.epoch != upstream.epoch:
             continue
@@ -203,26 +202,26 @@
 ) -> list[Step]:
     holders = _holders(view, model)
     spare = [item for item in view.upstreams if item not in holders]
-    wanted: list[tuple[Upstream, str, str]] = [
+    orders: list[tuple[Upstream, str, str]] = [
         (item, LOAD, model)
         for item in _first_unsettled_domain(holders, model, view.now)
         if not _has_loaded(item, model, view.now)
     ]
-    if not wanted and _complete(view, model):
-        wanted = [(item, UNLOAD, item.model) for item in spare if item.model]
-    if wanted and _must_pause(view, wanted[0][0], rollout):
+    if not orders and _complete(view, model):
+        orders = [(item, UNLOAD, item.model) for item in spare if item.model]
+    if orders and _must_pause(view, orders[0][0], rollout):
         return []
-    return _within_floor(view, wanted)
+    return _within_floor(view, orders)
 
 
 def _within_floor(
-    view: View, wanted: list[tuple[Upstream, str, str]]
+    view: View, orders: list[tuple[Upstream, str, str]]
 ) -> list[Step]:
     """Returns the orders that leave at least `floor` upstreams ready."""
     serving = [item for item in view.upstreams if _serves(item)]
     allowed = len(serving) - view.floor
     steps: list[Step] = []
-    for upstream, action, model in wanted:
+    for upstream, action, model in orders:
         if not _can_take_order(upstream, view.now):
             continue
         if _serves(upstream):
@@ -245,13 +244,13 @@
     minutes, so that two domains would load at the same time.
     """
     for domain in sorted({item.failure_domain for item in upstreams}):
-        inside = [
+        in_domain = [
             item
             for item in upstreams
             if item.failure_domain == domain and item.state != DOWN
         ]
-        if not all(_settled(item, model, now) for item in inside):
-            return inside
+        if not all(_settled(item, model, now) for item in in_domain):
+            return in_domain
     return []
 
 
@@ -261,13 +260,16 @@
 
 
 def _must_pause(view: View, first: Upstream, rollout: rollouts.Rollout) -> bool:
-    """Returns whether the first order to a domain must wait for the pause."""
-    inside = [
+    """Returns whether the next order must wait for the pause.
+
+    Only the first order to a failure domain waits.
+    """
+    in_domain = [
         item
         for item in view.upstreams
         if item.failure_domain == first.failure_domain
     ]
-    if any(_belongs_to(item.order, rollout) for item in inside):
+    if any(_belongs_to(item.order, rollout) for item in in_domain):
         return False
     return not _pause_is_over(view, rollout)
 
@@ -282,7 +284,7 @@
 
 
 def _holders(view: View, model: str) -> list[Upstream]:
-    """Returns the upstreams that shall hold the model.
+    """Returns the upstreams that must hold the model.
 
     If there are more upstreams than wanted replicas, those that hold the
     model already come first, and the others are spread over the failure
@@ -296,9 +298,9 @@
         if item.state != DOWN and not item.drained
     ]
     live.sort(key=lambda item: (item.model != model, item.instance))
-    taken: list[Upstream] = []
+    holders: list[Upstream] = []
     by_domain: dict[str, int] = {}
-    while live and len(taken) < view.replicas:
+    while live and len(holders) < view.replicas:
         best = min(
             live,
             key=lambda item: (
@@ -308,10 +310,10 @@
             ),
         )
         live.remove(best)
-        taken.append(best)
+        holders.append(best)
         count = by_domain.get(best.failure_domain, 0)
         by_domain[best.failure_domain] = count + 1
-    return taken
+    return holders
 
 
 def _has_loaded(upstream: Upstream, model: str, now: float) -> bool:
@@ -359,4 +361,6 @@
 def _belongs_to(
     order: rollouts.Order | None, rollout: rollouts.Rollout
 ) -> bool:
-    return order is not None and order.fencing_token > rollout.started
+    return (
+        order is not None and order.fencing_token > rollout.start_fencing_token
+    )
--- a/src/mintcleat/decisions/remaining_work.py
+++ b/src/mintcleat/decisions/remaining_work.py
@@ -12,8 +12,8 @@
 # Finished programs needed for an estimate. With fewer, a single unusual program
 # would determine the order of the whole queue.
 MIN_EVIDENCE = 8
-# Samples after which a histogram is halved, so that it adapts to a changed
-# agent within this many finished programs.
+# Samples after which all counts are halved, so that the histogram adapts to a
+# changed agent within this many finished programs.
 MAX_SAMPLES = 512
 # Mean tokens of a program, assumed until some have finished.
 INITIAL_MEAN_TOKENS = 4000.0
@@ -96,8 +96,8 @@
 
     def answered(self, agent: str, generated: int) -> None:
         """Records the number of tokens in one answer."""
-        known = self.answer_sizes.get(agent, float(generated))
-        self.answer_sizes[agent] = known + (generated - known) / 16
+        mean = self.answer_sizes.get(agent, float(generated))
+        self.answer_sizes[agent] = mean + (generated - mean) / 16
 
     def answer_tokens(self, agent: str, fallback: int) -> int:
         """Returns the expected tokens in an answer to a call of this agent."""
@@ -112,8 +112,8 @@
     def remaining(self, agent: str, attained: int, turns: int = 0) -> Remaining:
         """Returns the expected remaining work of a program.
 
-        Without enough samples the attained tokens stand in for the remaining
-        ones, which gives least-attained-service order.
+        Without enough samples the attained tokens are returned as the
+        remaining ones, which gives least-attained-service order.
 
         Args:
             agent: Name of the agent program.
@@ -123,8 +123,10 @@
         tokens = self.tokens.get(agent)
         if tokens is None or tokens.total < MIN_EVIDENCE:
             return Remaining(float(attained), 0.0, known=False)
-        left = self.turns[agent].mean_remaining(turns)
-        return Remaining(tokens.mean_remaining(attained), left, known=True)
+        remaining_turns = self.turns[agent].mean_remaining(turns)
+        return Remaining(
+            tokens.mean_remaining(attained), remaining_turns, known=True
+        )
 
 
 def _bucket(value: float) -> int:
--- a/src/mintcleat/decisions/shared_load.py
+++ b/src/mintcleat/decisions/shared_load.py
@@ -1,9 +1,9 @@
 """How many requests run at each upstream, summed over all entries.
 
-Several entries share the upstreams. If each knew only its own requests, chance
-would put 19 of them on one engine with 16 slots while another has two, and
-programs at the former would wait for a whole turn. So entries report what they
-have running to the leader that opens their turns, within the request that
+Several entries share the upstreams. If each knew only its own requests, random
+variation could put 19 requests on one engine with 16 slots and two on another,
+and programs at the former would wait for a whole turn. So entries report what
+they have running to the leader that opens their turns, within the request that
 opens a turn, and the reply has the counts of the other entries.
 
 With a few turns per second and entry, a count is about 50 ms old. One entry
@@ -55,15 +55,15 @@
     def others(self, entry: str) -> dict[str, int]:
         """Returns the requests of all other entries, by upstream."""
         _, own = self.reports.get(entry, (0.0, {}))
-        found = {
+        counts = {
             upstream: count - own.get(upstream, 0)
             for upstream, count in self.totals.items()
             if count > own.get(upstream, 0)
         }
-        if len(found) > MAX_UPSTREAMS:
-            busiest = sorted(found, key=found.__getitem__)[-MAX_UPSTREAMS:]
-            found = {upstream: found[upstream] for upstream in busiest}
-        return found
+        if len(counts) > MAX_UPSTREAMS:
+            busiest = sorted(counts, key=counts.__getitem__)[-MAX_UPSTREAMS:]
+            counts = {upstream: counts[upstream] for upstream in busiest}
+        return counts
 
     def _remove(self, entry: str) -> None:
         _, running = self.reports.pop(entry, (0.0, {}))
--- a/src/mintcleat/decisions/slots.py
+++ b/src/mintcleat/decisions/slots.py
@@ -48,7 +48,7 @@
         protect: Whether calls wait rather than evict caches that will be used
             again soon.
         adaptive: Whether the concurrency limit adapts to latency.
-        fair: Whether customers get fair shares; else one common queue.
+        fair: Whether customers get fair shares; otherwise they share a queue.
         bounded: Whether calls are refused by predicted wait and deadline.
         classes: Whether interactive calls take precedence over batch calls.
         ordering: Parts of the scheduling order within a customer.
@@ -88,7 +88,7 @@
 
     Attributes:
         running: Running calls by call id.
-        running_of: Number of running calls by customer.
+        running_by_customer: Number of running calls by customer.
         batch: Number of running batch calls.
         suspects: Number of running suspect calls.
         tokens: Context tokens of all running calls.
@@ -102,7 +102,7 @@
         self.speed = estimated_speed
         self.working_set = workingset.WorkingSet()
         self.running: dict[str, Running] = {}
-        self.running_of: dict[str, int] = {}
+        self.running_by_customer: dict[str, int] = {}
         self.batch = 0
         self.suspects = 0
         self.tokens = 0
@@ -119,7 +119,9 @@
         call = item.call
         backlog = self.prefill_tokens
         self.running[call.call_id] = Running(item, now, backlog)
-        self.running_of[item.flow] = self.running_of.get(item.flow, 0) + 1
+        self.running_by_customer[item.flow] = (
+            self.running_by_customer.get(item.flow, 0) + 1
+        )
         self.batch += item.klass == calls.BATCH
         self.suspects += call.suspect
         self.tokens += context(call)
@@ -142,9 +144,9 @@
             return False
         self.prefilled(call_id)
         item = running.item
-        self.running_of[item.flow] -= 1
-        if not self.running_of[item.flow]:
-            del self.running_of[item.flow]
+        self.running_by_customer[item.flow] -= 1
+        if not self.running_by_customer[item.flow]:
+            del self.running_by_customer[item.flow]
         self.batch -= item.klass == calls.BATCH
         self.suspects -= item.call.suspect
         self.tokens -= context(item.call)
@@ -160,8 +162,8 @@
 
         The share is its weight relative to all customers with running calls.
         """
-        share = self._share(flow, self.running_of)
-        return self.running_of.get(flow, 0) >= limit * share
+        share = self._share(flow, self.running_by_customer)
+        return self.running_by_customer.get(flow, 0) >= limit * share
 
     def allows(self, item: class_queue.QueueItem, limit: int) -> bool:
         """Returns whether the call may take a slot, memory aside."""
@@ -170,8 +172,11 @@
             return False
         if item.call.suspect and self.suspects:
             return False
-        top = self.options.max_running.get(item.call.customer, 0)
-        if top and self.running_of.get(item.flow, 0) >= top:
+        max_running = self.options.max_running.get(item.call.customer, 0)
+        if (
+            max_running
+            and self.running_by_customer.get(item.flow, 0) >= max_running
+        ):
             return False
         if item.klass == calls.BATCH:
             batch_slots = max(1, limit - int(limit * INTERACTIVE_RESERVE))
@@ -225,8 +230,8 @@
         memory = self.options.memory
         if not memory:
             return True
-        need = context(item.call)
-        if self.tokens + need > memory:
+        call_tokens = context(item.call)
+        if self.tokens + call_tokens > memory:
             return False
         if not self.options.protect or item.need == class_queue.RESIDENT:
             return True
@@ -236,7 +241,7 @@
             and waited >= PROTECTED_WAIT_SECONDS
         ):
             return True
-        return self.tokens + self.protected + need <= memory
+        return self.tokens + self.protected + call_tokens <= memory
 
     def _prefill_fits(self, item: class_queue.QueueItem) -> bool:
         seconds = self.options.prefill
