--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,4 @@
-"""Measures the decisions against simpler schedulers, in virtual time.
+"""Compares the decisions with simpler schedulers, in virtual time.
 
 Usage: PYTHONPATH=src python bench/policy.py COMMAND [--seeds 20] [--jobs 3]
 Commands: goals, burst, slow, overload, mechanisms, weights, capacity, cost.
@@ -23,9 +23,11 @@
 import policy_load
 import policy_world
 
-ARRIVALS = 900.0
-WARM = 120.0
-DRAIN = 3000.0
+# Virtual seconds during which programs arrive, the part of them that is left
+# out of the latencies, and the time that programs have to end afterwards.
+ARRIVAL_SECONDS = 900.0
+WARMUP_SECONDS = 120.0
+DRAIN_SECONDS = 3000.0
 NAIVE_GATE = queue.Options(
     working_set=False,
     prefill=0.0,
@@ -38,20 +40,22 @@
 )
 NAIVE = policy_world.Policy(
     "naive",
-    placing="round_robin",
-    keeping="none",
+    placement_policy="round_robin",
+    retention_policy="none",
     gate=NAIVE_GATE,
     bounded_pause=False,
     export=False,
     deadline=0.0,
-    retries=False,
+    retry_refused=False,
+)
+STRONG = NAIVE._replace(
+    name="strong", placement_policy="least_loaded", retention_policy="age"
 )
-STRONG = NAIVE._replace(name="strong", placing="least_loaded", keeping="age")
 FULL = policy_world.Policy("full")
 
 
-def without() -> list[policy_world.Policy]:
-    """Returns the full policy with each mechanism off in turn."""
+def ablations() -> list[policy_world.Policy]:
+    """Returns copies of the full policy, each with one mechanism off."""
     gate = FULL.gate
     switches = FULL.switches
     ordering = order.ALL_ON
@@ -78,15 +82,17 @@
     policies += [
         FULL._replace(name=name, switches=places[name]) for name in places
     ]
-    policies.append(FULL._replace(name="pause histograms", keeping="age"))
+    policies.append(
+        FULL._replace(name="pause histograms", retention_policy="age")
+    )
     policies.append(FULL._replace(name="hung bound", bounded_pause=False))
     policies.append(FULL._replace(name="export", export=False))
-    policies.append(FULL._replace(name="retries", retries=False))
+    policies.append(FULL._replace(name="retries", retry_refused=False))
     return policies
 
 
 def program_seconds(deployment: policy_load.Deployment) -> float:
-    """Returns the mean engine time of a program, histories never rebuilt."""
+    """Returns the mean engine seconds of a program without recomputation."""
     sample = policy_load.Generator(deployment, 1234)
     return statistics.mean(
         policy_load.engine_seconds(
@@ -98,122 +104,159 @@
     )
 
 
-def rate(deployment: policy_load.Deployment, load: float) -> float:
-    """Returns programs a second at a part of the deployment's capacity."""
+def arrival_rate(deployment: policy_load.Deployment, load: float) -> float:
+    """Returns programs per second at `load` times the capacity."""
     engines = deployment.engines * deployment.capacity
     return load * engines / program_seconds(deployment)
 
 
-def percentile(values: list[float], share: float) -> float:
+def percentile(values: list[float], fraction: float) -> float:
     """Returns a percentile; infinite for no values."""
     if not values:
         return math.inf
-    return sorted(values)[int(share * (len(values) - 1))]
+    return sorted(values)[int(fraction * (len(values) - 1))]
 
 
 def latencies(
     result: policy_world.Result,
     start: float,
     end: float,
-    skip: str = "",
+    excluded_customer: str = "",
     end_of_run: float = math.inf,
 ) -> list[float]:
-    """Returns whole-program latencies of arrivals between two times.
+    """Returns the latencies, in seconds, of programs by time of arrival.
 
-    A program that has not ended counts with the time it has had.
+    Programs with a hung tool are left out. One that has not ended counts with
+    the time from its arrival to the end of the run.
+
+    Args:
+        result: Outcome of the run.
+        start: Earliest arrival.
+        end: Latest arrival, exclusive.
+        excluded_customer: Customer whose programs are left out.
+        end_of_run: Virtual time at which the run ended.
     """
     return [
         min(ended, end_of_run) - arrived
         for arrived, ended, customer, _, paused in result.records
-        if start <= arrived < end and paused < math.inf and customer != skip
+        if start <= arrived < end
+        and paused < math.inf
+        and customer != excluded_customer
     ]
 
 
-def steady(
+def run_steady(
     name: str, policy: policy_world.Policy, seed: int, load: float
 ) -> dict[str, float]:
     """Runs Poisson arrivals at one load."""
     deployment = policy_load.DEPLOYMENTS[name]
     generator = policy_load.Generator(deployment, seed)
-    world = policy_world.World(deployment, policy)
-    for at in generator.arrivals(rate(deployment, load), 0.0, ARRIVALS):
-        world.at(at, world.arrive, generator.program())
-    return measured(world)
-
-
-def measured(
-    world: policy_world.World, skip: str = "", start: float = WARM
+    simulation = policy_world.Simulation(deployment, policy)
+    for at in generator.arrivals(
+        arrival_rate(deployment, load), 0.0, ARRIVAL_SECONDS
+    ):
+        simulation.schedule(at, simulation.arrive, generator.program())
+    return summarize(simulation)
+
+
+def summarize(
+    simulation: policy_world.Simulation,
+    excluded_customer: str = "",
+    start: float = WARMUP_SECONDS,
 ) -> dict[str, float]:
-    """Runs a world to its end and returns what callers saw."""
-    world.run(ARRIVALS + DRAIN)
-    result = world.result()
-    times = latencies(result, start, ARRIVALS, skip, ARRIVALS + DRAIN)
-    useful = sum(s for at, s in result.useful if 300.0 <= at < ARRIVALS)
-    engine_time = (ARRIVALS - 300.0) * world.deployment.engines
+    """Runs a simulation to its end and returns the columns of its row.
+
+    Args:
+        simulation: A simulation whose arrivals are scheduled.
+        excluded_customer: Customer whose latencies are left out.
+        start: Earliest arrival that counts in the latencies.
+    """
+    simulation.run(ARRIVAL_SECONDS + DRAIN_SECONDS)
+    result = simulation.result()
+    times = latencies(
+        result,
+        start,
+        ARRIVAL_SECONDS,
+        excluded_customer,
+        ARRIVAL_SECONDS + DRAIN_SECONDS,
+    )
+    useful = sum(
+        seconds
+        for at, seconds in result.useful
+        if 300.0 <= at < ARRIVAL_SECONDS
+    )
+    engine_time = (ARRIVAL_SECONDS - 300.0) * simulation.deployment.engines
     return {
         "useful%": 100 * useful / engine_time,
         "mean": statistics.mean(times),
         "p95": percentile(times, 0.95),
-        "waste": result.wasted / len(result.records),
+        "waste": result.recomputed_tokens / len(result.records),
         "late%": 100 * result.late / max(1, result.admitted),
         "refused": result.refusals / len(result.records),
         "moves": result.moves / len(result.records),
     }
 
 
-def burst_run(
+def run_burst(
     name: str, policy: policy_world.Policy, seed: int, factor: float
 ) -> dict[str, float]:
-    """Runs one customer at `factor` times its share for 100 s."""
+    """Runs with one customer at `factor` times its usual rate for 100 s."""
     deployment = policy_load.DEPLOYMENTS[name]
     generator = policy_load.Generator(deployment, seed)
-    world = policy_world.World(deployment, policy)
-    usual = rate(deployment, 0.7)
-    for at in generator.arrivals(usual, 0.0, ARRIVALS):
-        world.at(at, world.arrive, generator.program())
+    simulation = policy_world.Simulation(deployment, policy)
+    base_rate = arrival_rate(deployment, 0.7)
+    for at in generator.arrivals(base_rate, 0.0, ARRIVAL_SECONDS):
+        simulation.schedule(at, simulation.arrive, generator.program())
     customer = policy_load.CUSTOMERS[0]
-    more = (factor - 1) * usual / len(policy_load.CUSTOMERS)
-    if more > 0:
+    extra_rate = (factor - 1) * base_rate / len(policy_load.CUSTOMERS)
+    if extra_rate > 0:
         other = policy_load.Generator(deployment, 1000 + seed)
         other.count = 10**6
-        for at in other.arrivals(more, 150.0, 250.0):
-            world.at(at, world.arrive, other.program(customer))
-    return measured(world, skip=customer, start=150.0)
+        for at in other.arrivals(extra_rate, 150.0, 250.0):
+            simulation.schedule(at, simulation.arrive, other.program(customer))
+    return summarize(simulation, excluded_customer=customer, start=150.0)
 
 
-def slow_run(
+def run_slow(
     name: str, policy: policy_world.Policy, seed: int, factor: float
 ) -> dict[str, float]:
     """Runs at 0.6 of capacity with one engine slower by `factor`."""
     deployment = policy_load.DEPLOYMENTS[name]
     generator = policy_load.Generator(deployment, seed)
-    world = policy_world.World(deployment, policy, {0: factor})
-    for at in generator.arrivals(rate(deployment, 0.6), 0.0, ARRIVALS):
-        world.at(at, world.arrive, generator.program())
-    return measured(world)
+    simulation = policy_world.Simulation(deployment, policy, {0: factor})
+    for at in generator.arrivals(
+        arrival_rate(deployment, 0.6), 0.0, ARRIVAL_SECONDS
+    ):
+        simulation.schedule(at, simulation.arrive, generator.program())
+    return summarize(simulation)
 
 
-def overload_run(
+def run_overload(
     name: str, policy: policy_world.Policy, seed: int, factor: float
 ) -> dict[str, float]:
     """Runs 0.7 of capacity, `factor` for ten minutes, then 0.7 again.
 
-    A caller whose first call is refused goes away.
+    A caller whose first call is refused gives up.
     """
     deployment = policy_load.DEPLOYMENTS[name]
     generator = policy_load.Generator(deployment, seed)
-    world = policy_world.World(deployment, policy, patience=1)
+    simulation = policy_world.Simulation(deployment, policy, max_refusals=1)
     phases = [
         (0.7, 0.0, 600.0),
         (factor, 600.0, 1200.0),
         (0.7, 1200.0, 1800.0),
     ]
     for load, start, end in phases:
-        for at in generator.arrivals(rate(deployment, load), start, end):
-            world.at(at, world.arrive, generator.program())
-    world.run(1800.0 + DRAIN)
-    result = world.result()
-    good = sum(s for at, s in result.useful if 700.0 <= at < 1200.0) / 500.0
+        for at in generator.arrivals(
+            arrival_rate(deployment, load), start, end
+        ):
+            simulation.schedule(at, simulation.arrive, generator.program())
+    simulation.run(1800.0 + DRAIN_SECONDS)
+    result = simulation.result()
+    good = (
+        sum(seconds for at, seconds in result.useful if 700.0 <= at < 1200.0)
+        / 500.0
+    )
     ended = [
         (arrived, end - arrived)
         for arrived, end, *_, paused in result.records
@@ -237,7 +280,7 @@
                 for arrived, _, _, _, paused in result.records
             ),
         ),
-        "waste": result.wasted / len(result.records),
+        "waste": result.recomputed_tokens / len(result.records),
     }
 
 
@@ -247,7 +290,7 @@
 
 
 def run_case(case: Case) -> dict[str, float]:
-    """Runs one case in a worker process."""
+    """Runs one case; called in a worker process."""
     function, name, policy, seed, argument = case
     return function(name, policy, seed, argument)
 
@@ -258,28 +301,32 @@
     seeds: int,
     jobs: int,
 ) -> list[dict[str, float]]:
-    """Runs each row with every seed and prints medians and quartiles."""
+    """Runs each row with every seed; prints medians and quartiles.
+
+    Returns:
+        The medians by column, one mapping per row.
+    """
     cases = [
         (function, name, policy, seed, argument)
         for name, policy, argument in rows
         for seed in range(1, seeds + 1)
     ]
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        found = list(pool.map(run_case, cases))
+        results = list(pool.map(run_case, cases))
     medians = []
     for index, (name, policy, argument) in enumerate(rows):
-        part = found[index * seeds : (index + 1) * seeds]
-        medians.append(_print_row(name, policy.name, argument, part))
+        runs = results[index * seeds : (index + 1) * seeds]
+        medians.append(_print_row(name, policy.name, argument, runs))
     return medians
 
 
 def _print_row(
-    name: str, policy: str, argument: float, part: list[dict[str, float]]
+    name: str, policy: str, argument: float, runs: list[dict[str, float]]
 ) -> dict[str, float]:
     medians = {}
     cells = []
-    for key in part[0]:
-        values = [row[key] for row in part]
+    for key in runs[0]:
+        values = [row[key] for row in runs]
         low, middle, high = (percentile(values, q) for q in (0.25, 0.5, 0.75))
         medians[key] = middle
         cells.append(f"{key} {middle:.1f} [{low:.1f} {high:.1f}]")
@@ -289,7 +336,9 @@
     return medians
 
 
-def _ratios(text: str, ours: dict[str, float], other: dict[str, float]) -> None:
+def _print_ratios(
+    text: str, ours: dict[str, float], other: dict[str, float]
+) -> None:
     parts = [
         f"{key} {ours[key] / other[key]:.2f}"
         for key in ("mean", "p95", "waste")
@@ -299,51 +348,51 @@
 
 
 class Commands:
-    """The measurements; see the module's text."""
+    """Commands of the program."""
 
     def goals(self, seeds: int = 20, jobs: int = 3, load: float = 0.9) -> None:
-        """Compares naive, strong and full at a part of capacity."""
+        """Compares naive, strong and full at `load` times the capacity."""
         for name in policy_load.DEPLOYMENTS:
             rows = [(name, policy, load) for policy in (NAIVE, STRONG, FULL)]
-            naive, strong, full = table(steady, rows, seeds, jobs)
-            _ratios("full / naive", full, naive)
-            _ratios("full / strong", full, strong)
+            naive, strong, full = table(run_steady, rows, seeds, jobs)
+            _print_ratios("full / naive", full, naive)
+            _print_ratios("full / strong", full, strong)
 
     def burst(self, seeds: int = 20, jobs: int = 3) -> None:
-        """One customer at 10 times its share; the others' latency."""
+        """Measures the others' latency in one customer's tenfold burst."""
         for name in policy_load.DEPLOYMENTS:
             for policy in (STRONG, FULL):
                 rows = [(name, policy, factor) for factor in (1.0, 10.0)]
-                calm, burst = table(burst_run, rows, seeds, jobs)
-                _ratios("burst / calm", burst, calm)
+                calm, burst = table(run_burst, rows, seeds, jobs)
+                _print_ratios("burst / calm", burst, calm)
 
     def slow(self, seeds: int = 20, jobs: int = 3) -> None:
-        """One engine ten times slower."""
+        """Measures a fleet with one engine ten times slower."""
         for name in policy_load.DEPLOYMENTS:
             for policy in (STRONG, FULL):
                 rows = [(name, policy, factor) for factor in (1.0, 10.0)]
-                healthy, slow = table(slow_run, rows, seeds, jobs)
-                _ratios("slow / healthy", slow, healthy)
+                healthy, slow = table(run_slow, rows, seeds, jobs)
+                _print_ratios("slow / healthy", slow, healthy)
 
     def overload(self, seeds: int = 20, jobs: int = 3) -> None:
-        """Twice the capacity for ten minutes, then normal."""
+        """Measures twice the capacity for ten minutes, and the recovery."""
         rows = [
             (name, policy, 2.0)
             for name in policy_load.DEPLOYMENTS
             for policy in (STRONG, FULL)
         ]
-        table(overload_run, rows, seeds, jobs)
+        table(run_overload, rows, seeds, jobs)
 
     def mechanisms(
         self, seeds: int = 20, jobs: int = 3, load: float = 1.0
     ) -> None:
-        """Switches each own mechanism off in turn."""
+        """Switches off one mechanism after the other."""
         for name in policy_load.DEPLOYMENTS:
-            rows = [(name, policy, load) for policy in (FULL, *without())]
-            table(steady, rows, seeds, jobs)
+            rows = [(name, policy, load) for policy in (FULL, *ablations())]
+            table(run_steady, rows, seeds, jobs)
 
     def weights(self, seeds: int = 20, jobs: int = 3) -> None:
-        """Moves the manifest's weights from one end to the other."""
+        """Compares weights of latency against recomputed tokens."""
         ends = {
             "latency 9:1": (9.0, 1.0),
             "even": (1.0, 1.0),
@@ -358,25 +407,33 @@
                 )
                 for text, pair in ends.items()
             ]
-            table(steady, rows, seeds, jobs)
+            table(run_steady, rows, seeds, jobs)
 
     def capacity(self, seeds: int = 5, jobs: int = 3) -> None:
-        """Finds the most useful work a second, as part of bare compute."""
+        """Measures useful work by load, to find the capacity.
+
+        Loads are fractions of the compute of engines that recompute nothing.
+        """
         for name, deployment in policy_load.DEPLOYMENTS.items():
             loads = [0.3, 0.6, 0.65, 0.7, 0.75, 0.8]
             rows = [(name, FULL, load / deployment.capacity) for load in loads]
             print(f"{name}: parts of bare compute {loads}")
-            table(steady, rows, seeds, jobs)
+            table(run_steady, rows, seeds, jobs)
 
     def cost(self) -> None:
-        """Times one placement and one admission, in microseconds."""
+        """Prints the microseconds of one placement and of one admission."""
         for count in (10, 300, 3000):
-            print(f"upstreams {count:6}  placement {_placement(count):7.1f} us")
+            print(
+                f"upstreams {count:6}  placement {_placement_us(count):7.1f} us"
+            )
         for count in (1_000, 100_000):
-            print(f"programs  {count:6}  admission {_admission(count):7.1f} us")
+            print(
+                f"programs  {count:6}  admission {_admission_us(count):7.1f} us"
+            )
 
 
-def _placement(count: int) -> float:
+def _placement_us(count: int) -> float:
+    """Returns the microseconds of one choice, less clearing sent calls."""
     members = [
         subset.Member(f"u{number}", f"d{number % 9}") for number in range(count)
     ]
@@ -413,8 +470,11 @@
     return ((clearing - started) - (ended - clearing)) / 5000 * 1e6
 
 
-def _admission(count: int) -> float:
-    """Times offer, finish and next in a gate that holds `count` calls."""
+def _admission_us(count: int) -> float:
+    """Returns the microseconds of one call with `count` calls held.
+
+    One call is an offer, a finish and a `next`.
+    """
     gate = queue.Gate(queue.Options(bounded=False), 24)
     for number in range(count):
         gate.offer(_call(number), number * 1e-4)
--- a/bench/policy_load.py
+++ b/bench/policy_load.py
@@ -1,16 +1,16 @@
-"""Shapes of the two deployments' programs, drawn from a fixed seed."""
+"""Synthetic programs of two deployments, drawn from a seed."""
 
 import random
 from typing import NamedTuple
 
 
 class Step(NamedTuple):
-    """One turn of a program and the pause after it.
+    """One turn of a program and the pause that follows.
 
     Attributes:
         new: Prompt tokens that the turn adds.
         generate: Tokens of its answer.
-        tool: Tool that the answer calls.
+        tool: Name of the tool that the answer calls.
         pause: Seconds that the tool takes; infinite for one that hangs.
         child: A sub-agent that runs in place of the tool.
     """
@@ -23,7 +23,7 @@
 
 
 class Program(NamedTuple):
-    """A program's whole course, which no decision may look at."""
+    """All turns of a program, drawn in advance; hidden from decisions."""
 
     name: str
     agent: str
@@ -33,11 +33,18 @@
 
 
 class Agent(NamedTuple):
-    """Ranges from which an agent's programs are drawn.
+    """Distributions from which an agent's programs are drawn.
 
     Attributes:
-        tools: (name, share, median seconds, sigma of the logarithm).
-        child: Agent of the sub-agents and the chance of one per turn.
+        share: Part of the programs that this agent runs.
+        klass: Class of its calls, `interactive` or `batch`.
+        turns: Least and largest number of turns.
+        first: Least and largest prompt of the first turn, in tokens.
+        new: The same of the later turns.
+        generate: The same of the answers.
+        tools: (name, share, median seconds, sigma of the logarithm); the
+            duration is log-normal.
+        child: Agent of the sub-agents, and the probability of one per turn.
     """
 
     name: str
@@ -52,13 +59,16 @@
 
 
 class Deployment(NamedTuple):
-    """A deployment: its engines, its agents, and what it weighs.
+    """A deployment: its engines, its agents and its weights.
 
     Attributes:
         memory: Tokens of cache per engine.
-        capacity: Offered load, as a part of the engines' bare compute, up to
-            which useful work grows with all decisions on; and `useful`, the
-            useful work there. `policy.py capacity` measures both.
+        latency_weight: Weight of latency in placement.
+        waste_weight: Weight of recomputed tokens in placement.
+        capacity: Offered load up to which useful work grows with all decisions
+            on, as a fraction of the compute of engines that recompute
+            nothing; `policy.py capacity` measures it.
+        useful: Useful work at that load, as the same kind of fraction.
     """
 
     name: str
@@ -72,7 +82,8 @@
 
 
 CUSTOMERS = ["north", "south", "east", "west"]
-HANG_CHANCE = 0.002
+# Probability that a tool never returns.
+HANG_PROBABILITY = 0.002
 
 BREAKDOWN = Deployment(
     "breakdown",
@@ -192,7 +203,12 @@
 
 
 class Generator:
-    """Draws programs and arrival times from one seed."""
+    """Draws programs and arrival times from one seed.
+
+    Args:
+        deployment: Agents of the programs.
+        seed: Seed of the random numbers.
+    """
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
@@ -201,14 +217,22 @@
         self.count = 0
 
     def program(self, customer: str = "", agent: str = "") -> Program:
-        """Returns the next program."""
+        """Returns the next program; empty arguments are drawn too."""
         names = list(self.agents)
         weights = [self.agents[name].share for name in names]
         chosen = agent or self.random.choices(names, weights)[0]
-        return self._draw(chosen, customer or self.random.choice(CUSTOMERS))
+        return self._draw_program(
+            chosen, customer or self.random.choice(CUSTOMERS)
+        )
 
     def arrivals(self, rate: float, start: float, end: float) -> list[float]:
-        """Returns Poisson arrival times."""
+        """Returns Poisson arrival times from `start` to `end`.
+
+        Args:
+            rate: Arrivals per second.
+            start: First second.
+            end: Last second, exclusive.
+        """
         times = []
         now = start + self.random.expovariate(rate)
         while now < end:
@@ -216,7 +240,7 @@
             now += self.random.expovariate(rate)
         return times
 
-    def _draw(self, name: str, customer: str) -> Program:
+    def _draw_program(self, name: str, customer: str) -> Program:
         agent = self.agents[name]
         self.count += 1
         number = self.count
@@ -229,21 +253,21 @@
         return Program(f"p{number}", name, customer, agent.klass, steps)
 
     def _step(self, agent: Agent, customer: str, new: tuple[int, int]) -> Step:
-        draw = self.random
+        rng = self.random
         child_agent, chance = agent.child
         child = None
-        if draw.random() < chance:
-            child = self._draw(child_agent, customer)
+        if rng.random() < chance:
+            child = self._draw_program(child_agent, customer)
         tools = [tool for tool, *_ in agent.tools]
         shares = [share for _, share, *_ in agent.tools]
-        tool = draw.choices(tools, shares)[0]
+        tool = rng.choices(tools, shares)[0]
         _, _, median, sigma = next(t for t in agent.tools if t[0] == tool)
-        pause = median * draw.lognormvariate(0.0, sigma)
-        if draw.random() < HANG_CHANCE:
+        pause = median * rng.lognormvariate(0.0, sigma)
+        if rng.random() < HANG_PROBABILITY:
             pause = float("inf")
         return Step(
-            draw.randint(*new),
-            draw.randint(*agent.generate),
+            rng.randint(*new),
+            rng.randint(*agent.generate),
             tool,
             pause,
             child,
@@ -253,7 +277,7 @@
 def engine_seconds(
     program: Program, prefill_rate: float, decode_seconds: float
 ) -> float:
-    """Returns the engine time of a program whose history is never rebuilt."""
+    """Returns the engine seconds of a program without recomputation."""
     total = 0.0
     for step in program.steps:
         total += step.new / prefill_rate + step.generate * decode_seconds
