--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,8 +1,8 @@
-"""What callers see under steady load while one fault comes again and again.
+"""Measures what callers see under steady load while a fault is repeated.
 
-Entries, sidecars and control instances are processes of their own; the
-fault-injecting engines and services live in this process and are the
-witness of what ran.
+Entries, sidecars and control instances are processes of their own. The
+fault-injecting engines and services run in this process, so that answers and
+refusals can be checked against the calls that they really ran.
 
 Usage: python -m bench.faults run [--seconds N] [--only NAME]
        python -m bench.faults crashing [--sends N]
@@ -29,7 +29,7 @@
 from bench import faults_system
 from bench import faults_throughput
 
-_HEAD = (
+_HEADER = (
     f"{'fault':<16}{'n':>3}{'calls':>6}{'wrong':>6}{'doubled':>8}"
     f"{'untrue':>7}{'refused':>8}{'unknown':>8}{'resent':>7}{'left':>6}"
     f"{'p50 ms':>8}{'p99 ms':>8}"
@@ -37,21 +37,22 @@
 
 
 def run(seconds: float = 8.0, callers: int = 6, only: str = "") -> None:
-    """Prints one line per fault, each on a system of its own.
+    """Prints one line per fault, each measured on a new system.
 
-    Columns: how often the fault came; calls that the callers made; wrong
-    answers; bookings that ran twice; refusals with "not run" of calls that
-    had run; calls without an answer at their end (refused, or outcome
-    unknown); sends that had to be repeated; tokens left in the engines
-    after all programs ended; times of a whole call with its repeats.
+    Columns: `n`, injections of the fault; `calls` of the callers; `wrong`
+    answers; `doubled`, bookings that ran twice; `untrue`, refusals that say
+    "not run" of a call that had run; `refused` and `unknown`, calls that
+    finally got no answer, by the outcome that they were told; `resent`
+    requests; `left`, tokens in the engines after all programs ended; latency
+    of a call with its retries. Then follow the kinds of the last refusals.
 
     Args:
-        seconds: Time of steady load per fault.
-        callers: Programs at a time.
+        seconds: Duration of the load per fault.
+        callers: Programs that run at a time.
         only: Name of one fault; empty for all.
     """
     logger.remove()
-    print(_HEAD)
+    print(_HEADER)
     names = [only] if only else list(faults_system.FAULTS)
     for name in names:
         system = faults_system.FaultSystem()
@@ -63,10 +64,14 @@
 
 
 def crashing(sends: int = 20, callers: int = 6) -> None:
-    """Prints how many engines one crashing request takes down.
+    """Prints how many engines a request that crashes its engine takes down.
 
-    The engines come back after a second. Callers beside it must not be
-    refused for it.
+    The engines restart after a second. The other callers must not be refused
+    on its account.
+
+    Args:
+        sends: How often the request is sent.
+        callers: Programs of other callers that run at a time.
     """
     logger.remove()
     system = faults_system.FaultSystem(engines=4)
@@ -77,7 +82,12 @@
 
 
 def throughput(seconds: float = 5.0, streams: int = 16) -> None:
-    """Prints tokens a second per core of entry and sidecar, and memory."""
+    """Prints tokens per core second of entry and sidecar, and memory.
+
+    Args:
+        seconds: Duration of each measurement.
+        streams: Concurrent calls.
+    """
     logger.remove()
     for with_programs in (False, True):
         print(faults_throughput.run(seconds, streams, with_programs))
--- a/bench/faults_system.py
+++ b/bench/faults_system.py
@@ -1,4 +1,4 @@
-"""A deployment of processes around fault-injecting upstreams, and faults."""
+"""A deployment around fault-injecting upstreams, and the faults themselves."""
 
 import json
 import shutil
@@ -18,7 +18,7 @@
 from mintcleat.standins import engine
 
 _READY_SECONDS = 20.0
-_SPEED = batch.Speed(token_time=0.004, slots=16)
+_ENGINE_SPEED = batch.Speed(token_time=0.004, slots=16)
 FAULTS = (
     "none",
     "entry dies",
@@ -33,10 +33,17 @@
 
 
 class GreenProcess(processes.Process):
-    """A process whose start does not hold up this process's own loop."""
+    """A process whose start and stop do not block this process's event loop.
 
-    def begin(self) -> None:
-        """Starts the process and waits for its ready line."""
+    The upstreams run in this process and must answer meanwhile.
+    """
+
+    def start(self) -> None:
+        """Starts the process and waits for its ready line.
+
+        Raises:
+            RuntimeError: The process ended, or printed no ready line in time.
+        """
         self.output = tempfile.TemporaryFile("w+")
         environment = {
             **processes.os.environ,
@@ -60,10 +67,14 @@
             if self.child.poll() is not None:
                 break
             eventlet.sleep(0.02)
-        raise RuntimeError(f"{self.name} did not start: {self.errors()}")
+        raise RuntimeError(
+            f"{self.name} ended or printed no ready line in"
+            f" {_READY_SECONDS:g} s;"
+            f" its error output: {self.errors()}"
+        )
 
     def stop(self) -> int:
-        """Asks the process to stop; returns its exit code."""
+        """Stops the process; returns its exit code, -9 if it was killed."""
         if self.child.poll() is None:
             self.child.send_signal(signal.SIGTERM)
         for _ in range(2000):
@@ -75,21 +86,24 @@
 
 
 class FaultSystem(processes.System):
-    """Three control instances, two entries, engines and two services."""
+    """Three control instances, entries, two services and engines.
+
+    Engines and services run in this process and can inject faults.
+    """
 
     def __init__(self, engines: int = 2, entries: int = 2) -> None:
         self.upstreams: dict[str, Any] = {}
-        self.turn = 0
+        self.pick_count = 0
         super().__init__(
             controls=3, entries=entries, engines=engines, services=2
         )
         rig.push(self, rig.MANIFEST)
         rig.wait_ready(self)
-        # Entries hear of the other upstreams a moment after the first one.
+        # Entries learn of the other upstreams a moment after the first one.
         eventlet.sleep(1.0)
 
     def stop(self) -> dict[str, int]:
-        """Stops everything; returns the exit codes by name."""
+        """Stops everything; returns the exit codes of processes by name."""
         names = [name for name in self.processes if name not in self.upstreams]
         threads = [eventlet.spawn(self.processes[name].stop) for name in names]
         codes = dict(
@@ -102,21 +116,33 @@
 
     def engines(self) -> list[engine_faults.FaultyEngine]:
         """Returns the engines."""
-        found = self.upstreams.values()
-        return [one for one in found if isinstance(one, engine.Engine)]
+        upstreams = self.upstreams.values()
+        return [
+            upstream
+            for upstream in upstreams
+            if isinstance(upstream, engine.Engine)
+        ]
 
     def services(self) -> list[service_faults.FaultyService]:
-        """Returns the plain services."""
-        found = self.upstreams.values()
-        return [one for one in found if not isinstance(one, engine.Engine)]
-
-    def rotate(self, items: list[Any]) -> Any:
-        """Returns one item after another."""
-        self.turn += 1
-        return items[self.turn % len(items)]
-
-    def strike(self, fault: str) -> None:
-        """Lets one fault come once, and mends it where it lasts."""
+        """Returns the services of kind `plain`."""
+        upstreams = self.upstreams.values()
+        return [
+            upstream
+            for upstream in upstreams
+            if not isinstance(upstream, engine.Engine)
+        ]
+
+    def pick_next(self, items: list[Any]) -> Any:
+        """Returns another item of the list at each call, in turn."""
+        self.pick_count += 1
+        return items[self.pick_count % len(items)]
+
+    def inject(self, fault: str) -> None:
+        """Injects a fault once; restarts what it ended.
+
+        Args:
+            fault: One of `FAULTS`; `none` does nothing.
+        """
         match fault:
             case "entry dies":
                 self._kill("entry-")
@@ -125,24 +151,24 @@
             case "leader dies":
                 self._kill("control-")
             case "engine dies":
-                self._crash(self.rotate(self.engines()))
+                self._crash(self.pick_next(self.engines()))
             case "service dies":
-                self._crash(self.rotate(self.services()))
+                self._crash(self.pick_next(self.services()))
             case "streams cut":
-                for one in self.engines():
-                    one.cuts += 1
+                for upstream in self.engines():
+                    upstream.cuts += 1
             case "events lost":
-                for one in self.engines():
-                    one.hidden = set(one.cache.totals)
+                for upstream in self.engines():
+                    upstream.hidden = set(upstream.cache.totals)
             case "rolling restart":
                 self._restart_next()
 
     def _kill(self, prefix: str) -> None:
         names = [name for name in self.processes if name.startswith(prefix)]
-        process = self.processes[self.rotate(names)]
+        process = self.processes[self.pick_next(names)]
         process.child.kill()
         process.child.wait()
-        process.begin()
+        process.start()
 
     def _crash(self, upstream: Any) -> None:
         upstream.crash()
@@ -151,18 +177,21 @@
 
     def _restart_next(self) -> None:
         names = [name for name in self.processes if name not in self.upstreams]
-        process = self.processes[self.rotate(names)]
+        process = self.processes[self.pick_next(names)]
         code = process.stop()
         if code:
-            raise RuntimeError(f"{process.name} exited with {code}.")
-        process.begin()
+            raise RuntimeError(
+                f"{process.name} exited with code {code} after SIGTERM, not 0."
+            )
+        process.start()
 
     def _add(self, name: str, arguments: list[str]) -> processes.Process:
         self.processes[name] = GreenProcess(name, arguments)
         return self.processes[name]
 
     def _settings(self, name: str, domain: int, **more: object) -> list[str]:
-        # Quick notice: no balancer polls these entries.
+        # No load balancer polls these entries, so they need not announce a
+        # stop long in advance.
         if "entry" in more:
             more["entry"] = {"http": "127.0.0.1:0", "notice_seconds": 0.2}
         return super()._settings(name, domain, **more)
@@ -171,7 +200,7 @@
         self, name: str, standin: str, service: str, kind: str
     ) -> None:
         if kind == "model":
-            options = engine.EngineOptions(speed=_SPEED)
+            options = engine.EngineOptions(speed=_ENGINE_SPEED)
             upstream: Any = engine_faults.FaultyEngine(options)
         else:
             upstream = service_faults.FaultyService()
@@ -190,7 +219,7 @@
 
 
 def parse(data: bytes) -> Any:
-    """Returns decoded JSON, or None."""
+    """Returns the decoded JSON, or None if it is empty or invalid."""
     try:
         return json.loads(data or b"null")
     except ValueError:
--- a/bench/flooding.py
+++ b/bench/flooding.py
@@ -1,14 +1,14 @@
-"""Flooding of versioned documents between peers, against relaying.
+"""Compares flooding of versioned documents between peers with relaying.
 
     python bench/flooding.py
 
-A model in virtual time, not a measurement of sockets: a message takes
-HOP_SECONDS on the way and CPU_SECONDS of its receiver and of its sender, and
-a node handles one message at a time. Flooding follows the rules of "Network
-Service Interface Discovery Service" (GWD, OGF 2014): a node passes a version
-that it sees for the first time on to every peer but the one it came from,
-and drops a version that it has. Relaying is what mintcleat does: the leader
-sends to the relays, each relay to its nodes.
+This is a model in virtual time, not a measurement of sockets: a message takes
+HOP_SECONDS in the network and CPU_SECONDS each at its sender and its receiver,
+and a node handles one message at a time. Flooding follows the rules of
+"Network Service Interface Discovery Service" (GWD, OGF 2014): a node passes a
+version that it sees for the first time on to every peer but the one it came
+from, and drops a version that it already has. Relaying is what mintcleat does:
+the leader sends to the relays, each relay to its nodes.
 """
 
 import pathlib
@@ -26,49 +26,69 @@
 HOP_SECONDS = 0.001
 # Half of the 73 us that a round trip of one message costs on loopback.
 CPU_SECONDS = 37e-6
-# One changed section with its envelope.
+# One changed section of a manifest with its envelope.
 DOCUMENT_BYTES = 300
 SEED = 7
-# A sidecar's announcement is renewed this often.
-RENEW_SECONDS = 1.0
-LOST_SHARE = 0.05
+# Interval at which a sidecar renews its announcement.
+RENEWAL_SECONDS = 1.0
+# Fraction of the nodes that fail in the column `reached, 5% lost`.
+FAILED_FRACTION = 0.05
 
 
 class Result(NamedTuple):
-    """Costs of one change; `reached` is the share of the live nodes."""
+    """Costs of spreading one change.
+
+    Attributes:
+        messages: Messages sent, lost ones included.
+        last_seconds: When the last node received the change.
+        max_handled: Messages that the busiest node sent and received.
+        reached: Fraction of the live nodes that received the change.
+    """
 
     messages: int
-    last: float
-    most: int
+    last_seconds: float
+    max_handled: int
     reached: float
 
 
 class Network:
-    """Nodes that send, with a queue at each node's processor."""
+    """Nodes that pass on a change, each with one processor.
 
-    def __init__(self, lost: set[int]) -> None:
+    Attributes:
+        failed: Nodes that receive nothing.
+        busy_until: When a node's processor is free again.
+        received_at: When a node received the change.
+        peers: Nodes to which a node passes the change on.
+    """
+
+    def __init__(self, failed: set[int]) -> None:
         self.timers = timers.VirtualTimers(0.0)
-        self.lost = lost
-        self.busy: dict[int, float] = {}
+        self.failed = failed
+        self.busy_until: dict[int, float] = {}
         self.messages = 0
-        self.handled: dict[int, int] = {}
-        self.first: dict[int, float] = {}
+        self.handled_count: dict[int, int] = {}
+        self.received_at: dict[int, float] = {}
         self.peers: dict[int, list[int]] = {}
 
-    def begin(self, node: int) -> None:
-        """The change is accepted at a node."""
-        self.first[node] = 0.0
+    def publish(self, node: int) -> None:
+        """Publishes the change at a node."""
+        self.received_at[node] = 0.0
         self._spread(node, -1)
 
     def result(self, size: int) -> Result:
-        """Runs to the end; returns the costs."""
+        """Runs to the end; returns the costs.
+
+        Args:
+            size: Number of nodes; nodes from this number on are control
+                instances and count only as senders.
+        """
         self.timers.advance(60.0)
-        live = size - sum(1 for node in self.lost if node < size)
-        reached = [at for node, at in self.first.items() if node < size]
+        live = size - sum(1 for node in self.failed if node < size)
+        reached = [at for node, at in self.received_at.items() if node < size]
         return Result(
             self.messages,
             max(reached),
-            max(self.handled.values()),
+            max(self.handled_count.values()),
             len(reached) / live,
         )
 
@@ -79,92 +99,94 @@
 
     def _send(self, node: int, peer: int) -> None:
         self.messages += 1
-        sent = self._use(node)
-        if peer not in self.lost:
+        sent = self._occupy(node)
+        if peer not in self.failed:
             wait = sent + HOP_SECONDS - self.timers.now()
             self.timers.after(wait, lambda: self._arrive(node, peer))
 
     def _arrive(self, node: int, peer: int) -> None:
-        done = self._use(peer)
-        if peer in self.first:
+        done = self._occupy(peer)
+        if peer in self.received_at:
             return
-        self.first[peer] = done
+        self.received_at[peer] = done
         self.timers.after(
             done - self.timers.now(), lambda: self._spread(peer, node)
         )
 
-    def _use(self, node: int) -> float:
-        """Takes the node's processor for one message; returns the end."""
-        begin = max(self.timers.now(), self.busy.get(node, 0.0))
-        self.busy[node] = begin + CPU_SECONDS
-        self.handled[node] = self.handled.get(node, 0) + 1
-        return self.busy[node]
+    def _occupy(self, node: int) -> float:
+        """Occupies the processor for one message; returns when that ends."""
+        start = max(self.timers.now(), self.busy_until.get(node, 0.0))
+        self.busy_until[node] = start + CPU_SECONDS
+        self.handled_count[node] = self.handled_count.get(node, 0) + 1
+        return self.busy_until[node]
 
 
-def flood(size: int, degree: int, lost: set[int]) -> Result:
-    """Floods over a random graph of the mean degree."""
-    chance = random.Random(SEED)
-    network = Network(lost)
+def flood(size: int, degree: int, failed: set[int]) -> Result:
+    """Floods from node 0 over a random graph with the mean degree."""
+    rng = random.Random(SEED)
+    network = Network(failed)
     edges: set[tuple[int, int]] = set()
     for node in range(size):
         for _ in range(degree // 2):
-            peer = chance.randrange(size)
+            peer = rng.randrange(size)
             if peer != node:
                 edges.add((min(node, peer), max(node, peer)))
     for one, other in sorted(edges):
         network.peers.setdefault(one, []).append(other)
         network.peers.setdefault(other, []).append(one)
-    network.begin(0)
+    network.publish(0)
     return network.result(size)
 
 
-def relay(size: int, control: int, lost: set[int]) -> Result:
-    """Relays from a leader over `control - 1` relays, which serve nodes too.
+def relay(size: int, control: int, failed: set[int]) -> Result:
+    """Relays from a leader and `control - 1` relays, all of which serve nodes.
 
-    The nodes of a lost relay have moved to another one by then.
+    No relay fails here: the nodes of a failed one have already moved to
+    another.
     """
-    network = Network(lost)
+    network = Network(failed)
     leader = size
     relays = list(range(size + 1, size + control))
     network.peers[leader] = list(relays)
-    hubs = [leader, *relays]
+    senders = [leader, *relays]
     for node in range(size):
-        hub = hubs[node % len(hubs)]
-        network.peers.setdefault(hub, []).append(node)
-    network.begin(leader)
+        sender = senders[node % len(senders)]
+        network.peers.setdefault(sender, []).append(node)
+    network.publish(leader)
     return network.result(size)
 
 
 def run() -> None:
-    """Prints the comparison."""
+    """Prints the costs of each scheme by number of nodes."""
     print(
         "nodes  way              messages  per node  bytes    last ms"
         "  busiest node  reached  reached, 5% lost  renewals/s"
     )
     for size in (10, 100, 300, 1000):
-        chance = random.Random(SEED + size)
-        count = int(size * LOST_SHARE)
-        lost = set(chance.sample(range(1, size), count))
-        ways = {
-            "flood, degree 4": lambda n, gone: flood(n, 4, gone),
-            "flood, degree 8": lambda n, gone: flood(n, 8, gone),
-            "relay, 3 control": lambda n, gone: relay(n, 3, gone),
-            "relay, 21 control": lambda n, gone: relay(n, 21, gone),
+        rng = random.Random(SEED + size)
+        count = int(size * FAILED_FRACTION)
+        failed = set(rng.sample(range(1, size), count))
+        schemes = {
+            "flood, degree 4": lambda n, down: flood(n, 4, down),
+            "flood, degree 8": lambda n, down: flood(n, 8, down),
+            "relay, 3 control": lambda n, down: relay(n, 3, down),
+            "relay, 21 control": lambda n, down: relay(n, 21, down),
         }
-        for name, way in ways.items():
-            whole = way(size, set())
-            hurt = way(size, lost)
-            # A flooded announcement is a document that every node must get
-            # again before it expires; a relayed one is renewed at one
-            # control instance and travels only when it changes.
-            renewals = size * (whole.messages if "flood" in name else 1)
+        for name, run_scheme in schemes.items():
+            healthy = run_scheme(size, set())
+            degraded = run_scheme(size, failed)
+            # A flooded announcement must reach every node again before it
+            # expires; a relayed one is renewed at one control instance and is
+            # sent on only when it changes.
+            renewals = size * (healthy.messages if "flood" in name else 1)
             print(
-                f"{size:5}  {name:17}{whole.messages:8}"
-                f"  {whole.messages / size:8.2f}"
-                f"  {whole.messages * DOCUMENT_BYTES:8}"
-                f"  {whole.last * 1000:7.2f}  {whole.most:12}"
-                f"  {whole.reached:7.3f}  {hurt.reached:16.3f}"
-                f"  {renewals / RENEW_SECONDS:10.0f}"
+                f"{size:5}  {name:17}{healthy.messages:8}"
+                f"  {healthy.messages / size:8.2f}"
+                f"  {healthy.messages * DOCUMENT_BYTES:8}"
+                f"  {healthy.last_seconds * 1000:7.2f}"
+                f"  {healthy.max_handled:12}"
+                f"  {healthy.reached:7.3f}  {degraded.reached:16.3f}"
+                f"  {renewals / RENEWAL_SECONDS:10.0f}"
             )
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,10 +1,20 @@
-"""Ways of keeping customers' limits over many entries, in virtual time.
-
-`python -m bench.limits ways` plays programs of many customers through entries
-and a leader that is lost now and then, and prints for each way what was
-refused although the window had room, how far the fullest window went over the
-limit, and how many requests had to ask control first. `python -m bench.limits
-cost` measures what a count costs at control and on the way.
+"""Schemes that keep customers' rate limits over many entries.
+
+`python -m bench.limits ways` simulates, in virtual time, programs of many
+customers that send requests through many entries, and a leader that fails now
+and then. For each scheme it prints the fraction of requests that were refused
+and of those refused although the window had room (`owed`), the most requests
+in one window (`fullest`), and the fraction of requests that had to ask control
+on their own before they were sent (`asked alone`). The schemes:
+
+- `shares`: each entry enforces an equal part of the limit on its own.
+- `bucket`: a token bucket in the leader's memory, lost with the leader.
+- `counted`: control counts each request in its replicated state.
+- `ahead`: as `counted`, and a turn prefetches counts for the tool calls that
+  follow it.
+
+`python -m bench.limits cost` measures what one count costs: processor time at
+control, and bytes of the message, the log entry and the state.
 """
 
 import argparse
@@ -19,68 +29,85 @@
 from mintcleat.programs import commands
 from mintcleat.programs import limits
 
-WINDOW = 5.0
-LIMIT = program_messages.RateLimit(10.0, 10.0, WINDOW, 0.1, 20.0)
-SECONDS = 60.0
-# A turn and the calls of tools that follow it; a program has some of these.
-CALLS = 1.2
-ROUNDS = 6
+WINDOW_SECONDS = 5.0
+LIMIT = program_messages.RateLimit(10.0, 10.0, WINDOW_SECONDS, 0.1, 20.0)
+DEMAND_SECONDS = 60.0
+# Mean number of tool calls after each turn of a program.
+TOOL_CALLS_PER_TURN = 1.2
+TURNS_PER_PROGRAM = 6
+# Mean duration of a turn.
 TURN_SECONDS = 0.2
-LOSS_EVERY = 15.0
-AWAY = 0.7
-WAYS = ("shares", "bucket", "counted", "ahead")
+LEADER_LOSS_PERIOD_SECONDS = 15.0
+# No request is answered for this long after the leader failed.
+FAILOVER_SECONDS = 0.7
+SCHEMES = ("shares", "bucket", "counted", "ahead")
 
 
 class Entry:
-    """One entry's own part of a way."""
+    """State that one entry holds for a scheme.
+
+    Attributes:
+        prefetched: Counts for tool calls, under `ahead`.
+        sent_at: Times of the requests sent on within the last window, by
+            customer, under `shares`.
+    """
 
     def __init__(self) -> None:
-        self.ahead = decisions.RequestPrefetch()
-        self.sent: dict[str, collections.deque[float]] = {}
+        self.prefetched = decisions.RequestPrefetch()
+        self.sent_at: dict[str, collections.deque[float]] = {}
 
 
-class World:
-    """Entries, a leader, and the customers' programs.
+class Simulation:
+    """Entries, a leader, and the customers' programs under one scheme.
 
     Attributes:
-        arrivals: When requests were sent on, by customer.
+        arrivals: Times of the requests that were sent on, by customer.
+        request_count: Requests made while there was a leader.
         refused: Requests that were refused.
-        owed: Of these, those whose window had room by what arrived.
-        asked: Requests that had to ask control for themselves alone.
+        unjustified: Refused requests whose window had room.
+        asked_alone: Requests that had to ask control on their own.
+        buckets: (time, level) of the last use of each customer's bucket.
     """
 
-    def __init__(self, way: str, entries: int, customers: int) -> None:
-        self.way = way
+    def __init__(self, scheme: str, entries: int, customers: int) -> None:
+        self.scheme = scheme
         self.random = random.Random(entries + customers)
         self.entries = [Entry() for _ in range(entries)]
         self.customers = [f"c{n}" for n in range(customers)]
-        self.held = limits.CustomerLimits()
+        self.counters = limits.CustomerLimits()
         self.arrivals: dict[str, list[float]] = collections.defaultdict(list)
-        self.requests = self.refused = self.owed = self.asked = 0
-        self.lost = 0.0
-        self.levels: dict[str, tuple[float, float]] = {}
-
-    def play(self, share: float) -> None:
-        """Plays demand at a share of each customer's limit."""
-        rate = share * LIMIT.window_limit() / WINDOW / (ROUNDS * (1 + CALLS))
-        due: list[tuple[float, str, str, int, Entry]] = []
+        self.request_count = self.refused = self.unjustified = (
+            self.asked_alone
+        ) = 0
+        self.leader_lost_at = 0.0
+        self.buckets: dict[str, tuple[float, float]] = {}
+
+    def run(self, demand: float) -> None:
+        """Runs programs whose requests add up to `demand` times the limits."""
+        rate = (
+            demand
+            * LIMIT.window_limit()
+            / WINDOW_SECONDS
+            / (TURNS_PER_PROGRAM * (1 + TOOL_CALLS_PER_TURN))
+        )
+        schedule: list[tuple[float, str, str, int, Entry]] = []
         for customer in self.customers:
             at = self.random.expovariate(rate)
-            while at < SECONDS:
+            while at < DEMAND_SECONDS:
                 entry = self.random.choice(self.entries)
-                due.extend(self._program(customer, at, entry))
+                schedule.extend(self._program_requests(customer, at, entry))
                 at += self.random.expovariate(rate)
-        due.sort(key=lambda item: item[0])
-        next_loss = LOSS_EVERY
-        for now, customer, program, is_turn, entry in due:
+        schedule.sort(key=lambda item: item[0])
+        next_loss = LEADER_LOSS_PERIOD_SECONDS
+        for now, customer, program, is_turn, entry in schedule:
             if now > next_loss:
-                next_loss += LOSS_EVERY
+                next_loss += LEADER_LOSS_PERIOD_SECONDS
                 self._lose_leader(now)
             self._request(now, customer, program, is_turn, entry)
 
-    def _program(self, customer: str, at: float, entry: Entry) -> Any:
+    def _program_requests(self, customer: str, at: float, entry: Entry) -> Any:
         name = f"{customer}-{at}"
-        for _ in range(ROUNDS):
+        for _ in range(TURNS_PER_PROGRAM):
             yield at, customer, name, 1, entry
             at += self.random.expovariate(1 / TURN_SECONDS)
             for _ in range(self.random.choice((0, 1, 1, 2, 2))):
@@ -88,120 +115,139 @@
             at += self.random.uniform(0.05, 0.2)
 
     def _lose_leader(self, now: float) -> None:
-        self.lost = now
-        # A successor that knows nothing of what was sent begins with nothing.
-        self.levels = dict.fromkeys(self.customers, (now + AWAY, 0.0))
+        self.leader_lost_at = now
+        # The new leader doesn't know what was sent, so it starts with empty
+        # buckets.
+        self.buckets = dict.fromkeys(
+            self.customers, (now + FAILOVER_SECONDS, 0.0)
+        )
 
     def _request(
         self, now: float, customer: str, program: str, is_turn: int, entry: Any
     ) -> None:
-        if now < self.lost + AWAY:
+        if now < self.leader_lost_at + FAILOVER_SECONDS:
             return
-        self.requests += 1
+        self.request_count += 1
         if self._allowed(now, customer, program, is_turn, entry):
             self.arrivals[customer].append(now)
             return
         self.refused += 1
-        recent = [at for at in self.arrivals[customer] if now - at < WINDOW]
-        self.owed += len(recent) + 1 <= LIMIT.window_limit()
+        recent = [
+            at for at in self.arrivals[customer] if now - at < WINDOW_SECONDS
+        ]
+        self.unjustified += len(recent) + 1 <= LIMIT.window_limit()
 
     def _allowed(
         self, now: float, customer: str, program: str, is_turn: int, entry: Any
     ) -> bool:
-        if self.way == "shares":
-            sent = entry.sent.setdefault(customer, collections.deque())
-            while sent and now - sent[0] >= WINDOW:
-                sent.popleft()
-            if len(sent) + 1 > max(
+        if self.scheme == "shares":
+            sent_at = entry.sent_at.setdefault(customer, collections.deque())
+            while sent_at and now - sent_at[0] >= WINDOW_SECONDS:
+                sent_at.popleft()
+            if len(sent_at) + 1 > max(
                 1.0, LIMIT.window_limit() / len(self.entries)
             ):
                 return False
-            sent.append(now)
+            sent_at.append(now)
             return True
-        if self.way == "bucket":
-            self.asked += not is_turn
+        if self.scheme == "bucket":
+            self.asked_alone += not is_turn
             return self._from_bucket(now, customer)
-        held = self.way == "ahead" and not is_turn
-        if held and entry.ahead.take(customer, now):
+        may_prefetch = self.scheme == "ahead" and not is_turn
+        if may_prefetch and entry.prefetched.take(customer, now):
             return True
-        self.asked += not is_turn
-        if self.held.admit(customer, program, LIMIT, now) is not None:
+        self.asked_alone += not is_turn
+        if self.counters.admit(customer, program, LIMIT, now) is not None:
             return False
-        if self.way == "ahead" and is_turn:
-            wanted = entry.ahead.prefetch_count(customer, now)
-            given = self.held.count_ahead(customer, wanted, LIMIT, now)
-            entry.ahead.put(customer, given, now + limits.AHEAD_SECONDS)
+        if self.scheme == "ahead" and is_turn:
+            wanted = entry.prefetched.prefetch_count(customer, now)
+            granted = self.counters.count_ahead(customer, wanted, LIMIT, now)
+            entry.prefetched.put(customer, granted, now + limits.AHEAD_SECONDS)
         return True
 
     def _from_bucket(self, now: float, customer: str) -> bool:
-        """Takes from a bucket in the leader's memory.
+        """Takes a token from the customer's bucket in the leader's memory.
 
-        It holds the burst and the tolerance, so that no window goes over.
+        The capacity is the burst and the tolerance, so that no window exceeds
+        the limit by more than the tolerance.
         """
-        most = LIMIT.burst + LIMIT.tolerance()
-        at, level = self.levels.get(customer, (0.0, most))
-        level = min(most, level + LIMIT.rate * max(0.0, now - at))
+        capacity = LIMIT.burst + LIMIT.tolerance()
+        at, level = self.buckets.get(customer, (0.0, capacity))
+        level = min(capacity, level + LIMIT.rate * max(0.0, now - at))
         taken = level >= 1.0
-        self.levels[customer] = (max(at, now), level - taken)
+        self.buckets[customer] = (max(at, now), level - taken)
         return taken
 
-    def fullest(self) -> int:
-        """Returns the most requests of a customer in a window."""
+    def max_window_count(self) -> int:
+        """Returns the most requests of any customer in one window."""
         most = 0
         for times in self.arrivals.values():
             first = 0
             for last, at in enumerate(times):
-                while at - times[first] >= WINDOW:
+                while at - times[first] >= WINDOW_SECONDS:
                     first += 1
                 most = max(most, last - first + 1)
         return most
 
 
-def ways() -> None:
-    """Prints the table of ways."""
+def compare_schemes() -> None:
+    """Prints the table of schemes."""
     print(
-        f"limit {LIMIT.window_limit():g} in {WINDOW:g} s, "
+        f"limit {LIMIT.window_limit():g} in {WINDOW_SECONDS:g} s, "
         f"{LIMIT.window_limit() + LIMIT.tolerance():g} with its tolerance"
     )
-    head = ("way", "entries", "customers", "demand", "requests", "refused",
+    header = ("way", "entries", "customers", "demand", "requests", "refused",
             "owed", "fullest", "asked alone")  # fmt: skip
-    print("".join(f"{name:>12}" for name in head))
+    print("".join(f"{name:>12}" for name in header))
     for entries, customers in ((20, 73), (860, 400)):
-        for share in (0.62, 1.5):
-            for way in WAYS:
-                world = World(way, entries, customers)
-                world.play(share)
-                row = (way, entries, customers, share, world.requests,
-                       f"{world.refused / world.requests:.4f}",
-                       f"{world.owed / world.requests:.4f}",
-                       world.fullest(),
-                       f"{world.asked / world.requests:.3f}")  # fmt: skip
+        for demand in (0.62, 1.5):
+            for scheme in SCHEMES:
+                simulation = Simulation(scheme, entries, customers)
+                simulation.run(demand)
+                row = (
+                    scheme,
+                    entries,
+                    customers,
+                    demand,
+                    simulation.request_count,
+                    f"{simulation.refused / simulation.request_count:.4f}",
+                    f"{simulation.unjustified / simulation.request_count:.4f}",
+                    simulation.max_window_count(),
+                    f"{simulation.asked_alone / simulation.request_count:.3f}",
+                )
                 print("".join(f"{item!s:>12}" for item in row))
 
 
-def cost(customers: int = 4200, counts: int = 200_000) -> None:
-    """Prints what one count costs, and its size."""
-    held = limits.CustomerLimits()
+def measure_cost(customers: int = 4200, counts: int = 200_000) -> None:
+    """Prints the processor time and the bytes of one count.
+
+    Args:
+        customers: Customers among which the counts are spread.
+        counts: Number of counts.
+    """
+    counters = limits.CustomerLimits()
     names = [f"customer-{n}" for n in range(customers)]
     started = time.process_time()
     for number in range(counts):
         name = names[number % customers]
-        held.admit(name, f"p{number % 9}", LIMIT, number / 35_000)
+        counters.admit(name, f"p{number % 9}", LIMIT, number / 35_000)
     taken = time.process_time() - started
     count = program_messages.CountCall(names[0], "p" * 14, LIMIT, 2)
     command = commands.Command(1.0, 1.0, [count])
     print(f"count: {taken / counts * 1e6:.1f} us with {customers} customers")
     print(f"message: {len(codec.encode(count))} bytes")
     print(f"log entry: {len(commands.encode(command))} bytes")
-    state = codec.msgpack.packb(held.state())
+    state = codec.msgpack.packb(counters.state())
     print(f"state: {len(state) / customers:.0f} bytes a busy customer")
 
 
 def main() -> None:
-    """Runs the command that is named."""
+    """Runs the command that the arguments name."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("command", choices=("ways", "cost"))
-    {"ways": ways, "cost": cost}[parser.parse_args().command]()
+    {"ways": compare_schemes, "cost": measure_cost}[
+        parser.parse_args().command
+    ]()
 
 
 if __name__ == "__main__":
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -48,9 +48,9 @@
         self.arguments = arguments
         self.log = tempfile.TemporaryFile("w+")
         self.addresses: dict[str, str] = {}
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Starts the process and waits for its ready line."""
         environment = {**os.environ, "PYTHONPATH": str(ROOT / "src")}
         self.child = subprocess.Popen(
