--- a/bench/naive_proxy.py
+++ b/bench/naive_proxy.py
@@ -1,4 +1,4 @@
-"""The naive baseline: a round-robin HTTP proxy that keeps nothing.
+"""Baseline of the measurements: a stateless round-robin HTTP proxy.
 
 Usage: python bench/naive_proxy.py LISTEN UPSTREAM [UPSTREAM ...]
 """
@@ -19,11 +19,11 @@
 from eventlet import wsgi
 import urllib3
 
-_SECONDS = 120.0
+_TIMEOUT_SECONDS = 120.0
 
 
 class NaiveProxy:
-    """Forwards each request to the next upstream and relays its answer."""
+    """WSGI application that forwards each request to the next upstream."""
 
     def __init__(self, upstreams: list[str]) -> None:
         self.upstreams = itertools.cycle(upstreams)
@@ -32,7 +32,7 @@
     def __call__(
         self, environ: dict, start: Callable[..., None]
     ) -> Iterator[bytes]:
-        """Relays one request."""
+        """Forwards one request and streams its answer."""
         length = int(environ.get("CONTENT_LENGTH") or 0)
         answer = self.pool.request(
             environ["REQUEST_METHOD"],
@@ -40,7 +40,7 @@
             body=environ["wsgi.input"].read(length),
             headers={"Content-Type": "application/json"},
             preload_content=False,
-            timeout=_SECONDS,
+            timeout=_TIMEOUT_SECONDS,
         )
         kind = answer.headers.get("Content-Type", "application/json")
         start(f"{answer.status} Relayed", [("Content-Type", kind)])
@@ -51,7 +51,7 @@
 
 
 def main() -> None:
-    """Serves until it is ended."""
+    """Prints the ready line and serves until the process is ended."""
     listen, *upstreams = sys.argv[1:]
     host, _, port = listen.rpartition(":")
     listener = eventlet.listen((host, int(port)), backlog=1024)
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,9 @@
-"""Added latency of the whole path over calling the stand-in directly.
+"""Measures the latency that the whole path adds to a call of an engine.
 
-Three ways in one run, each in processes of its own: straight to the stand-in
-engine, through the naive proxy, and through mintcleat (three control
-instances with disks, one entry, two sidecars; a durable commit per turn).
+The same load runs on four routes: directly to a stand-in engine, through the
+naive proxy, and through mintcleat, with stateless calls and with turns of
+programs, each of which is a durable commit. Mintcleat runs as three control
+instances with disks, one entry and two engines with sidecars.
 
 Usage: python -m bench.path [--calls N] [--output FILE]
 """
@@ -31,8 +32,13 @@
 }
 
 
-class Way:
-    """One way to reach the engine and what was measured on it."""
+class Route:
+    """One route to an engine.
+
+    Attributes:
+        program: Whether calls are turns of programs.
+        body: Request body of a call, without its messages.
+    """
 
     def __init__(self, name: str, address: str, program: bool) -> None:
         self.name = name
@@ -42,11 +48,16 @@
         self.pool = urllib3.PoolManager(maxsize=512, retries=False)
 
     def call(self, program: str, turn: int) -> None:
-        """Runs one call and checks that its answer is whole."""
+        """Runs one call.
+
+        Raises:
+            RuntimeError: The call failed.
+        """
         headers = {"Content-Type": "application/json"}
-        # Each turn says something else, or the loop limit ends the program.
-        said = {"role": "user", "content": f"combine stops, part {turn}"}
-        body = {**self.body, "messages": [said]}
+        # Messages differ by turn, since repeated ones reach the loop limit,
+        # which ends the program.
+        message = {"role": "user", "content": f"combine stops, part {turn}"}
+        body = {**self.body, "messages": [message]}
         if self.program:
             headers["Mintcleat-Program"] = program
             headers["Mintcleat-Turn"] = str(turn)
@@ -59,12 +70,12 @@
                 timeout=60.0,
             )
         except urllib3.exceptions.HTTPError as error:
-            raise RuntimeError(f"{self.name} lost a call: {error}") from None
+            raise RuntimeError(f"{self.name}: a call failed: {error}") from None
         if reply.status != 200:
             raise RuntimeError(f"{self.name}: {reply.status} {reply.data!r}")
 
     def create(self) -> str:
-        """Returns the id of a new program, where there are programs."""
+        """Returns the id of a new program, empty on a route without them."""
         if not self.program:
             return ""
         reply = self.pool.request(
@@ -78,20 +89,24 @@
         return reply.json()["id"]
 
 
-def measure(way: Way, callers: int, calls: int) -> dict[str, float]:
-    """Runs `calls` calls from `callers` callers; times in milliseconds."""
+def measure(route: Route, callers: int, calls: int) -> dict[str, float]:
+    """Runs about `calls` calls from concurrent callers.
+
+    Returns:
+        Latencies `p50` and `p99` in milliseconds, and calls per second.
+    """
     times = histogram.HdrHistogram(1, _MAX_MICROSECONDS, 3)
-    share = max(1, calls // callers)
+    calls_per_caller = max(1, calls // callers)
 
     def caller() -> None:
-        program = way.create()
-        for turn in range(1, share + 1):
-            # Programs of ten turns, as short conversations are.
+        program = route.create()
+        for turn in range(1, calls_per_caller + 1):
+            # Programs have ten turns, like short conversations.
             position = (turn - 1) % 10 + 1
             if position == 1 and turn > 1:
-                program = way.create()
+                program = route.create()
             started = time.perf_counter()
-            way.call(program, position)
+            route.call(program, position)
             taken = time.perf_counter() - started
             times.record_value(max(1, int(taken * 1e6)))
 
@@ -103,12 +118,18 @@
     return {
         "p50": times.get_value_at_percentile(50) / 1000,
         "p99": times.get_value_at_percentile(99) / 1000,
-        "rate": callers * share / seconds,
+        "rate": callers * calls_per_caller / seconds,
     }
 
 
 def run(calls: int = 2000, controls: int = 3, output: str = "") -> None:
-    """Prints the table; `output` names a JSON file for the figures."""
+    """Prints the table.
+
+    Args:
+        calls: Calls on each route at each number of callers.
+        controls: Control instances.
+        output: JSON file for the figures; empty for none.
+    """
     system = rig.system(controls=controls)
     naive = processes.Process(
         "naive",
@@ -132,24 +153,24 @@
     system: processes.System, naive: processes.Process, calls: int
 ) -> dict[str, Any]:
     engine = system.processes["engine-0"].addresses["http"]
-    ways = [
-        Way("direct", engine, program=False),
-        Way("naive", naive.addresses["http"], program=False),
-        Way("stateless", system.http()[0], program=False),
-        Way("program", system.http()[0], program=True),
+    routes = [
+        Route("direct", engine, program=False),
+        Route("naive", naive.addresses["http"], program=False),
+        Route("stateless", system.http()[0], program=False),
+        Route("program", system.http()[0], program=True),
     ]
     entry = system.processes["entry-0"]
-    figures: dict[str, Any] = {"commit": commit()}
+    figures: dict[str, Any] = {"commit": commit_id()}
     for callers in (1, 16, 256):
-        for way in ways:
-            measure(way, callers, max(callers, calls // 10))
+        for route in routes:
+            measure(route, callers, max(callers, calls // 10))
             before = entry.usage().cpu
-            found = measure(way, callers, calls)
-            used = entry.usage().cpu - before
-            done = max(1, calls // callers) * callers
-            if way.name in ("stateless", "program") and used:
-                found["calls_per_entry_core"] = done / used
-            figures[f"{way.name}/{callers}"] = found
+            row = measure(route, callers, calls)
+            cpu_seconds = entry.usage().cpu - before
+            call_count = max(1, calls // callers) * callers
+            if route.name in ("stateless", "program") and cpu_seconds:
+                row["calls_per_entry_core"] = call_count / cpu_seconds
+            figures[f"{route.name}/{callers}"] = row
     return figures
 
 
@@ -158,21 +179,21 @@
         f"{'way':12} {'callers':>7} {'p50 ms':>9} {'p99 ms':>9} "
         f"{'calls/s':>9} {'p50/direct':>10} {'calls/entry core':>17}"
     )
-    for name, found in figures.items():
+    for name, row in figures.items():
         if name == "commit":
             continue
-        way, _, callers = name.partition("/")
+        route, _, callers = name.partition("/")
         direct = figures[f"direct/{callers}"]["p50"]
-        core = found.get("calls_per_entry_core")
+        per_cpu = row.get("calls_per_entry_core")
         print(
-            f"{way:12} {callers:>7} {found['p50']:9.2f} {found['p99']:9.2f} "
-            f"{found['rate']:9.0f} {found['p50'] / direct:10.2f} "
-            f"{(core and f'{core:17.0f}') or ''}"
+            f"{route:12} {callers:>7} {row['p50']:9.2f} {row['p99']:9.2f} "
+            f"{row['rate']:9.0f} {row['p50'] / direct:10.2f} "
+            f"{(per_cpu and f'{per_cpu:17.0f}') or ''}"
         )
 
 
-def commit() -> str:
-    """Returns the short id of the commit that is measured."""
+def commit_id() -> str:
+    """Returns the short id of the checked-out commit."""
     return subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         capture_output=True,
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,6 +1,6 @@
-"""Starts the system's processes for a bench, on loopback and free ports.
+"""Starts the system's processes on loopback, for measurements.
 
-Only benches and tests start processes; the system itself never does.
+Only measurements and tests start processes; the system itself never does.
 """
 
 import json
@@ -22,14 +22,19 @@
 
 
 class Usage(NamedTuple):
-    """What a process has used: CPU seconds, resident bytes."""
+    """Resources used by a process.
+
+    Attributes:
+        cpu: Seconds of processor time, user and system.
+        resident: Resident memory, in bytes.
+    """
 
     cpu: float
     resident: int
 
 
 def free_port() -> int:
-    """Returns a port that was free a moment ago."""
+    """Returns a loopback port that is free at the time of the call."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
@@ -41,7 +46,11 @@
 
 
 class Process:
-    """One started process and its ready line's `name=address` pairs."""
+    """A started process of the system.
+
+    Attributes:
+        addresses: `name=address` pairs of its ready line.
+    """
 
     def __init__(self, name: str, arguments: list[str]) -> None:
         self.name = name
@@ -51,7 +60,11 @@
         self.start()
 
     def start(self) -> None:
-        """Starts the process and waits for its ready line."""
+        """Starts the process and waits for its ready line.
+
+        Raises:
+            RuntimeError: The process ended, or printed no ready line in time.
+        """
         environment = {**os.environ, "PYTHONPATH": str(ROOT / "src")}
         self.child = subprocess.Popen(
             [sys.executable, *self.arguments],
@@ -70,15 +83,18 @@
                 return
             if not line:
                 break
-        raise RuntimeError(f"{self.name} did not start: {self.errors()}")
+        raise RuntimeError(
+            f"{self.name} ended or printed no ready line in {_READY_SECONDS:g}"
+            f" s; its error output: {self.errors()}"
+        )
 
     def errors(self) -> str:
-        """Returns the end of what the process wrote to its error output."""
+        """Returns the last 4,000 characters of the error output."""
         self.log.seek(0)
         return self.log.read()[-4000:]
 
     def usage(self) -> Usage:
-        """Returns what the process has used so far."""
+        """Returns the resources used since the start."""
         stat = pathlib.Path(f"/proc/{self.child.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
@@ -87,12 +103,12 @@
         return Usage(ticks / _CLOCK_TICKS, resident)
 
     def kill(self) -> None:
-        """Ends the process without warning."""
+        """Kills the process by SIGKILL."""
         self.child.send_signal(signal.SIGKILL)
         self.child.wait()
 
     def stop(self) -> int:
-        """Asks the process to stop; returns its exit code."""
+        """Stops the process; returns its exit code, -9 if it was killed."""
         if self.child.poll() is None:
             self.child.send_signal(signal.SIGTERM)
         try:
@@ -103,12 +119,20 @@
 
 
 def module(name: str, *arguments: str) -> list[str]:
-    """Returns the arguments that run one of our modules."""
+    """Returns the interpreter's arguments that run a module."""
     return ["-W", "ignore", "-m", name, *arguments]
 
 
 class System:
-    """A deployment of plain processes in a temporary folder."""
+    """A deployment of processes with a temporary data folder.
+
+    Args:
+        controls: Control instances.
+        entries: Entries.
+        engines: Stand-in engines, each with a sidecar.
+        services: Stand-in services, each with a sidecar.
+        groups: Groups of the programs' replicated log.
+    """
 
     def __init__(
         self,
@@ -143,7 +167,7 @@
             self._add_entry(number)
 
     def http(self) -> list[str]:
-        """Returns the callers' addresses of the entries."""
+        """Returns the HTTP addresses of the entries."""
         return [
             process.addresses["http"]
             for name, process in self.processes.items()
--- a/bench/programs.py
+++ b/bench/programs.py
@@ -1,8 +1,9 @@
-"""Cost of program records: processor time, memory, snapshots, as slopes.
+"""Measures the cost of program records: processor time, memory, snapshots.
 
-`python -m bench.programs machine` measures the machine alone (no log, no
-sockets) with histories in files; `python -m bench.programs path` the way of a
-begin and a finish through client, streams, service and one disk.
+`python -m bench.programs machine` measures the state machine alone, without
+log and sockets, with histories in files. `python -m bench.programs path`
+measures a begin and a finish of a call (a pair) through client, streams,
+service and one disk.
 """
 
 import gc
@@ -30,14 +31,23 @@
 from mintcleat.roles.control.replication import replication
 
 SIDECAR = identities.Incarnation("engine-1", 1)
-TEXT = '{"role":"user","content":"' + "x" * 400 + '"}'
+MESSAGE = '{"role":"user","content":"' + "x" * 400 + '"}'
 ANSWER = ('{"role":"assistant","content":"' + "y" * 800 + '"}').encode()
-BATCH = 64
+COMMAND_REQUESTS = 64
 MAX_TURNS = 340
 
 
 class Row(NamedTuple):
-    """Figures of one size."""
+    """Figures with one number of programs.
+
+    Attributes:
+        programs: Number of programs.
+        pair_us: Processor time of a begin and a finish, in microseconds.
+        bytes_each: Python memory per program.
+        snapshot_ms: Processor time of a snapshot, in milliseconds.
+        snapshot_bytes: Size of the snapshot.
+        restore_ms: Processor time of a restore, in milliseconds.
+    """
 
     programs: int
     pair_us: float
@@ -48,7 +58,7 @@
 
 
 def create(program: str) -> program_messages.CreateProgram:
-    """Returns a creation as an entry sends it."""
+    """Returns a request as an entry sends it to create a program."""
     return program_messages.CreateProgram(
         program,
         "farm",
@@ -60,7 +70,7 @@
 
 
 def begin(program: str, turn: int) -> program_messages.BeginCall:
-    """Returns the begin of a turn as an entry sends it."""
+    """Returns a request as an entry sends it to begin a turn."""
     return program_messages.BeginCall(
         program,
         "farm",
@@ -68,7 +78,7 @@
         turn,
         f"auto-{program}-{turn}",
         turn.to_bytes(16, "little"),
-        [TEXT],
+        [MESSAGE],
         200,
         True,
         SIDECAR,
@@ -78,19 +88,22 @@
 
 
 def apply(group: machine.ProgramMachine, requests: list) -> list:
-    """Applies requests in commands of `BATCH`, as the service makes them."""
+    """Applies requests in batches, as the service does; returns the replies."""
     replies = []
-    for start in range(0, len(requests), BATCH):
-        part = requests[start : start + BATCH]
-        data = commands.encode(commands.Command(1.0, 1.0, part))
+    for start in range(0, len(requests), COMMAND_REQUESTS):
+        batch = requests[start : start + COMMAND_REQUESTS]
+        data = commands.encode(commands.Command(1.0, 1.0, batch))
         replies += group.apply(1, data)
     return replies
 
 
-def run_turn(
+def run_turns(
     group: machine.ProgramMachine, programs: list[str], turn: int
 ) -> float:
-    """Begins and finishes one turn of each; returns processor seconds."""
+    """Runs one turn of each program; returns the processor seconds.
+
+    Only the application of the requests is timed.
+    """
     begins = [begin(program, turn) for program in programs]
     started = time.process_time()
     grants = apply(group, begins)
@@ -113,15 +126,21 @@
 
 
 def fill(group: machine.ProgramMachine, programs: int, turns: int) -> float:
-    """Fills a group; returns processor seconds of a begin+finish pair."""
+    """Runs programs in a group; returns the processor seconds of a pair."""
     names = [f"program-{number:08d}" for number in range(programs)]
     apply(group, [create(name) for name in names])
-    seconds = sum(run_turn(group, names, turn + 1) for turn in range(turns))
+    seconds = sum(run_turns(group, names, turn + 1) for turn in range(turns))
     return seconds / (programs * turns)
 
 
 def measure(programs: int, turns: int, folder: pathlib.Path) -> Row:
-    """Measures one size with histories in files."""
+    """Returns the figures with one number of programs.
+
+    Args:
+        programs: Number of programs.
+        turns: Finished turns of each program.
+        folder: Folder of the histories.
+    """
     timed = machine.ProgramMachine(
         file_histories.FileHistoryStore(folder / f"timed-{programs}")
     )
@@ -138,14 +157,14 @@
     for group in (timed, copy):
         group.histories.clear()
     del timed, copy
-    weight = weigh(programs, turns, folder / f"weighed-{programs}")
+    memory = measure_memory(programs, turns, folder / f"weighed-{programs}")
     return Row(
-        programs, pair * 1e6, weight, snapshot * 1e3, len(state), restore * 1e3
+        programs, pair * 1e6, memory, snapshot * 1e3, len(state), restore * 1e3
     )
 
 
-def weigh(programs: int, turns: int, folder: pathlib.Path) -> float:
-    """Returns the bytes of Python memory that each program holds."""
+def measure_memory(programs: int, turns: int, folder: pathlib.Path) -> float:
+    """Returns the bytes of Python memory per program."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -158,8 +177,8 @@
     return held / programs
 
 
-class Control:
-    """One control instance with a disk, and a client on another hub."""
+class ControlRig:
+    """One control instance with a disk, and a client of it."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         service_hub = streams.TcpStreams("127.0.0.1:0")
@@ -192,9 +211,9 @@
         )
 
     def run_pairs(self, program: str, turns: int) -> list[float]:
-        """Creates a program, runs its turns; returns seconds a pair."""
+        """Creates a program and runs its turns; returns the seconds of each."""
         self.client.ask(program, create(program), 10.0)
-        taken = []
+        latencies = []
         for turn in range(1, turns + 1):
             started = time.perf_counter()
             request = begin(program, turn)._replace(nonce=0)
@@ -209,18 +228,18 @@
                 identities.Usage(100, 80, 0),
             )
             self.client.ask(program, finish, 10.0)
-            taken.append(time.perf_counter() - started)
-        return taken
+            latencies.append(time.perf_counter() - started)
+        return latencies
 
 
 def path(callers: tuple[int, ...] = (1, 64, 512), pairs: int = 2000) -> None:
     """Prints the cost of pairs through client, streams, service and disk.
 
-    Both ends run in this process, so the processor time is that of an entry
-    and a control instance together; the log has one replica.
+    Client and control instance run in this process, so the processor time is
+    the sum of both. The log has one replica.
 
     Args:
-        callers: Programs that wait at once.
+        callers: Numbers of concurrent programs.
         pairs: Pairs of begin and finish at each number of callers.
     """
     print(
@@ -229,32 +248,32 @@
     )
     for number in callers:
         with tempfile.TemporaryDirectory() as name:
-            control = Control(pathlib.Path(name))
+            control = ControlRig(pathlib.Path(name))
             turns = min(max(2, pairs // number), MAX_TURNS)
-            clock, wall = time.process_time(), time.perf_counter()
+            cpu, wall = time.process_time(), time.perf_counter()
             threads = [
                 eventlet.spawn(control.run_pairs, f"program-{n}", turns)
                 for n in range(number)
             ]
-            taken = sorted(
+            latencies = sorted(
                 seconds for thread in threads for seconds in thread.wait()
             )
             wall = time.perf_counter() - wall
-            clock = time.process_time() - clock
+            cpu = time.process_time() - cpu
             control.log.stop()
-        count = len(taken)
+        count = len(latencies)
         print(
-            f"{number:>8} {count / wall:>8.0f} {clock / count * 1e6:>12.0f}"
-            f" {taken[count // 2] * 1e3:>7.2f}"
-            f" {taken[count * 99 // 100] * 1e3:>7.2f}"
+            f"{number:>8} {count / wall:>8.0f} {cpu / count * 1e6:>12.0f}"
+            f" {latencies[count // 2] * 1e3:>7.2f}"
+            f" {latencies[count * 99 // 100] * 1e3:>7.2f}"
         )
 
 
 def main(sizes: tuple[int, ...] = (1000, 4000, 16000), turns: int = 3) -> None:
-    """Prints a row a size and the slopes between the ends.
+    """Prints a row for each size, and slopes from the first to the last.
 
     Args:
-        sizes: Programs of one group.
+        sizes: Numbers of programs in one group.
         turns: Finished turns of each program.
     """
     with tempfile.TemporaryDirectory() as name:
@@ -270,13 +289,13 @@
             f" {row.restore_ms:>10.1f}"
         )
     first, last = rows[0], rows[-1]
-    more = last.programs - first.programs
+    growth = last.programs - first.programs
     held = last.bytes_each * last.programs - first.bytes_each * first.programs
     snapshot = last.snapshot_ms - first.snapshot_ms
     restore = last.restore_ms - first.restore_ms
-    print(f"slope: {held / more:.0f} bytes a program with {turns} turns")
-    print(f"slope: {snapshot / more * 1e3:.1f} us of snapshot a program")
-    print(f"slope: {restore / more * 1e3:.1f} us of restore a program")
+    print(f"slope: {held / growth:.0f} bytes a program with {turns} turns")
+    print(f"slope: {snapshot / growth * 1e3:.1f} us of snapshot a program")
+    print(f"slope: {restore / growth * 1e3:.1f} us of restore a program")
     print(
         f"ratio of us/pair, largest to smallest size: "
         f"{last.pair_us / first.pair_us:.2f}"
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -1,4 +1,4 @@
-"""A running system with the example manifest in force, for benches."""
+"""Starts a system with an example manifest, for measurements."""
 
 import json
 import time
@@ -19,7 +19,11 @@
 
 
 def system(**sizes: int) -> processes.System:
-    """Starts a system, pushes the manifest and waits for every entry."""
+    """Returns a started system whose entries are ready.
+
+    Args:
+        sizes: Arguments of `processes.System`.
+    """
     started = processes.System(**sizes)
     try:
         push(started, MANIFEST)
@@ -31,7 +35,13 @@
 
 
 def push(started: processes.System, manifest: dict) -> None:
-    """Pushes a manifest through the operators' interface, with retries."""
+    """Pushes a manifest to the admin interface.
+
+    Retries until a control instance accepts it.
+
+    Raises:
+        RuntimeError: None accepted it in time.
+    """
     token = (started.folder / "control-0" / "admin-token").read_text().strip()
     pool = urllib3.PoolManager(retries=False)
     body = {
@@ -52,12 +62,19 @@
         if reply.status < 300:
             return
         if time.monotonic() > deadline:
-            raise RuntimeError(f"push: {reply.status} {reply.data!r}")
+            raise RuntimeError(
+                f"The manifest was not accepted in {_READY_SECONDS:g} s:"
+                f" status {reply.status}, {reply.data!r}."
+            )
         time.sleep(0.2)
 
 
 def wait_ready(started: processes.System) -> None:
-    """Waits until each entry is ready and places a call."""
+    """Waits until each entry answers a call.
+
+    Raises:
+        RuntimeError: An entry did not answer one in time.
+    """
     pool = urllib3.PoolManager(retries=False)
     deadline = time.monotonic() + _READY_SECONDS
     body = {
@@ -76,5 +93,8 @@
             if reply.status == 200:
                 break
             if time.monotonic() > deadline:
-                raise RuntimeError(f"not ready: {reply.data!r}")
+                raise RuntimeError(
+                    f"Entry {address} answered no call in {_READY_SECONDS:g} s:"
+                    f" status {reply.status}, {reply.data!r}."
+                )
             time.sleep(0.1)
--- a/bench/routed.py
+++ b/bench/routed.py
@@ -1,8 +1,9 @@
-"""Slopes of routed requests: registrations, turns, placing, events.
+"""Measures the parts of routed requests.
 
     python -m bench.routed
 
-Prints one line for each: what, size, and the cost of one.
+Prints one line each for registrations, the directory, turns, choices and
+events: what was measured, its size, and the cost of one.
 """
 
 import io
@@ -39,34 +40,40 @@
     )
 
 
-def registrations() -> None:
-    """Prints memory, bytes and time of the directory."""
+def measure_directory() -> None:
+    """Prints time and memory of a registration, and sizes of updates."""
     tracemalloc.start()
-    held = directory.Directory()
-    began = time.process_time()
+    members = directory.Directory()
+    started = time.process_time()
     for number in range(REGISTRATIONS):
-        held.register(registration(number), 0.0)
-    each = (time.process_time() - began) / REGISTRATIONS
+        members.register(registration(number), 0.0)
+    register_seconds = (time.process_time() - started) / REGISTRATIONS
     memory = tracemalloc.get_traced_memory()[0] / REGISTRATIONS
     tracemalloc.stop()
-    whole = len(msgspec.msgpack.encode(held.update_since(0)))
-    began = time.process_time()
-    delta = held.update_since(held.version - 1)
-    took = time.process_time() - began
+    full_size = len(msgspec.msgpack.encode(members.update_since(0)))
+    started = time.process_time()
+    delta = members.update_since(members.version - 1)
+    seconds = time.process_time() - started
     size = len(msgspec.msgpack.encode(delta))
-    show("register", REGISTRATIONS, f"{each * 1e6:.0f} us, {memory:.0f} B")
-    show("directory, whole", REGISTRATIONS, f"{whole} B")
-    show(
-        "directory, one change", REGISTRATIONS, f"{size} B, {took * 1e6:.0f} us"
+    print_row(
+        "register",
+        REGISTRATIONS,
+        f"{register_seconds * 1e6:.0f} us, {memory:.0f} B",
+    )
+    print_row("directory, whole", REGISTRATIONS, f"{full_size} B")
+    print_row(
+        "directory, one change",
+        REGISTRATIONS,
+        f"{size} B, {seconds * 1e6:.0f} us",
     )
 
 
-def turns() -> None:
-    """Prints time and memory of turns in a program group."""
+def measure_turns() -> None:
+    """Prints time and memory of a turn, opened and closed, in a group."""
     content = b"x" * TURN_BYTES
     group = branches.Branches()
     tracemalloc.start()
-    began = time.process_time()
+    started = time.process_time()
     for number in range(TURNS):
         program, turn = f"p{number // 10}", f"t{number}"
         previous = f"t{number - 1}" if number % 10 else ""
@@ -83,47 +90,51 @@
             ),
             0.0,
         )  # fmt: skip
-    took = (time.process_time() - began) / TURNS
+    seconds = (time.process_time() - started) / TURNS
     memory = tracemalloc.get_traced_memory()[0] / TURNS
     tracemalloc.stop()
-    show("turn, opened and kept", TURNS, f"{took * 1e6:.0f} us, {memory:.0f} B")
+    print_row(
+        "turn, opened and kept",
+        TURNS,
+        f"{seconds * 1e6:.0f} us, {memory:.0f} B",
+    )
 
 
-def placing() -> None:
-    """Prints the time of one choice."""
+def measure_choice() -> None:
+    """Prints the time of one choice among upstreams."""
     for count in (5, 32):
-        offered = [
+        candidates = [
             load_balancing.Candidate(f"u{n}", n % 5, 32) for n in range(count)
         ]
-        began = time.process_time()
+        started = time.process_time()
         for number in range(CALLS):
-            load_balancing.choose(offered, "u1", f"p{number}", "r")
-        took = (time.process_time() - began) / CALLS
-        show("choice among upstreams", count, f"{took * 1e6:.0f} us")
+            load_balancing.choose(candidates, "u1", f"p{number}", "r")
+        seconds = (time.process_time() - started) / CALLS
+        print_row("choice among upstreams", count, f"{seconds * 1e6:.0f} us")
 
 
-def telling() -> None:
-    """Prints the time of one event."""
+def measure_event() -> None:
+    """Prints the time of writing one event."""
     budget = event_log.Budget(lines=1e9, burst=1e9)
     log = event_log.EventLog("e", budget, io.StringIO())
     event = events.CallEnded(
         "r1", "a", "p", "u", 200, "whole", 1, 0.1, 0.0, 0.4, 33
     )
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(CALLS):
         log.emit(event)
     log.close(2.0)
-    took = (time.process_time() - began) / CALLS
-    show("event written", CALLS, f"{took * 1e6:.0f} us")
+    seconds = (time.process_time() - started) / CALLS
+    print_row("event written", CALLS, f"{seconds * 1e6:.0f} us")
 
 
-def show(what: str, size: int, cost: str) -> None:
-    """Prints one line."""
+def print_row(what: str, size: int, cost: str) -> None:
+    """Prints one line of the table."""
     print(f"{what:28} {size:8} {cost}")
 
 
 if __name__ == "__main__":
-    registrations()
-    turns()
-    placing()
-    telling()
+    measure_directory()
+    measure_turns()
+    measure_choice()
+    measure_event()
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -92,14 +92,14 @@
     try:
         entry = system.processes["entry-0"]
         sidecar = system.processes["sidecar-engine-0"]
-        way = path.Way("stateless", system.http()[0], program=False)
-        path.measure(way, _CALLERS, 100)
+        route = path.Route("stateless", system.http()[0], program=False)
+        path.measure(route, _CALLERS, 100)
         entries, sidecars = [], []
         for tokens in (8, 64, 256):
-            way.body = {**path.BODY, "max_tokens": tokens, "stream": True}
+            route.body = {**path.BODY, "max_tokens": tokens, "stream": True}
             calls = 320
             before = entry.usage().cpu, sidecar.usage().cpu
-            path.measure(way, _CALLERS, calls)
+            path.measure(route, _CALLERS, calls)
             after = entry.usage().cpu, sidecar.usage().cpu
             entries.append([tokens, (after[0] - before[0]) / calls * 1e6])
             sidecars.append([tokens, (after[1] - before[1]) / calls * 1e6])
@@ -121,16 +121,16 @@
     }
     points: dict[str, list[list[float]]] = {name: [] for name in names}
     try:
-        way = path.Way("program", system.http()[0], program=True)
-        plain = path.Way("stateless", system.http()[0], program=False)
-        path.measure(way, _CALLERS, 160)
+        route = path.Route("program", system.http()[0], program=True)
+        plain = path.Route("stateless", system.http()[0], program=False)
+        path.measure(route, _CALLERS, 160)
         idle = _used(system, names, lambda: time.sleep(3.0))
         for calls in (160, 480, 960):
             started = time.monotonic()
             used = _used(
                 system,
                 names,
-                lambda n=calls: path.measure(way, _CALLERS, n),
+                lambda n=calls: path.measure(route, _CALLERS, n),
             )
             seconds = time.monotonic() - started
             for name, cpu in used.items():
@@ -463,7 +463,7 @@
     """Measures one step or all, and writes the data file."""
     file = ROOT / output
     found = json.loads(file.read_text()) if step and file.exists() else {}
-    found["commit"] = path.commit()
+    found["commit"] = path.commit_id()
     for name, measure in STEPS.items():
         if step in ("", name):
             print(f"measuring {name}", flush=True)
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -1,7 +1,10 @@
-"""Cost of one message between two processes' streams, both ends together.
+"""Measures the processor time of messages over streams.
 
-Both ends share one process and one core, so a figure is the sum of what the
-sender and the receiver spend.
+Server and client share this process, so a figure is the sum of what the sender
+and the receiver spend.
+
+Usage: python -m bench.streams ask [--count N] [--callers N]
+       python -m bench.streams flood [--count N] [--exchanges N]
 """
 
 import sys
@@ -30,9 +33,9 @@
 
     Args:
         count: Requests of each caller.
-        callers: Green threads that ask side by side.
+        callers: Concurrent green threads that ask.
     """
-    server, client = _pair()
+    server, client = _server_and_client()
 
     def answer(exchange: ports.Exchange, message: config_messages.Ping) -> None:
         exchange.send(identities.Done())
@@ -43,18 +46,18 @@
         for _ in range(count):
             client.ask(server.address, config_messages.Ping(), 5.0)
 
-    spent = _timed(callers, caller)
-    print(f"ask, {callers} callers: {spent / count / callers * 1e6:.1f} us")
+    seconds = _cpu_seconds(callers, caller)
+    print(f"ask, {callers} callers: {seconds / count / callers * 1e6:.1f} us")
 
 
 def flood(count: int = 20000, exchanges: int = 16) -> None:
-    """Prints microseconds per token frame, many exchanges side by side.
+    """Prints microseconds per token frame on concurrent exchanges.
 
     Args:
         count: Frames on each exchange.
-        exchanges: Exchanges side by side on one connection.
+        exchanges: Concurrent exchanges on one connection.
     """
-    server, client = _pair()
+    server, client = _server_and_client()
 
     def stream(exchange: ports.Exchange, message: config_messages.Ping) -> None:
         for offset in range(count):
@@ -71,14 +74,15 @@
             pass
         exchange.close()
 
-    spent = _timed(exchanges, reader)
+    seconds = _cpu_seconds(exchanges, reader)
     print(
         f"flood, {exchanges} exchanges:"
-        f" {spent / count / exchanges * 1e6:.1f} us a frame"
+        f" {seconds / count / exchanges * 1e6:.1f} us a frame"
     )
 
 
-def _timed(threads: int, function: object) -> float:
+def _cpu_seconds(threads: int, function: object) -> float:
+    """Returns the processor time of so many threads of the function."""
     started = time.process_time()
     pool = [eventlet.spawn(function) for _ in range(threads)]
     for thread in pool:
@@ -86,7 +90,7 @@
     return time.process_time() - started
 
 
-def _pair() -> tuple[streams.TcpStreams, streams.TcpStreams]:
+def _server_and_client() -> tuple[streams.TcpStreams, streams.TcpStreams]:
     server = streams.TcpStreams("127.0.0.1:0")
     return server, streams.TcpStreams("127.0.0.1:0")
 
