--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,6 +1,6 @@
-"""Measurements; each module is a command: `python -m bench.path`.
+"""Measurement programs, run as `python -m bench.path`.
 
-Importing the package makes the sockets green, as in the daemon.
+Importing the package makes sockets green by eventlet, as in the daemon.
 """
 
 import mintcleat.main as green
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -2,8 +2,8 @@
 
 Usage: python -m bench.capacity [--check]
 
-The text around the tables is kept in the page itself, between the markers'
-outsides, so that only figures come from the data.
+Tables stand between the markers `<!-- NAME -->` and `<!-- end -->`; the text
+around them is written in the page itself.
 """
 
 import json
@@ -21,26 +21,30 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 DATA = ROOT / "docs" / "capacity.json"
 
+# The planned size; rates are per second.
 NODES = 860
 ENGINES = 3_000
-REQUESTS = 35_000
-TOKENS = 12_000_000
+REQUEST_RATE = 35_000
+TOKEN_RATE = 12_000_000
 PROGRAMS = 780_000
-CONTROL = 21
+CONTROLS = 21
 REPLICAS = 3
+# 160,000 tokens of 4 bytes.
 HISTORY_BYTES = 160_000 * 4
+# Sidecars, calls and token frames of one node.
 SIDECARS = ENGINES / NODES
-CALLS = REQUESTS / NODES
-FRAMES = TOKENS / NODES
-# 24 models, 32 upstreams of each (decisions/subset.py).
+CALL_RATE = REQUEST_RATE / NODES
+FRAME_RATE = TOKEN_RATE / NODES
+# An entry watches 32 upstreams (decisions/subset.py) of each of 24 models.
 WATCHED = 24 * 32
-CPU_LIMIT = 4.4
-MEMORY_LIMIT = 32.0
-BYTES_LIMIT = 20.0
+# Limits per node: percent of one core, MB, and KB per second.
+CPU_LIMIT_PERCENT = 4.4
+MEMORY_LIMIT_MB = 32.0
+BYTES_LIMIT_KB = 20.0
 
 
 class Line(NamedTuple):
-    """One line of a table; `value` is in `unit` at the planned size."""
+    """One line of a table; `value` is in `unit`, at the planned size."""
 
     what: str
     arithmetic: str
@@ -51,7 +55,7 @@
 
 
 def node_cpu(data: dict[str, Any]) -> list[Line]:
-    """Returns processor time of control per node, in % of one core."""
+    """Returns the processor time of control per node, in % of one core."""
     report = data["sidecar_watcher"]["slope"] / 2
     reports = SIDECARS * send_interval.REPORT_BUDGET / 100
     entry = data["turn_entry_control"]
@@ -61,16 +65,16 @@
     return [
         Line(
             "commits, entry's side",
-            f"{entry:.0f} us a turn x {CALLS:.1f} turns/s",
-            entry * CALLS / 1e4,
+            f"{entry:.0f} us a turn x {CALL_RATE:.1f} turns/s",
+            entry * CALL_RATE / 1e4,
             "%",
             "turns",
             "roles/control_client.py batches requests to one leader",
         ),
         Line(
             "commits, sidecars' side",
-            f"{sidecar:.0f} us a turn x {CALLS:.1f} turns/s",
-            sidecar * CALLS / 1e4,
+            f"{sidecar:.0f} us a turn x {CALL_RATE:.1f} turns/s",
+            sidecar * CALL_RATE / 1e4,
             "%",
             "turns",
             "roles/sidecar/commit.py reports outcomes from the sidecar",
@@ -95,7 +99,7 @@
 
 
 def node_bytes(data: dict[str, Any]) -> list[Line]:
-    """Returns the network use of control per node, in KB a second."""
+    """Returns the network traffic of control per node, in KB per second."""
     config = data["config_node_10x"]
     stream = config["sent"] + config["received"]
     followers = 1 + SIDECARS
@@ -161,13 +165,13 @@
 
 
 def control(data: dict[str, Any]) -> list[Line]:
-    """Returns what one of the control instances carries."""
+    """Returns the load and memory of one control instance."""
     pair = data["pair_by_callers"][-1][1]
-    turns = REQUESTS / CONTROL
+    turns = REQUEST_RATE / CONTROLS
     record = data["record_bytes"]["slope"]
-    each = PROGRAMS * REPLICAS / CONTROL
+    each = PROGRAMS * REPLICAS / CONTROLS
     begin, finish = data["bytes"]["BeginCall"], data["bytes"]["FinishCall"]
-    served = NODES * (1 + SIDECARS) / CONTROL
+    served = NODES * (1 + SIDECARS) / CONTROLS
     per_node = 3 * data["config_leader_10x"]["slope"]
     stream = 3 * data["node_stream"]["slope"]
     return [
@@ -230,8 +234,8 @@
         found.append(
             Line(
                 f"{role}: calls",
-                f"{slope['base']:.0f} us x {CALLS:.1f} calls/s",
-                slope["base"] * CALLS / 1e4,
+                f"{slope['base']:.0f} us x {CALL_RATE:.1f} calls/s",
+                slope["base"] * CALL_RATE / 1e4,
                 "%",
                 "tokens_per_call",
                 "roles/entry/entry.py, roles/sidecar/sidecar.py",
@@ -240,8 +244,8 @@
         found.append(
             Line(
                 f"{role}: token frames",
-                f"{slope['slope']:.1f} us x {FRAMES:.0f} tokens/s",
-                slope["slope"] * FRAMES / 1e4,
+                f"{slope['slope']:.1f} us x {FRAME_RATE:.0f} tokens/s",
+                slope["slope"] * FRAME_RATE / 1e4,
                 "%",
                 "tokens_per_call",
                 "adapters/streams_connection.py gathers frames",
@@ -251,7 +255,7 @@
 
 
 def spread_line(data: dict[str, Any]) -> str:
-    """Returns the time for a change to reach all, from the line."""
+    """Returns the time for a change to reach all nodes, by the line."""
     worst = data["spread_worst"]
     seconds = worst["base"] + worst["slope"] * NODES
     return (
@@ -262,7 +266,7 @@
 
 
 def table(lines: list[Line], limit: float = 0.0) -> str:
-    """Returns a Markdown table, with its sum against the limit if given."""
+    """Returns a Markdown table; with a limit, also the sum against it."""
     rows = [
         "| what | slope x size | at the planned size | source | carried by |",
         "|---|---|---|---|---|",
@@ -284,7 +288,7 @@
 
 
 def slopes(data: dict[str, Any]) -> str:
-    """Returns every measured line with its points and its bend."""
+    """Returns a Markdown table of all measured lines and their points."""
     rows = [
         "| line | points (size: value) | slope | at 0 | largest deviation |",
         "|---|---|---|---|---|",
@@ -309,9 +313,9 @@
 def blocks(data: dict[str, Any]) -> dict[str, str]:
     """Returns each generated block by the name of its marker."""
     return {
-        "node-cpu": table(node_cpu(data), CPU_LIMIT),
-        "node-bytes": table(node_bytes(data), BYTES_LIMIT),
-        "node-memory": table(node_memory(data), MEMORY_LIMIT),
+        "node-cpu": table(node_cpu(data), CPU_LIMIT_PERCENT),
+        "node-bytes": table(node_bytes(data), BYTES_LIMIT_KB),
+        "node-memory": table(node_memory(data), MEMORY_LIMIT_MB),
         "control": table(control(data)),
         "data-path": table(data_path(data)),
         "spread": spread_line(data),
@@ -320,7 +324,11 @@
 
 
 def page(text: str, data: dict[str, Any]) -> str:
-    """Returns the page with every generated block put in."""
+    """Returns the page with every generated block replaced.
+
+    Raises:
+        SystemExit: The page does not have each block once.
+    """
     for name, block in blocks(data).items():
         pattern = rf"(<!-- {name} -->\n).*?(\n<!-- end -->)"
         text, found = re.subn(
@@ -335,13 +343,20 @@
 
 
 def main(check: bool = False) -> None:
-    """Writes the page, or fails when it differs from the data."""
+    """Writes the page.
+
+    Args:
+        check: Write nothing; fail if the page differs from the data.
+    """
     text = PAGE.read_text()
-    made = page(text, json.loads(DATA.read_text()))
+    generated = page(text, json.loads(DATA.read_text()))
     if not check:
-        PAGE.write_text(made)
-    elif made != text:
-        sys.exit("docs/CAPACITY.md differs from docs/capacity.json.")
+        PAGE.write_text(generated)
+    elif generated != text:
+        sys.exit(
+            "docs/CAPACITY.md differs from docs/capacity.json;"
+            " run `python -m bench.capacity`."
+        )
 
 
 if __name__ == "__main__":
--- a/bench/config_processes.py
+++ b/bench/config_processes.py
@@ -1,4 +1,4 @@
-"""The processes that `bench/configuration.py` measures, and its pushes."""
+"""The processes that `bench/configuration.py` measures, and pushes to them."""
 
 import functools
 import json
@@ -17,18 +17,25 @@
 from mintcleat.domain import errors
 from mintcleat.domain import manifest
 
-RIG = str(pathlib.Path(__file__).parent / "config_rig.py")
-# The users' plan: 9,600 changes a day.
-USER_RATE = 9_600 / 86_400
+PROCESS_SCRIPT = str(pathlib.Path(__file__).parent / "config_rig.py")
+# The users plan 9,600 changes of the manifest a day.
+USER_CHANGES_PER_SECOND = 9_600 / 86_400
 CONTROLS = 3
-WAY = {"nodes": "stream", "pollers": "polling"}
+# How nodes learn of a revision, by the kind of node process.
+SCHEME_NAMES = {"nodes": "stream", "pollers": "polling"}
 NODES_PER_PROCESS = 125
-# What one service and one customer add to a manifest, in bytes, about.
-SMALL = 10_000
+SMALL_MANIFEST_BYTES = 10_000
 
 
 class Record(NamedTuple):
-    """What one process has seen; see `config_rig.Recorder`."""
+    """What one process has recorded; see `config_rig.Recorder`.
+
+    Attributes:
+        events: [revision, seconds] of each revision applied.
+        sent: Bytes sent to control.
+        received: Bytes received from control.
+        leaseless: Samples in which a node had no lease, over its nodes.
+    """
 
     events: list[list[float]]
     sent: int
@@ -37,7 +44,10 @@
 
 
 class Window(NamedTuple):
-    """Costs over some seconds: CPU in cores, traffic in bytes a second."""
+    """Costs over a time window, per node and per control instance.
+
+    Processor time is in cores, traffic in bytes per second.
+    """
 
     node_cpu: float
     leader_cpu: float
@@ -46,8 +56,14 @@
     node_received: float
 
 
-class Rig:
-    """Control and node processes, and a client that pushes."""
+class Cluster:
+    """Control and node processes, and a client that pushes manifests.
+
+    Args:
+        count: Number of nodes.
+        kind: Command of `config_rig.py` that runs them, `nodes` or `pollers`.
+        options: Further arguments of that command.
+    """
 
     def __init__(self, count: int, kind: str = "nodes", *options: str) -> None:
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="mintcleat-bench-"))
@@ -84,7 +100,7 @@
         self.revision = 0
 
     def push(self, text: str) -> None:
-        """Pushes a manifest over the one in force."""
+        """Pushes a manifest that replaces the current one."""
         request = config_messages.PushManifest(
             self.revision, f"push-{self.revision}", text, "bench", "bench"
         )
@@ -92,18 +108,26 @@
         self.revision = answer.revision
 
     def lose_leader(self, hang: bool) -> None:
-        """Kills or stops the leader and waits until another one answers."""
+        """Kills or suspends the leader; waits until another one answers.
+
+        Args:
+            hang: Suspend the leader by SIGSTOP instead of killing it.
+        """
         number = signal.SIGSTOP if hang else signal.SIGKILL
         self.leader.child.send_signal(number)
         self.addresses.remove(self.address)
         self.address = self._find_leader()
 
-    def wake_leader(self) -> None:
-        """Lets a stopped leader go on; it does not know of the new one."""
+    def resume_leader(self) -> None:
+        """Resumes a suspended leader, which doesn't know of the new one yet."""
         self.leader.child.send_signal(signal.SIGCONT)
 
-    def settle(self) -> None:
-        """Waits until every node has applied the revision."""
+    def wait_applied(self) -> None:
+        """Waits until every node has applied the last pushed revision.
+
+        Raises:
+            RuntimeError: Some node did not apply it in 60 s.
+        """
         deadline = time.monotonic() + 60.0
         while time.monotonic() < deadline:
             reached = sum(
@@ -115,10 +139,13 @@
             if reached >= self.count:
                 return
             time.sleep(0.2)
-        raise RuntimeError("Not every node applied the revision in 60 s.")
+        raise RuntimeError(
+            f"{reached} of {self.count} nodes applied revision {self.revision}"
+            " in 60 s."
+        )
 
     def record(self, process: processes.Process) -> Record:
-        """Returns what a process has seen so far."""
+        """Returns what a process has recorded so far."""
         path = self.folder / process.name
         path.unlink(missing_ok=True)
         os.kill(process.child.pid, signal.SIGUSR1)
@@ -127,29 +154,29 @@
         return Record(**json.loads(path.read_text()))
 
     def measure(self, seconds: float, rate: float) -> Window:
-        """Returns the costs over a window with `rate` pushes a second."""
+        """Returns the costs over a window with `rate` pushes per second."""
         before = self._totals()
-        begin = time.monotonic()
+        started = time.monotonic()
         number = 0
-        while time.monotonic() < begin + seconds:
+        while time.monotonic() < started + seconds:
             if not rate:
                 time.sleep(seconds)
                 break
             number += 1
-            self.push(manifest_of(SMALL, f"{self.revision}"))
-            due = begin + number / rate
+            self.push(make_manifest(SMALL_MANIFEST_BYTES, f"{self.revision}"))
+            due = started + number / rate
             time.sleep(max(0.0, due - time.monotonic()))
         after = self._totals()
-        passed = time.monotonic() - begin
+        elapsed = time.monotonic() - started
         cpu, leader, relay, sent, received = (
-            (late - early) / passed
+            (late - early) / elapsed
             for early, late in zip(before, after, strict=True)
         )
         each = self.count
         return Window(cpu / each, leader, relay, sent / each, received / each)
 
     def stop(self) -> None:
-        """Ends every process."""
+        """Stops every process."""
         for process in (*self.nodes, *self.relays, self.leader):
             process.stop()
 
@@ -175,26 +202,29 @@
                     time.sleep(0.1)
                 else:
                     return address
-        raise RuntimeError("No control instance took the lead in 20 s.")
+        raise RuntimeError("No control instance became the leader in 20 s.")
 
     def _start(self, name: str, *arguments: str) -> processes.Process:
         out = f"--out={self.folder / name}"
-        return processes.Process(name, ["-W", "ignore", RIG, *arguments, out])
+        return processes.Process(
+            name, ["-W", "ignore", PROCESS_SCRIPT, *arguments, out]
+        )
 
 
 @functools.cache
 def shared_client() -> streams.TcpStreams:
-    """Returns the one client that pushes for all rigs."""
+    """Returns the client that pushes for all clusters."""
     return streams.TcpStreams("127.0.0.1:0")
 
 
-def manifest_of(size: int, version: str) -> str:
-    """Returns a manifest of about `size` bytes; one section has `version`."""
+def make_manifest(size: int, version: str) -> str:
+    """Returns a manifest of about `size` bytes; one service has `version`."""
     service = manifest.Service(
         kind="plain",
         idempotent=[f"POST /search/{n}" for n in range(5)],
         non_idempotent=[f"POST /book/{n}" for n in range(5)],
     )
+    # Approximate JSON size of one service.
     bytes_each = 250
     services = {f"service-{n:05}": service for n in range(size // bytes_each)}
     services["changed"] = manifest.Service(
--- a/bench/config_rig.py
+++ b/bench/config_rig.py
@@ -1,7 +1,7 @@
-"""Processes of `bench/configuration.py`: control instances and light nodes.
+"""Processes of `bench/configuration.py`: control instances and nodes.
 
-A light node is a real Follower with a connection of its own; many share a
-process. The control instances keep a replicated log on disk.
+A node is a real Follower with a connection of its own, without other roles;
+many share a process. The control instances keep a replicated log on disk.
 """
 
 import warnings
@@ -38,14 +38,20 @@
 from mintcleat.roles.control.replication import replication
 
 POLL_SECONDS = 1.0
-WATCH_SECONDS = 0.05
-# Offset of tcpi_bytes_acked and tcpi_bytes_received in Linux' tcp_info.
+LEASE_SAMPLE_SECONDS = 0.05
+# Offset of tcpi_bytes_acked and tcpi_bytes_received in Linux's tcp_info.
 TCP_INFO_BYTES = 120
 TCP_INFO_SIZE = 136
 
 
 class Recorder:
-    """Writes what a process has seen to a file on SIGUSR1."""
+    """Writes what a process has recorded to a file on SIGUSR1.
+
+    Attributes:
+        events: [revision, seconds] of each revision applied.
+        hub: Streams whose traffic is counted.
+        leaseless: Samples in which a node had a manifest and no lease.
+    """
 
     def __init__(self, out: str) -> None:
         self.out = pathlib.Path(out)
@@ -55,11 +61,11 @@
         signal.signal(signal.SIGUSR1, self.write)
 
     def write(self, number: int, frame: FrameType | None) -> None:
-        """Writes events and byte counts, in one step."""
+        """Writes the file atomically; called as a signal handler."""
         sent, received = 0, 0
         for hub in self.hub:
             for connection in hub.dialled.values():
-                up, down = bytes_of(connection.sock)
+                up, down = tcp_bytes(connection.sock)
                 sent += up
                 received += down
         text = json.dumps(
@@ -75,8 +81,8 @@
         part.rename(self.out)
 
 
-def bytes_of(sock: socket.socket) -> tuple[int, int]:
-    """Returns the bytes that the peer acknowledged, and those received."""
+def tcp_bytes(sock: socket.socket) -> tuple[int, int]:
+    """Returns the bytes acknowledged by the peer, and those received."""
     try:
         info = sock.getsockopt(
             socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE
@@ -87,11 +93,11 @@
 
 
 def control(name: str, addresses: str, folder: str, out: str) -> None:
-    """Runs one of the control instances at `addresses`, which form a quorum.
+    """Runs one of the control instances at `addresses`.
 
     Args:
         name: `control-N`, the N-th of the addresses.
-        addresses: Stream addresses of all of them, with commas between.
+        addresses: Stream addresses of all of them, separated by commas.
         folder: Data folder.
         out: File that the recorder writes.
     """
@@ -121,32 +127,40 @@
         streams=listener,
         timers=clock,
     )
-    seen = [0]
+    last_revision = [0]
 
     def applied() -> None:
         revision = service.machine.document.revision
-        if revision > seen[0] and service.leads():
-            seen[0] = revision
+        if revision > last_revision[0] and service.leads():
+            last_revision[0] = revision
             recorder.events.append([revision, clock.now()])
 
     service.machine.subscribers.insert(0, applied)
     log.start()
     service.start()
 
-    def tell_revision(
+    def answer_revision(
         exchange: stream_ports.Exchange, message: config_messages.Ping
     ) -> None:
-        """Answers a poll: a client then reads the manifest if it changed."""
+        """Answers a poll with the revision."""
         exchange.send(identities.Done(str(service.document().revision)))
 
-    listener.handle(config_messages.Ping, tell_revision)
-    wait(name, listener.address)
+    listener.handle(config_messages.Ping, answer_revision)
+    serve_forever(name, listener.address)
 
 
 def nodes(
     first: int, count: int, control: str, out: str, watch: bool = False
 ) -> None:
-    """Runs light nodes that follow; `watch` looks for lost leases."""
+    """Runs nodes that follow the configuration by a stream.
+
+    Args:
+        first: Number of the first node.
+        count: Number of nodes.
+        control: Stream addresses of control, separated by commas.
+        out: File that the recorder writes.
+        watch: Whether to sample which nodes have no lease.
+    """
     clock = timers.EventletTimers()
     recorder = Recorder(out)
     started = []
@@ -162,37 +176,41 @@
             control_addresses=control.split(","),
         )
         recorder.hub.append(listener)
-        node.subscribe(watcher(recorder, node, clock))
+        node.subscribe(revision_recorder(recorder, node, clock))
         node.start()
         started.append(node)
     if watch:
-        clock.every(WATCH_SECONDS, lambda: look(recorder, started))
-    wait(f"nodes-{first}", "")
+        clock.every(
+            LEASE_SAMPLE_SECONDS, lambda: count_leaseless(recorder, started)
+        )
+    serve_forever(f"nodes-{first}", "")
 
 
-def look(recorder: Recorder, started: list[follower.Follower]) -> None:
-    """Counts the nodes that have a manifest and no lease at this moment."""
+def count_leaseless(
+    recorder: Recorder, started: list[follower.Follower]
+) -> None:
+    """Counts the nodes that have a manifest but no lease now."""
     recorder.leaseless += sum(
         node.revision() > 0 and not node.has_lease() for node in started
     )
 
 
-def watcher(
+def revision_recorder(
     recorder: Recorder, node: follower.Follower, clock: timers.EventletTimers
 ) -> Any:
-    """Returns a callback that notes when a revision is applied, in lease."""
-    seen = [0]
+    """Returns a callback that records when a revision is applied."""
+    last_revision = [0]
 
-    def note() -> None:
-        if node.revision() > seen[0]:
-            seen[0] = node.revision()
-            recorder.events.append([seen[0], clock.now()])
+    def record_revision() -> None:
+        if node.revision() > last_revision[0]:
+            last_revision[0] = node.revision()
+            recorder.events.append([last_revision[0], clock.now()])
 
-    return note
+    return record_revision
 
 
 def pollers(first: int, count: int, control: str, out: str) -> None:
-    """Runs light nodes that ask for the revision each second."""
+    """Runs nodes that poll the revision each second; see `nodes`."""
     clock = timers.EventletTimers()
     recorder = Recorder(out)
     address = control.split(",", maxsplit=1)[0]
@@ -201,7 +219,7 @@
         recorder.hub.append(listener)
         offset = (number * 0.618) % 1.0 * POLL_SECONDS
         clock.spawn(poll, listener, address, offset, recorder, clock)
-    wait(f"pollers-{first}", "")
+    serve_forever(f"pollers-{first}", "")
 
 
 def poll(
@@ -211,26 +229,26 @@
     recorder: Recorder,
     clock: timers.EventletTimers,
 ) -> None:
-    """Polls for good."""
+    """Polls without end; reads the manifest when the revision changed."""
     clock.sleep(offset)
-    held = 0
+    applied_revision = 0
     while True:
         started = clock.now()
         try:
-            told = listener.ask(address, config_messages.Ping(), 5.0)
-            if int(told.detail) > held:
+            reply = listener.ask(address, config_messages.Ping(), 5.0)
+            if int(reply.detail) > applied_revision:
                 view = listener.ask(
                     address, config_messages.ReadManifest(), 5.0
                 )
-                held = view.revision
-                recorder.events.append([held, clock.now()])
+                applied_revision = view.revision
+                recorder.events.append([applied_revision, clock.now()])
         except errors.MintcleatError as error:
             logger.debug("{}", error)
         clock.sleep(max(0.0, started + POLL_SECONDS - clock.now()))
 
 
-def wait(name: str, address: str) -> None:
-    """Prints the ready line and runs until the process is stopped."""
+def serve_forever(name: str, address: str) -> None:
+    """Prints the ready line and runs until SIGTERM."""
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(0))
     logger.remove()
     logger.add(sys.stderr, level="WARNING")
--- a/bench/config_state.py
+++ b/bench/config_state.py
@@ -1,4 +1,4 @@
-"""Memory and time of the configuration's state, as slopes.
+"""Measures memory and time of the configuration's state.
 
     python bench/config_state.py
 
@@ -29,7 +29,7 @@
 def announcement(
     number: int, state: str = "ready"
 ) -> member_messages.Announcement:
-    """Returns one of many announcements, with texts of their own."""
+    """Returns an announcement whose texts differ by number."""
     return member_messages.Announcement(
         identities.Incarnation(f"sidecar-{number:05}", 1_700_000_000_000),
         number,
@@ -48,8 +48,8 @@
     )
 
 
-def node(count: int) -> follower.Follower:
-    """Returns a node that knows so many members."""
+def make_follower(count: int) -> follower.Follower:
+    """Returns a follower that knows `count` members."""
     held = follower.Follower(
         identities.Incarnation("entry", 1),
         "entry",
@@ -64,16 +64,16 @@
     return held
 
 
-def table(count: int) -> members.Table:
-    """Returns a control instance's table of so many members."""
+def make_table(count: int) -> members.Table:
+    """Returns a control instance's table of `count` members."""
     held = members.Table()
     for number in range(count):
         held.announce(announcement(number), 0.0)
     return held
 
 
-def audited(count: int) -> machine.ConfigMachine:
-    """Returns a machine with so many pushes behind it."""
+def make_machine(count: int) -> machine.ConfigMachine:
+    """Returns a state machine that has applied `count` pushes."""
     held = machine.ConfigMachine()
     held.apply(1, commands.encode(commands.StartLeaderEpoch("control-0", 0.0)))
     for number in range(count):
@@ -92,8 +92,8 @@
     return held
 
 
-def memory(build: Callable[[int], Any], count: int) -> int:
-    """Returns the bytes that a state takes."""
+def traced_bytes(build: Callable[[int], Any], count: int) -> int:
+    """Returns the bytes of Python memory that a built state takes."""
     tracemalloc.start()
     held = build(count)
     size, _ = tracemalloc.get_traced_memory()
@@ -102,25 +102,25 @@
     return size
 
 
-def best(action: Callable[[], Any]) -> float:
+def best_milliseconds(action: Callable[[], Any]) -> float:
     """Returns the shortest of three runs, in milliseconds."""
     times = []
     for _ in range(3):
-        begin = time.perf_counter()
+        started = time.perf_counter()
         action()
-        times.append((time.perf_counter() - begin) * 1000)
+        times.append((time.perf_counter() - started) * 1000)
     return min(times)
 
 
 def run() -> None:
-    """Prints the slopes."""
+    """Prints memory and time with 1,000 and 3,000 items."""
     print("state                        1,000 MB  3,000 MB  bytes each")
     for name, build in (
-        ("members at a node", node),
-        ("members at a control instance", table),
-        ("pushes and audit trail", audited),
+        ("members at a node", make_follower),
+        ("members at a control instance", make_table),
+        ("pushes and audit trail", make_machine),
     ):
-        small, large = memory(build, 1000), memory(build, 3000)
+        small, large = traced_bytes(build, 1000), traced_bytes(build, 3000)
         each = (large - small) / 2000
         print(f"{name:29}{small / 1e6:8.2f}  {large / 1e6:8.2f}  {each:10.0f}")
     print("time                                       1,000 ms  3,000 ms")
@@ -135,15 +135,15 @@
 
 
 def _change_at_node(count: int) -> float:
-    held = node(count)
+    held = make_follower(count)
     update = member_messages.MembersUpdate(
         False, [announcement(5, "draining")], []
     )
-    return best(lambda: held.take(update))
+    return best_milliseconds(lambda: held.take(update))
 
 
 def _change_at_control(count: int) -> float:
-    held = table(count)
+    held = make_table(count)
     states = ["draining", "ready"] * 2
 
     def change() -> None:
@@ -151,16 +151,16 @@
         held.announce(announcement(5, states.pop()), 0.0)
         held.update_since(version)
 
-    return best(change)
+    return best_milliseconds(change)
 
 
 def _expire(count: int) -> float:
-    held = table(count)
-    return best(lambda: held.expire(1.0))
+    held = make_table(count)
+    return best_milliseconds(lambda: held.expire(1.0))
 
 
 def _apply(count: int) -> float:
-    held = audited(count)
+    held = make_machine(count)
     numbers = list(range(count, count + 3))
 
     def push() -> None:
@@ -170,12 +170,12 @@
         )
         held.apply(number, commands.encode(command))
 
-    return best(push)
+    return best_milliseconds(push)
 
 
 def _snapshot(count: int) -> float:
-    held = audited(count)
-    return best(held.snapshot)
+    held = make_machine(count)
+    return best_milliseconds(held.snapshot)
 
 
 if __name__ == "__main__":
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,8 @@
-"""Slopes for docs/CAPACITY.md, each measured at three sizes.
+"""Measures the slopes of docs/CAPACITY.md, each at three sizes.
 
-Usage: python -m bench.slopes [--output docs/capacity.json]
-       python -m bench.capacity writes the page from that file.
+Usage: python -m bench.slopes run [STEP] [--output docs/capacity.json]
+
+`python -m bench.capacity` then writes the page from that file.
 """
 
 from collections.abc import Callable
@@ -41,8 +42,9 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 _CALLERS = 16
-_WATCH_SECONDS = 6.0
-_BARE = (
+_LOAD_SECONDS = 6.0
+# Prints the resident memory of a process with the libraries only.
+_BARE_PROCESS = (
     "import eventlet, urllib3, aioprometheus, fire, loguru, msgspec, msgpack,"
     " json5, xxhash, sortedcontainers; eventlet.monkey_patch();"
     "print([l for l in open('/proc/self/status') if 'VmRSS' in l][0])"
@@ -56,7 +58,8 @@
         points: Pairs of size and value.
         slope: Value per unit of size, by least squares.
         base: Value at size 0.
-        bend: Largest deviation from the line, as a part of the value.
+        bend: Largest deviation from the line, as a fraction of the value.
+        command: Command that measures it.
     """
 
     unit: str
@@ -69,7 +72,7 @@
 
 
 def fit(size: str, unit: str, points: list[list[float]], command: str) -> Slope:
-    """Returns the line through the points and how far they bend from it."""
+    """Returns the least-squares line through the points."""
     sizes = np.array([point[0] for point in points], float)
     values = np.array([point[1] for point in points], float)
     slope, base = np.polyfit(sizes, values, 1)
@@ -86,8 +89,8 @@
     )
 
 
-def tokens_per_call(found: dict[str, Any]) -> None:
-    """Entry and sidecar: processor time per call and per token frame."""
+def tokens_per_call(results: dict[str, Any]) -> None:
+    """Measures entry and sidecar: processor time per call and token frame."""
     system = rig.system(controls=1, engines=1)
     try:
         entry = system.processes["entry-0"]
@@ -107,12 +110,12 @@
         system.stop()
     command = "python -m bench.slopes run tokens_per_call"
     size, unit = "tokens in the answer", "us of a core per call"
-    found["entry_call"] = fit(size, unit, entries, command)
-    found["sidecar_call"] = fit(size, unit, sidecars, command)
+    results["entry_call"] = fit(size, unit, entries, command)
+    results["sidecar_call"] = fit(size, unit, sidecars, command)
 
 
-def turns(found: dict[str, Any]) -> None:
-    """Control: processor time per committed turn; what it adds elsewhere."""
+def turns(results: dict[str, Any]) -> None:
+    """Measures control: processor time per turn, here and elsewhere."""
     system = rig.system(controls=3, engines=1, groups=1)
     names = {
         "entry": "entry-0",
@@ -124,10 +127,10 @@
         route = path.Route("program", system.http()[0], program=True)
         plain = path.Route("stateless", system.http()[0], program=False)
         path.measure(route, _CALLERS, 160)
-        idle = _used(system, names, lambda: time.sleep(3.0))
+        idle = _cpu_used(system, names, lambda: time.sleep(3.0))
         for calls in (160, 480, 960):
             started = time.monotonic()
-            used = _used(
+            used = _cpu_used(
                 system,
                 names,
                 lambda n=calls: path.measure(route, _CALLERS, n),
@@ -136,10 +139,10 @@
             for name, cpu in used.items():
                 own = cpu - idle[name] / 3.0 * seconds
                 points[name].append([calls, own * 1e6])
-        without = _used(
+        without = _cpu_used(
             system, names, lambda: path.measure(plain, _CALLERS, 960)
         )
-        leader = _leader(system, "programs-0")
+        leader = _find_leader(system, "programs-0")
         resident = {
             name: system.processes[process].usage().resident
             for name, process in names.items()
@@ -151,17 +154,17 @@
         role = name
         if name.startswith("control"):
             role = "leader" if name == leader else f"follower-{name[-1]}"
-        found[f"turn_{role}"] = fit("turns", "us of a core", values, command)
+        results[f"turn_{role}"] = fit("turns", "us of a core", values, command)
     for name in ("entry", "sidecar"):
-        each = found[f"turn_{name}"]["slope"]
-        found[f"turn_{name}_control"] = each - without[name] / 960 * 1e6
-    found["idle_cpu"] = {name: cpu / 3.0 for name, cpu in idle.items()}
-    found["resident"] = resident
-    found["bare_resident"] = _bare()
+        each = results[f"turn_{name}"]["slope"]
+        results[f"turn_{name}_control"] = each - without[name] / 960 * 1e6
+    results["idle_cpu"] = {name: cpu / 3.0 for name, cpu in idle.items()}
+    results["resident"] = resident
+    results["bare_resident"] = _bare_resident()
 
 
-def batched(found: dict[str, Any]) -> None:
-    """Control: processor time per begin and finish as batches grow."""
+def batched(results: dict[str, Any]) -> None:
+    """Measures control: processor time per begin and finish, by batch size."""
     system = processes.System(controls=3, entries=0, engines=0, services=0)
     hub = streams.TcpStreams("127.0.0.1:0")
     names = {f"control-{number}": f"control-{number}" for number in range(3)}
@@ -170,25 +173,25 @@
         client = control_client.ControlClient(
             hub, timers.EventletTimers(), system.control_addresses, 4
         )
-        _pairs(client, "warm", 16, 160)
+        _run_pairs(client, "warm", 16, 160)
         for callers in (16, 128, 512):
             pairs = 6 * 512
-            used = _used(
+            used = _cpu_used(
                 system,
                 names,
-                lambda n=callers: _pairs(client, f"c{n}", n, 6 * 512),
+                lambda n=callers: _run_pairs(client, f"c{n}", n, 6 * 512),
             )
             points.append([callers, sum(used.values()) / pairs * 1e6])
     finally:
         hub.stop()
         system.stop()
-    found["pair_by_callers"] = points
+    results["pair_by_callers"] = points
 
 
-def _pairs(
+def _run_pairs(
     client: control_client.ControlClient, prefix: str, callers: int, count: int
 ) -> None:
-    """Runs begin and finish of `count` turns from so many callers."""
+    """Runs begin and finish of `count` turns from concurrent callers."""
     sidecar = identities.Incarnation("bench", 1)
 
     def caller(number: int) -> None:
@@ -218,7 +221,7 @@
         thread.wait()
 
 
-def _used(
+def _cpu_used(
     system: processes.System, names: dict[str, str], action: Callable[[], Any]
 ) -> dict[str, float]:
     before = {n: system.processes[p].usage().cpu for n, p in names.items()}
@@ -228,32 +231,32 @@
     }
 
 
-def _leader(system: processes.System, group: str) -> str:
-    asker = streams.TcpStreams("127.0.0.1:0")
+def _find_leader(system: processes.System, group: str) -> str:
+    client = streams.TcpStreams("127.0.0.1:0")
     try:
         for number, address in enumerate(system.control_addresses):
-            rows = asker.ask(address, operator_messages.ShowGroups(), 5.0).rows
+            rows = client.ask(address, operator_messages.ShowGroups(), 5.0).rows
             for row in map(json.loads, rows):
                 if row["group"] == group and row["role"] == "leader":
                     return f"control-{number}"
     finally:
-        asker.stop()
-    raise errors.NoUpstream(f"Nobody leads {group}.")
+        client.stop()
+    raise errors.NoUpstream(f"No control instance leads group {group}.")
 
 
-def _bare() -> int:
-    """Returns the resident bytes of a process with the libraries alone."""
-    done = subprocess.run(
-        [sys.executable, "-W", "ignore", "-c", _BARE],
+def _bare_resident() -> int:
+    """Returns the resident bytes of a process with the libraries only."""
+    completed = subprocess.run(
+        [sys.executable, "-W", "ignore", "-c", _BARE_PROCESS],
         capture_output=True,
         text=True,
         check=True,
     )
-    return int(done.stdout.split()[1]) * 1024
+    return int(completed.stdout.split()[1]) * 1024
 
 
-def load_reports(found: dict[str, Any]) -> None:
-    """Sidecar: processor time per watcher, each gets two reports a second."""
+def load_reports(results: dict[str, Any]) -> None:
+    """Measures sidecar: processor time per watcher, at two reports a second."""
     system = rig.system(controls=1, engines=1)
     points = []
     try:
@@ -269,14 +272,14 @@
                 watchers.append(watcher)
             time.sleep(0.5)
             before = process.usage().cpu
-            time.sleep(_WATCH_SECONDS)
+            time.sleep(_LOAD_SECONDS)
             used = process.usage().cpu - before
-            points.append([count, used / _WATCH_SECONDS * 1e6])
+            points.append([count, used / _LOAD_SECONDS * 1e6])
         for watcher in watchers:
             watcher.stop()
     finally:
         system.stop()
-    found["sidecar_watcher"] = fit(
+    results["sidecar_watcher"] = fit(
         "watching entries",
         "us of a core per second",
         points,
@@ -284,8 +287,8 @@
     )
 
 
-def records(found: dict[str, Any]) -> None:
-    """Control: memory and time per program record, snapshot and restore."""
+def records(results: dict[str, Any]) -> None:
+    """Measures control: memory, snapshot and restore per program record."""
     command = "python -m bench.slopes run records"
     with tempfile.TemporaryDirectory() as name:
         rows = [
@@ -300,48 +303,50 @@
         ("record_snapshot_bytes", "bytes", lambda row: row.snapshot_bytes),
     ):
         points = [[row.programs, value(row)] for row in rows]
-        found[key] = fit(size, unit, points, command)
-    found["record_pair_us"] = [[row.programs, row.pair_us] for row in rows]
+        results[key] = fit(size, unit, points, command)
+    results["record_pair_us"] = [[row.programs, row.pair_us] for row in rows]
 
 
-def members(found: dict[str, Any]) -> None:
-    """Nodes and control: memory per member."""
+def members(results: dict[str, Any]) -> None:
+    """Measures nodes and control: memory per member."""
     command = "python -m bench.slopes run members"
     for key, build in (
-        ("member_node", config_state.node),
-        ("member_control", config_state.table),
+        ("member_node", config_state.make_follower),
+        ("member_control", config_state.make_table),
     ):
         points = [
-            [count, config_state.memory(build, count)]
+            [count, config_state.traced_bytes(build, count)]
             for count in (500, 1500, 3000)
         ]
-        found[key] = fit("announced upstreams", "bytes", points, command)
+        results[key] = fit("announced upstreams", "bytes", points, command)
 
 
-def memories(found: dict[str, Any]) -> None:
-    """Memory of a held history, a watched upstream and a node's stream."""
+def memories(results: dict[str, Any]) -> None:
+    """Measures memory of a history, a watched upstream and a node's stream."""
     command = "python -m bench.slopes run memories"
     for key, size, build in (
         ("held_history", "programs of 3 turns of 600 bytes", _histories),
         ("watched_upstream", "watched upstreams", _fleet),
     ):
         points = [
-            [count, config_state.memory(build, count)]
+            [count, config_state.traced_bytes(build, count)]
             for count in (500, 1500, 3000)
         ]
-        found[key] = fit(size, "bytes", points, command)
+        results[key] = fit(size, "bytes", points, command)
     points = []
     for count in (20, 100, 300):
-        nodes = config_processes.Rig(count, "nodes")
+        nodes = config_processes.Cluster(count, "nodes")
         try:
             nodes.push(
-                config_processes.manifest_of(config_processes.SMALL, "0")
+                config_processes.make_manifest(
+                    config_processes.SMALL_MANIFEST_BYTES, "0"
+                )
             )
-            nodes.settle()
+            nodes.wait_applied()
             points.append([count, nodes.leader.usage().resident])
         finally:
             nodes.stop()
-    found["node_stream"] = fit(
+    results["node_stream"] = fit(
         "nodes, a third served by it", "bytes resident", points, command
     )
 
@@ -351,9 +356,9 @@
     for number in range(count):
         digest = digests.EMPTY
         for turn in range(3):
-            said = [f"{number} {turn} " + "x" * 200, "y" * 400]
-            held.finish(f"program-{number:06d}", turn, digest, said)
-            digest = digests.chain(digest, said)
+            messages = [f"{number} {turn} " + "x" * 200, "y" * 400]
+            held.finish(f"program-{number:06d}", turn, digest, messages)
+            digest = digests.chain(digest, messages)
     return held
 
 
@@ -378,50 +383,50 @@
     return fleet
 
 
-def spread(found: dict[str, Any]) -> None:
-    """Configuration: seconds from acceptance to the last node."""
+def spread(results: dict[str, Any]) -> None:
+    """Measures configuration: seconds from acceptance to the last node."""
     command = "python -m bench.slopes run spread"
     points, tails = [], []
     for count in (10, 50, 200):
-        times = configuration._spread(count, "nodes", 10)
+        times = configuration.measure_spread(count, "nodes", 10)
         points.append([count, configuration.quantile(times, 0.5)])
         tails.append([count, max(times)])
-    found["spread_p50"] = fit("nodes", "seconds", points, command)
-    found["spread_worst"] = fit("nodes", "seconds", tails, command)
+    results["spread_p50"] = fit("nodes", "seconds", points, command)
+    results["spread_worst"] = fit("nodes", "seconds", tails, command)
 
 
-def config_cost(found: dict[str, Any]) -> None:
-    """Configuration: control's processor time per node that it serves."""
+def config_cost(results: dict[str, Any]) -> None:
+    """Measures configuration: processor time of control per node served."""
     command = "python -m bench.slopes run config_cost"
     rows = {
-        count: configuration._cost("nodes", count, 6.0)
+        count: configuration.measure_cost("nodes", count, 6.0)
         for count in (20, 80, 200)
     }
     for load in ("idle", "10x"):
         points = [
             [count, row[load].leader_cpu * 1e6] for count, row in rows.items()
         ]
-        found[f"config_leader_{load}"] = fit(
+        results[f"config_leader_{load}"] = fit(
             "nodes, a third served by it",
             "us of a core per second",
             points,
             command,
         )
         last = rows[200][load]
-        found[f"config_node_{load}"] = {
+        results[f"config_node_{load}"] = {
             "cpu": last.node_cpu,
             "sent": last.node_sent,
             "received": last.node_received,
         }
 
 
-def recovery(found: dict[str, Any]) -> None:
-    """Control: time to read its log back after a restart."""
-    found["recovery"] = state.recovery()
+def recovery(results: dict[str, Any]) -> None:
+    """Measures control: time to read its log back after a restart."""
+    results["recovery"] = state.recovery()
 
 
-def sizes(found: dict[str, Any]) -> None:
-    """Bytes of the messages that the page multiplies."""
+def sizes(results: dict[str, Any]) -> None:
+    """Measures the bytes of messages, which the page multiplies."""
     here = identities.Incarnation("sidecar-of-engine-0001", time.time_ns())
     report = call_messages.LoadReport(
         here, 123456, 8, 3, 16, 0.12, 0.021, 8000.0, 400_000, "ready", 0.2
@@ -438,7 +443,7 @@
         identities.Usage(9000, 250, 8800),
     )  # fmt: skip
     chunk = call_messages.Chunk(1 << 40, 1200, "word ")
-    found["bytes"] = {
+    results["bytes"] = {
         type(message).__name__: len(codec.encode(message))
         for message in (report, begin, granted, finish, chunk)
     }
@@ -460,15 +465,22 @@
 
 
 def run(step: str = "", output: str = "docs/capacity.json") -> None:
-    """Measures one step or all, and writes the data file."""
+    """Measures and writes the data file after each step.
+
+    Args:
+        step: One of `STEPS`; empty for all. Other figures of the file stay.
+        output: Data file, relative to the root of the repository.
+    """
     file = ROOT / output
-    found = json.loads(file.read_text()) if step and file.exists() else {}
-    found["commit"] = path.commit_id()
+    results = json.loads(file.read_text()) if step and file.exists() else {}
+    results["commit"] = path.commit_id()
     for name, measure in STEPS.items():
         if step in ("", name):
             print(f"measuring {name}", flush=True)
-            measure(found)
-            file.write_text(json.dumps(found, indent=1, sort_keys=True) + "\n")
+            measure(results)
+            file.write_text(
+                json.dumps(results, indent=1, sort_keys=True) + "\n"
+            )
 
 
 if __name__ == "__main__":
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,4 +1,4 @@
-"""Measures the replicated log with three replicas in processes of their own.
+"""Measures the replicated log with three replicas, each in a process.
 
 Usage: PYTHONPATH=src python bench/state.py [--seconds 2] [--json]
 """
@@ -17,23 +17,25 @@
 import fire
 
 NAMES = ("c1", "c2", "c3")
-CHILD = pathlib.Path(__file__).with_name("state_replica.py")
-RECORDS = 100_000
-RETURN_BEHIND = 50_000
-NEVER = {"entries": 10**9, "bytes": 10**12}
+REPLICA_SCRIPT = pathlib.Path(__file__).with_name("state_replica.py")
+RECOVERY_RECORDS = 100_000
+# Entries that a returning replica has missed.
+CATCH_UP_RECORDS = 50_000
+# Limits that no log reaches, so that no snapshot is taken.
+NO_SNAPSHOTS = {"entries": 10**9, "bytes": 10**12}
 
 
 class Replica:
-    """A child process and the line to it."""
+    """A replica in a child process, and the connection to it."""
 
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
         self.start()
 
     def start(self) -> None:
-        """Starts the process and connects."""
+        """Starts the process and connects to it."""
         self.process = subprocess.Popen(
-            [sys.executable, str(CHILD), json.dumps(self.settings)],
+            [sys.executable, str(REPLICA_SCRIPT), json.dumps(self.settings)],
             stdout=subprocess.PIPE,
             stderr=subprocess.DEVNULL,
         )
@@ -41,24 +43,28 @@
         self.file = self.connect()
 
     def connect(self) -> Any:
-        """Returns a line to the process."""
+        """Returns a connection to the process, as a file of lines."""
         return socket.create_connection(("127.0.0.1", self.port)).makefile("rw")
 
     def ask(self, op: str, **arguments: Any) -> dict[str, Any]:
-        """Runs an operation in the process."""
+        """Runs a method of `state_replica.Server`; returns its result."""
         self.file.write(json.dumps({"op": op, **arguments}) + "\n")
         self.file.flush()
         return json.loads(self.file.readline())
 
     def kill(self) -> None:
-        """Ends the process without warning."""
+        """Kills the process by SIGKILL."""
         self.process.kill()
         self.process.wait()
 
 
 @contextlib.contextmanager
 def cluster(**settings: Any) -> Any:
-    """Runs three replicas on fresh folders."""
+    """Runs three replicas with empty folders.
+
+    Args:
+        settings: Further settings of `state_replica.Server`.
+    """
     folder = pathlib.Path(tempfile.mkdtemp(prefix="mintcleat-bench-"))
     members = [(name, f"127.0.0.1:{_free_port()}") for name in NAMES]
     nodes = []
@@ -85,22 +91,29 @@
         return sock.getsockname()[1]
 
 
-def leader(nodes: list[Replica], groups: int = 1) -> Replica:
-    """Waits until every group is led and returns a leader of the first."""
+def wait_for_leader(nodes: list[Replica], groups: int = 1) -> Replica:
+    """Waits until every group has a leader.
+
+    Returns:
+        The replica that leads most of the groups.
+    """
     for _ in range(600):
         leading = [node.ask("status")["leads"] for node in nodes]
         if sum(leading) >= groups:
             return nodes[leading.index(max(leading))]
         time.sleep(0.05)
-    raise SystemExit("no leader within 30 s")
+    raise SystemExit(
+        f"Expected leaders of {groups} groups within 30 s, found"
+        f" {sum(leading)}."
+    )
 
 
 def commits(seconds: float) -> list[dict[str, Any]]:
-    """Commits a second, group commit against one sync per record."""
+    """Compares commits per second of group commit and of one sync a record."""
     rows = []
     for each in (False, True):
         with cluster(sync_each=each) as nodes:
-            first = leader(nodes)
+            first = wait_for_leader(nodes)
             for callers in (1, 64, 1024):
                 found = first.ask(
                     "load", callers=callers, seconds=seconds, size=100
@@ -111,11 +124,11 @@
 
 
 def failover(times: int) -> list[dict[str, Any]]:
-    """Seconds from a leader's death to the next commit elsewhere."""
-    waits = []
+    """Measures the seconds from a leader's crash to the next commit."""
+    durations = []
     with cluster() as nodes:
         for _ in range(times):
-            first = leader(nodes)
+            first = wait_for_leader(nodes)
             first.ask("propose")
             time.sleep(1.0)
             others = [node for node in nodes if node is not first]
@@ -123,71 +136,74 @@
             begin = time.monotonic()
             while not any(n.ask("propose") == {} for n in others):
                 time.sleep(0.005)
-            waits.append(time.monotonic() - begin)
+            durations.append(time.monotonic() - begin)
             first.start()
-    waits.sort()
+    durations.sort()
     return [
         {
             "deaths": times,
-            "shortest": waits[0],
-            "median": waits[len(waits) // 2],
-            "longest": waits[-1],
+            "shortest": durations[0],
+            "median": durations[len(durations) // 2],
+            "longest": durations[-1],
         }
     ]
 
 
 def recovery() -> list[dict[str, Any]]:
-    """Start of a replica whose log holds 100,000 records."""
-    with cluster(snapshots=NEVER) as nodes:
-        first = leader(nodes)
-        done = first.ask("fill", total=RECORDS)["applied"]
+    """Measures the start of a replica whose log holds 100,000 records."""
+    with cluster(snapshots=NO_SNAPSHOTS) as nodes:
+        first = wait_for_leader(nodes)
+        committed = first.ask("fill", total=RECOVERY_RECORDS)["applied"]
         first.kill()
         first.start()
-        spent = first.ask("status")["recovery"]
+        elapsed = first.ask("status")["recovery"]
     return [
         {
-            "records": done,
-            "seconds": spent,
-            "per_100000": spent * RECORDS / done,
+            "records": committed,
+            "seconds": elapsed,
+            "per_100000": elapsed * RECOVERY_RECORDS / committed,
         }
     ]
 
 
 def catch_up() -> list[dict[str, Any]]:
-    """Time of a returning replica, by snapshot and by replay."""
+    """Measures how long a restarted replica takes to catch up.
+
+    It does so by replaying the log or by a snapshot.
+    """
     rows = []
     for way, limits in (
-        ("replay", NEVER),
+        ("replay", NO_SNAPSHOTS),
         ("snapshot", {"entries": 5_000, "kept": 100}),
     ):
         with cluster(snapshots=limits) as nodes:
-            first = leader(nodes)
-            away = next(node for node in nodes if node is not first)
-            away.kill()
-            done = first.ask("fill", total=RETURN_BEHIND)["commit"]
+            first = wait_for_leader(nodes)
+            returning = next(node for node in nodes if node is not first)
+            returning.kill()
+            committed = first.ask("fill", total=CATCH_UP_RECORDS)["commit"]
             begin = time.monotonic()
-            away.start()
+            returning.start()
             started = time.monotonic() - begin
-            while away.ask("status")["applied"] < done:
+            while returning.ask("status")["applied"] < committed:
                 time.sleep(0.005)
-            spent = time.monotonic() - begin
+            elapsed = time.monotonic() - begin
             rows.append(
                 {
                     "way": way,
-                    "entries": done,
+                    "entries": committed,
                     "process_start": started,
-                    "seconds": spent,
+                    "seconds": elapsed,
                 }
             )
     return rows
 
 
 def idle(seconds: float) -> list[dict[str, Any]]:
-    """Processor time and bytes a second of one instance, all idle."""
+    """Measures processor time and bytes per second of an idle instance."""
     rows = []
     for groups in (1, 101, 201):
         with cluster(groups=groups) as nodes:
-            leader(nodes, groups)
+            wait_for_leader(nodes, groups)
             time.sleep(1.0)
             before = [node.ask("usage") for node in nodes]
             time.sleep(seconds)
@@ -227,20 +243,20 @@
 
     Args:
         seconds: Length of each load and idle measurement.
-        deaths: Leaders that are killed for the failover time.
+        deaths: Leaders that are killed to measure failover.
         only: One of commits, failover, recovery, catch_up, idle; empty for
             all.
         json: Prints one JSON object instead of tables.
     """
-    parts = {
+    measurements = {
         "commits": lambda: commits(seconds),
         "failover": lambda: failover(deaths),
         "recovery": recovery,
         "catch_up": catch_up,
         "idle": lambda: idle(seconds),
     }
-    chosen = [only] if only else list(parts)
-    found = {name: parts[name]() for name in chosen}
+    chosen = [only] if only else list(measurements)
+    found = {name: measurements[name]() for name in chosen}
     if json:
         _print_json(found)
         return
--- a/bench/state_replica.py
+++ b/bench/state_replica.py
@@ -1,4 +1,4 @@
-"""One replica in a process of its own, driven by JSON lines over TCP.
+"""Process of one replica, controlled by JSON lines over TCP.
 
 Usage: python bench/state_replica.py SETTINGS_JSON
 """
@@ -30,47 +30,51 @@
     snapshots as replication_snapshots,
 )
 
-_MICROSECONDS = 1_000_000
+_MICROSECONDS_PER_SECOND = 1_000_000
 
 
-class Journal:
-    """A machine that keeps the bytes of every command."""
+class CommandList:
+    """A state machine whose state is the list of its commands."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
 
     def apply(self, index: int, command: bytes) -> int:
-        """Keeps a command."""
+        """Appends a command; returns the number of commands."""
         self.commands.append(command)
         return len(self.commands)
 
     def snapshot(self) -> bytes:
-        """Returns every command."""
+        """Returns all commands, separated by newlines."""
         return b"\n".join(self.commands)
 
     def restore(self, state: bytes) -> None:
-        """Replaces every command."""
+        """Replaces all commands by those of a snapshot."""
         self.commands = state.split(b"\n") if state else []
 
 
-class SyncEach(wal.FileWal):
-    """Syncs each record by itself: the baseline for group commit."""
+class SyncPerRecordWal(wal.FileWal):
+    """Log that syncs each record by itself, as the baseline of group commit."""
 
     def append(self, records: Any) -> None:
-        """Writes and syncs one record after the other."""
+        """Writes and syncs one record after another."""
         for record in records:
             super().append([record])
             super().sync()
 
 
 class Server:
-    """Runs the replica and answers the bench."""
+    """The replica and its control connection.
+
+    A line is an object with `op`, the name of a method, and its arguments;
+    the response is what the method returns.
+    """
 
     def __init__(self, settings: dict[str, Any]) -> None:
         self.hub = streams.TcpStreams(settings["address"])
-        kind = SyncEach if settings.get("sync_each") else wal.FileWal
+        kind = SyncPerRecordWal if settings.get("sync_each") else wal.FileWal
         names = [f"g{n}" for n in range(settings.get("groups", 1))]
-        self.journals = {name: Journal() for name in names}
+        self.machines = {name: CommandList() for name in names}
         members = [
             replication.Member(name, address, name, "r")
             for name, address in settings["members"]
@@ -90,8 +94,8 @@
                 ),
             ),
         )
-        for name, journal in self.journals.items():
-            self.log.attach(name, journal)
+        for name, machine in self.machines.items():
+            self.log.attach(name, machine)
 
     def run(self) -> None:
         """Serves until the process is ended."""
@@ -113,7 +117,7 @@
             file.flush()
 
     def propose(self, size: int = 100) -> dict[str, Any]:
-        """Commits one command."""
+        """Commits one command of `size` bytes; returns the error, if any."""
         try:
             self.log.propose("g0", b"x" * size, 5.0)
         except errors.MintcleatError as error:
@@ -121,7 +125,7 @@
         return {}
 
     def status(self) -> dict[str, Any]:
-        """Tells what this replica leads and has applied."""
+        """Returns the count of groups that it leads, and the first's state."""
         found = self.log.status()
         return {
             "leads": sum(self.log.leads(one.group) for one in found),
@@ -132,7 +136,7 @@
         }
 
     def usage(self) -> dict[str, Any]:
-        """Returns processor seconds, sent bytes, syncs and memory."""
+        """Returns processor seconds, bytes sent and peak memory in KB."""
         links = self.log.links.links.values()
         return {
             "cpu": time.process_time(),
@@ -141,7 +145,7 @@
         }
 
     def fill(self, total: int) -> dict[str, Any]:
-        """Commits commands of 100 bytes until the log holds `total`."""
+        """Commits commands of 100 bytes up to log index `total`."""
         pool = eventlet.GreenPool(256)
         missing = total - self.log.status()[0].commit
         for _ in range(missing):
@@ -150,8 +154,18 @@
         return self.status()
 
     def load(self, callers: int, seconds: float, size: int) -> dict[str, Any]:
-        """Runs callers that each propose one command after the other."""
-        took = histogram.HdrHistogram(1, 60 * _MICROSECONDS, 3)
+        """Runs callers that each propose one command after another.
+
+        Args:
+            callers: Concurrent callers.
+            seconds: Duration of the load.
+            size: Bytes of a command.
+
+        Returns:
+            Commits per second, latencies in milliseconds, failed proposals,
+            and processor seconds per commit.
+        """
+        latencies = histogram.HdrHistogram(1, 60 * _MICROSECONDS_PER_SECOND, 3)
         end = time.monotonic() + seconds
         command = b"x" * size
         lost = 0
@@ -159,28 +173,28 @@
         def call() -> None:
             nonlocal lost
             while time.monotonic() < end:
-                begin = time.monotonic()
+                started = time.monotonic()
                 try:
                     self.log.propose("g0", command, 5.0)
                 except errors.MintcleatError:
                     lost += 1
                     eventlet.sleep(0.05)
                     continue
-                spent = time.monotonic() - begin
-                took.record_value(int(spent * _MICROSECONDS))
+                elapsed = time.monotonic() - started
+                latencies.record_value(int(elapsed * _MICROSECONDS_PER_SECOND))
 
-        cpu, begin = time.process_time(), time.monotonic()
+        cpu, started = time.process_time(), time.monotonic()
         pool = eventlet.GreenPool(callers)
         for _ in range(callers):
             pool.spawn(call)
         pool.waitall()
-        spent = time.monotonic() - begin
+        elapsed = time.monotonic() - started
         return {
-            "rate": took.total_count / spent,
-            "p50": took.get_value_at_percentile(50) / 1000,
-            "p99": took.get_value_at_percentile(99) / 1000,
+            "rate": latencies.total_count / elapsed,
+            "p50": latencies.get_value_at_percentile(50) / 1000,
+            "p99": latencies.get_value_at_percentile(99) / 1000,
             "lost": lost,
-            "cpu": (time.process_time() - cpu) / max(1, took.total_count),
+            "cpu": (time.process_time() - cpu) / max(1, latencies.total_count),
         }
 
 
