--- a/testing/test_concurrent_runs.py
+++ b/testing/test_concurrent_runs.py
@@ -33,12 +33,12 @@
 ROOTS = ("p1", "p2", "p3", "p4")
 
 
-def serve(
+def attach_service(
     log: log_ports.ReplicatedLog,
     hub: streams.TcpStreams,
     faults: program_rig.Faults,
 ) -> None:
-    """Puts a program service on a log that loses outcomes."""
+    """Attaches a program service to a log that loses outcomes."""
     program_service.ProgramService(
         program_rig.FaultyLog(log, faults),
         hub,
@@ -49,27 +49,30 @@
 
 
 def run_program(rig: program_rig.Rig, program: str, turns: int) -> None:
-    """Sends turns and actions as an agent does, resending by key."""
+    """Sends turns and actions like an agent, with idempotency keys."""
     for turn in range(1, turns + 1):
         call = program_rig.Call(
             program, f"turn{turn}", turn, True, f"{program} says {turn}"
         )
-        if not insist(rig, call):
+        if not send_until_final(rig, call):
             return
         key = f"act{turn}"
-        insist(rig, program_rig.Call(program, key, 0, False, key))
+        send_until_final(rig, program_rig.Call(program, key, 0, False, key))
         rig.read(program)
 
 
-def insist(rig: program_rig.Rig, call: program_rig.Call) -> bool:
-    """Sends a call until it ran; now and then through two entries at once."""
+def send_until_final(rig: program_rig.Rig, call: program_rig.Call) -> bool:
+    """Sends a call until its result is final; returns whether it ran.
+
+    Now and then the call is sent through two entries at once.
+    """
     for _ in range(12):
-        twin = None
+        duplicate = None
         if rig.faults.happens(0.3):
-            twin = eventlet.spawn(rig.call, call)
+            duplicate = eventlet.spawn(rig.call, call)
         refusal = rig.call(call)
-        if twin is not None:
-            twin.wait()
+        if duplicate is not None:
+            duplicate.wait()
         if refusal is None:
             return True
         if isinstance(refusal, errors.BudgetExhausted):
@@ -81,12 +84,15 @@
 
 
 def run_all(
-    rig: program_rig.Rig, turns: int, disturb: Callable[[int], None]
+    rig: program_rig.Rig, turns: int, inject_fault: Callable[[int], None]
 ) -> list[histories.Violation]:
-    """Runs every program while `disturb` is called again and again.
+    """Runs every program while `inject_fault` is called periodically.
+
+    The budget of a root covers most, but not all, of the turns of it and its
+    sub-agent, so that the last ones race for the rest.
 
-    The budget of a root covers most of its turns and its sub-agent's, and
-    not all, so that the last ones race for what is left.
+    Returns:
+        Violations found in the recorded history.
     """
     budget = identities.Budget(3 * turns * program_rig.TOKENS)
     programs = []
@@ -100,21 +106,21 @@
                 identities.Budget() if parent else budget,
                 parent,
             )
-            ask_until_done(rig, name, create)
+            create_until_accepted(rig, name, create)
             programs.append(name)
     threads = [
         eventlet.spawn(run_program, rig, name, turns) for name in programs
     ]
-    disturber = eventlet.spawn(disturb_forever, disturb)
+    fault_thread = eventlet.spawn(inject_forever, inject_fault)
     for thread in threads:
         thread.wait()
-    disturber.kill()
+    fault_thread.kill()
     eventlet.sleep(0.2)
     rig.finish(programs)
     return histories.check(rig.record)
 
 
-def ask_until_done(
+def create_until_accepted(
     rig: program_rig.Rig, name: str, create: program_messages.CreateProgram
 ) -> None:
     while True:
@@ -125,14 +131,14 @@
             eventlet.sleep(0.05)
 
 
-def disturb_forever(disturb: Callable[[int], None]) -> None:
+def inject_forever(inject_fault: Callable[[int], None]) -> None:
     for step in itertools.count():
         eventlet.sleep(0.06)
-        disturb(step)
+        inject_fault(step)
 
 
 def check_enough_happened(rig: program_rig.Rig) -> None:
-    """A run in which nothing ran or nothing failed would prove nothing."""
+    """Checks that calls ran and faults occurred, or the run proves nothing."""
     assert len(rig.record.operations) > len(rig.record.runs) > 20
     assert rig.faults.count > 20
 
@@ -141,53 +147,54 @@
 def test_promises_hold_while_leaders_change_and_answers_are_lost(
     seed: int,
 ) -> None:
-    """Requests and answers are lost, repeated and late; sidecars die.
+    """Guards against lost or repeated calls when leaders change.
 
-    Leadership moves between three instances all the time, and proposals
-    report a lost outcome before, after and long before they commit. Callers
-    resend by key, also through two entries at once.
+    Requests and answers are lost, repeated and delayed; sidecars restart.
+    Leadership moves between three instances, and proposals report an unknown
+    outcome before, after and long before they commit. Callers resend by key,
+    also through two entries at once.
     """
     faults = program_rig.Faults(seed)
     cluster = fake_log.Cluster()
     hubs = [streams.TcpStreams("127.0.0.1:0") for _ in NAMES]
     for hub in hubs:
         log = fake_log.MemoryLog(cluster, hub.address)
-        serve(log, hub, faults)
+        attach_service(log, hub, faults)
         log.start()
     cluster.elect(hubs[0].address)
-    mine = streams.TcpStreams("127.0.0.1:0")
+    client_hub = streams.TcpStreams("127.0.0.1:0")
     client = control_client.ControlClient(
-        program_rig.FaultyStreams(mine, faults),
+        program_rig.FaultyStreams(client_hub, faults),
         TIMERS,
         [hub.address for hub in hubs],
         len(GROUPS),
     )
     rig = program_rig.Rig(client, faults)
 
-    def disturb(step: int) -> None:
+    def inject_fault(step: int) -> None:
         if step % 2:
             cluster.elect(faults.random.choice(hubs).address)
         else:
             faults.random.choice(list(rig.upstreams.values())).restart()
 
-    violations = run_all(rig, 12, disturb)
-    for hub in [*hubs, mine]:
+    violations = run_all(rig, 12, inject_fault)
+    for hub in [*hubs, client_hub]:
         hub.stop()
     assert violations == []
     check_enough_happened(rig)
 
 
 class Instance:
-    """A control instance with its disk, which can be killed and restarted."""
+    """A control instance with a disk, which can be stopped and restarted."""
 
     def __init__(self, name: str, folder: pathlib.Path) -> None:
         self.name = name
         self.folder = folder / name
         self.epoch = 0
         self.address = "127.0.0.1:0"
-        self.boot()
+        self.open_streams()
 
-    def boot(self) -> None:
+    def open_streams(self) -> None:
         self.epoch += 1
         self.hub = streams.TcpStreams(self.address)
         self.address = self.hub.address
@@ -213,7 +220,7 @@
             timers=TIMERS,
             options=options,
         )
-        serve(self.log, self.hub, faults)
+        attach_service(self.log, self.hub, faults)
         self.log.start()
 
     def stop(self) -> None:
@@ -224,10 +231,11 @@
 def test_promises_hold_while_leaders_are_killed_and_restarted(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Three instances with disks; the leader is killed again and again.
+    """Guards against lost or repeated calls when leaders restart.
 
-    A restarted instance recovers from its disk or a snapshot. Meanwhile
-    sidecars die and answers are lost as in the run above.
+    The leader of three instances with disks is killed repeatedly; it recovers
+    from its disk or a snapshot. Meanwhile sidecars restart and answers are
+    lost, as in the test above.
     """
     faults = program_rig.Faults(4)
     instances = [Instance(name, tmp_path) for name in NAMES]
@@ -237,9 +245,9 @@
     ]
     for one in instances:
         one.start(members, faults)
-    mine = streams.TcpStreams("127.0.0.1:0")
+    client_hub = streams.TcpStreams("127.0.0.1:0")
     client = control_client.ControlClient(
-        program_rig.FaultyStreams(mine, faults),
+        program_rig.FaultyStreams(client_hub, faults),
         TIMERS,
         [one.address for one in instances],
         len(GROUPS),
@@ -247,20 +255,20 @@
     rig = program_rig.Rig(client, faults)
     kills = []
 
-    def disturb(step: int) -> None:
+    def inject_fault(step: int) -> None:
         faults.random.choice(list(rig.upstreams.values())).restart()
         leading = [one for one in instances if one.log.leads(GROUPS[0])]
         if step % 8 == 3 and leading and len(kills) < 4:
             kills.append(step)
             leading[0].stop()
             eventlet.sleep(0.3)
-            leading[0].boot()
+            leading[0].open_streams()
             leading[0].start(members, faults)
 
-    violations = run_all(rig, 25, disturb)
+    violations = run_all(rig, 25, inject_fault)
     for one in instances:
         one.stop()
-    mine.stop()
+    client_hub.stop()
     assert violations == []
     assert kills
     check_enough_happened(rig)
