--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -228,10 +228,10 @@
 
 def data_path(data: dict[str, Any]) -> list[Line]:
     """Returns the processor time of the calls themselves, per node."""
-    found = []
+    lines = []
     for role in ("entry", "sidecar"):
         slope = data[f"{role}_call"]
-        found.append(
+        lines.append(
             Line(
                 f"{role}: calls",
                 f"{slope['base']:.0f} us x {CALL_RATE:.1f} calls/s",
@@ -241,7 +241,7 @@
                 "roles/entry/entry.py, roles/sidecar/sidecar.py",
             )
         )
-        found.append(
+        lines.append(
             Line(
                 f"{role}: token frames",
                 f"{slope['slope']:.1f} us x {FRAME_RATE:.0f} tokens/s",
@@ -251,7 +251,7 @@
                 "adapters/streams_connection.py gathers frames",
             )
         )
-    return found
+    return lines
 
 
 def spread_line(data: dict[str, Any]) -> str:
@@ -272,12 +272,12 @@
         "|---|---|---|---|---|",
     ]
     rows.extend(
-        f"| {one.what} | {one.arithmetic} | {one.value:.2f} {one.unit} "
-        f"| {one.source} | {one.mechanism} |"
-        for one in lines
+        f"| {line.what} | {line.arithmetic} | {line.value:.2f} {line.unit} "
+        f"| {line.source} | {line.mechanism} |"
+        for line in lines
     )
     if limit:
-        total = sum(one.value for one in lines)
+        total = sum(line.value for line in lines)
         unit = lines[0].unit
         verdict = "met" if total <= limit else "missed"
         rows.append(
@@ -293,14 +293,14 @@
         "| line | points (size: value) | slope | at 0 | largest deviation |",
         "|---|---|---|---|---|",
     ]
-    for name, one in sorted(data.items()):
-        if not isinstance(one, dict) or "slope" not in one:
+    for name, slope in sorted(data.items()):
+        if not isinstance(slope, dict) or "slope" not in slope:
             continue
-        points = ", ".join(f"{a:g}: {b:.4g}" for a, b in one["points"])
+        points = ", ".join(f"{a:g}: {b:.4g}" for a, b in slope["points"])
         rows.append(
-            f"| {name} | {points} | {one['slope']:.4g} {one['unit']} "
-            f"for each of: {one['size']} | {one['base']:.4g} "
-            f"| {one['bend']:.0%} |"
+            f"| {name} | {points} | {slope['slope']:.4g} {slope['unit']} "
+            f"for each of: {slope['size']} | {slope['base']:.4g} "
+            f"| {slope['bend']:.0%} |"
         )
     batches = ", ".join(f"{a}: {b:.0f}" for a, b in data["pair_by_callers"])
     rows.append(
@@ -331,14 +331,14 @@
     """
     for name, block in blocks(data).items():
         pattern = rf"(<!-- {name} -->\n).*?(\n<!-- end -->)"
-        text, found = re.subn(
+        text, count = re.subn(
             pattern,
             lambda match, block=block: match[1] + block + match[2],
             text,
             flags=re.DOTALL,
         )
-        if found != 1:
-            raise SystemExit(f"The page has {found} blocks {name!r}, not 1.")
+        if count != 1:
+            raise SystemExit(f"The page has {count} blocks {name!r}, not 1.")
     return text
 
 
--- a/bench/config_state.py
+++ b/bench/config_state.py
@@ -50,7 +50,7 @@
 
 def make_follower(count: int) -> follower.Follower:
     """Returns a follower that knows `count` members."""
-    held = follower.Follower(
+    node = follower.Follower(
         identities.Incarnation("entry", 1),
         "entry",
         "fd",
@@ -60,22 +60,24 @@
         control_addresses=[],
     )
     items = [announcement(number) for number in range(count)]
-    held.take(member_messages.MembersUpdate(True, items, []))
-    return held
+    node.take(member_messages.MembersUpdate(True, items, []))
+    return node
 
 
 def make_table(count: int) -> members.Table:
     """Returns a control instance's table of `count` members."""
-    held = members.Table()
+    table = members.Table()
     for number in range(count):
-        held.announce(announcement(number), 0.0)
-    return held
+        table.announce(announcement(number), 0.0)
+    return table
 
 
 def make_machine(count: int) -> machine.ConfigMachine:
     """Returns a state machine that has applied `count` pushes."""
-    held = machine.ConfigMachine()
-    held.apply(1, commands.encode(commands.StartLeaderEpoch("control-0", 0.0)))
+    config_machine = machine.ConfigMachine()
+    config_machine.apply(
+        1, commands.encode(commands.StartLeaderEpoch("control-0", 0.0))
+    )
     for number in range(count):
         push = commands.Push(
             1,
@@ -88,17 +90,17 @@
             f"services/service-{number % 24}",
             float(number),
         )
-        held.apply(number + 2, commands.encode(push))
-    return held
+        config_machine.apply(number + 2, commands.encode(push))
+    return config_machine
 
 
 def traced_bytes(build: Callable[[int], Any], count: int) -> int:
     """Returns the bytes of Python memory that a built state takes."""
     tracemalloc.start()
-    held = build(count)
+    state = build(count)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del state
     return size
 
 
@@ -135,32 +137,32 @@
 
 
 def _change_at_node(count: int) -> float:
-    held = make_follower(count)
+    node = make_follower(count)
     update = member_messages.MembersUpdate(
         False, [announcement(5, "draining")], []
     )
-    return best_milliseconds(lambda: held.take(update))
+    return best_milliseconds(lambda: node.take(update))
 
 
 def _change_at_control(count: int) -> float:
-    held = make_table(count)
+    table = make_table(count)
     states = ["draining", "ready"] * 2
 
     def change() -> None:
-        version = held.version
-        held.announce(announcement(5, states.pop()), 0.0)
-        held.update_since(version)
+        version = table.version
+        table.announce(announcement(5, states.pop()), 0.0)
+        table.update_since(version)
 
     return best_milliseconds(change)
 
 
 def _expire(count: int) -> float:
-    held = make_table(count)
-    return best_milliseconds(lambda: held.expire(1.0))
+    table = make_table(count)
+    return best_milliseconds(lambda: table.expire(1.0))
 
 
 def _apply(count: int) -> float:
-    held = make_machine(count)
+    config_machine = make_machine(count)
     numbers = list(range(count, count + 3))
 
     def push() -> None:
@@ -168,14 +170,14 @@
         command = commands.Push(
             1, number, f"x{number}", {"policies": "{}"}, [], "a", "b", "c", 1e6
         )
-        held.apply(number, commands.encode(command))
+        config_machine.apply(number, commands.encode(command))
 
     return best_milliseconds(push)
 
 
 def _snapshot(count: int) -> float:
-    held = make_machine(count)
-    return best_milliseconds(held.snapshot)
+    config_machine = make_machine(count)
+    return best_milliseconds(config_machine.snapshot)
 
 
 if __name__ == "__main__":
--- a/bench/programs.py
+++ b/bench/programs.py
@@ -171,10 +171,10 @@
     group = machine.ProgramMachine(file_histories.FileHistoryStore(folder))
     fill(group, programs, turns)
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] - before
+    size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     group.histories.clear()
-    return held / programs
+    return size / programs
 
 
 class ControlRig:
@@ -290,10 +290,10 @@
         )
     first, last = rows[0], rows[-1]
     growth = last.programs - first.programs
-    held = last.bytes_each * last.programs - first.bytes_each * first.programs
+    memory = last.bytes_each * last.programs - first.bytes_each * first.programs
     snapshot = last.snapshot_ms - first.snapshot_ms
     restore = last.restore_ms - first.restore_ms
-    print(f"slope: {held / growth:.0f} bytes a program with {turns} turns")
+    print(f"slope: {memory / growth:.0f} bytes a program with {turns} turns")
     print(f"slope: {snapshot / growth * 1e3:.1f} us of snapshot a program")
     print(f"slope: {restore / growth * 1e3:.1f} us of restore a program")
     print(
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -352,14 +352,14 @@
 
 
 def _histories(count: int) -> sidecar_history.Histories:
-    held = sidecar_history.Histories(1 << 40)
+    histories = sidecar_history.Histories(1 << 40)
     for number in range(count):
         digest = digests.EMPTY
         for turn in range(3):
             messages = [f"{number} {turn} " + "x" * 200, "y" * 400]
-            held.finish(f"program-{number:06d}", turn, digest, messages)
+            histories.finish(f"program-{number:06d}", turn, digest, messages)
             digest = digests.chain(digest, messages)
-    return held
+    return histories
 
 
 def _fleet(count: int) -> placement.Fleet:
--- a/bench/state.py
+++ b/bench/state.py
@@ -115,11 +115,11 @@
         with cluster(sync_each=each) as nodes:
             first = wait_for_leader(nodes)
             for callers in (1, 64, 1024):
-                found = first.ask(
+                figures = first.ask(
                     "load", callers=callers, seconds=seconds, size=100
                 )
                 sync = "per record" if each else "group commit"
-                rows.append({"sync": sync, "callers": callers, **found})
+                rows.append({"sync": sync, "callers": callers, **figures})
     return rows
 
 
@@ -256,14 +256,14 @@
         "idle": lambda: idle(seconds),
     }
     chosen = [only] if only else list(measurements)
-    found = {name: measurements[name]() for name in chosen}
+    results = {name: measurements[name]() for name in chosen}
     if json:
-        _print_json(found)
+        _print_json(results)
         return
-    for name, rows in found.items():
+    for name, rows in results.items():
         show(name, rows)
-    if "commits" in found:
-        _show_ratio(found["commits"])
+    if "commits" in results:
+        _show_ratio(results["commits"])
 
 
 def _show_ratio(rows: list[dict[str, Any]]) -> None:
@@ -273,8 +273,8 @@
         print(f"group commit / sync per record, {callers} callers: {ratio:.2f}")
 
 
-def _print_json(found: dict[str, Any]) -> None:
-    print(json.dumps(found))
+def _print_json(results: dict[str, Any]) -> None:
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
