--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -2,8 +2,8 @@
 
 Usage: python -m bench.capacity [--check]
 
-The text around the tables is kept in the page itself, between the markers'
-outsides, so that only figures come from the data.
+Tables stand between the markers `<!-- NAME -->` and `<!-- end -->`; the text
+around them is written in the page itself.
 """
 
 import json
@@ -21,26 +21,30 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 DATA = ROOT / "docs" / "capacity.json"
 
+# The planned size; rates are per second.
 NODES = 860
 ENGINES = 3_000
-REQUESTS = 35_000
-TOKENS = 12_000_000
+REQUEST_RATE = 35_000
+TOKEN_RATE = 12_000_000
 PROGRAMS = 780_000
-CONTROL = 21
+CONTROLS = 21
 REPLICAS = 3
+# 160,000 tokens of 4 bytes.
 HISTORY_BYTES = 160_000 * 4
+# Sidecars, calls and token frames of one node.
 SIDECARS = ENGINES / NODES
-CALLS = REQUESTS / NODES
-FRAMES = TOKENS / NODES
-# 24 models, 32 upstreams of each (decisions/subset.py).
+CALL_RATE = REQUEST_RATE / NODES
+FRAME_RATE = TOKEN_RATE / NODES
+# An entry watches 32 upstreams (decisions/subset.py) of each of 24 models.
 WATCHED = 24 * 32
-CPU_LIMIT = 4.4
-MEMORY_LIMIT = 32.0
-BYTES_LIMIT = 20.0
+# Limits per node: percent of one core, MB, and KB per second.
+CPU_LIMIT_PERCENT = 4.4
+MEMORY_LIMIT_MB = 32.0
+BYTES_LIMIT_KB = 20.0
 
 
 class Line(NamedTuple):
-    """One line of a table; `value` is in `unit` at the planned size."""
+    """One line of a table; `value` is in `unit`, at the planned size."""
 
     what: str
     arithmetic: str
@@ -51,7 +55,7 @@
 
 
 def node_cpu(data: dict[str, Any]) -> list[Line]:
-    """Returns processor time of control per node, in % of one core."""
+    """Returns the processor time of control per node, in % of one core."""
     report = data["sidecar_watcher"]["slope"] / 2
     reports = SIDECARS * send_interval.REPORT_BUDGET / 100
     entry = data["turn_entry_control"]
@@ -61,16 +65,16 @@
     return [
         Line(
             "commits, entry's side",
-            f"{entry:.0f} us a turn x {CALLS:.1f} turns/s",
-            entry * CALLS / 1e4,
+            f"{entry:.0f} us a turn x {CALL_RATE:.1f} turns/s",
+            entry * CALL_RATE / 1e4,
             "%",
             "turns",
             "roles/control_client.py batches requests to one leader",
         ),
         Line(
             "commits, sidecars' side",
-            f"{sidecar:.0f} us a turn x {CALLS:.1f} turns/s",
-            sidecar * CALLS / 1e4,
+            f"{sidecar:.0f} us a turn x {CALL_RATE:.1f} turns/s",
+            sidecar * CALL_RATE / 1e4,
             "%",
             "turns",
             "roles/sidecar/commit.py reports outcomes from the sidecar",
@@ -95,7 +99,7 @@
 
 
 def node_bytes(data: dict[str, Any]) -> list[Line]:
-    """Returns the network use of control per node, in KB a second."""
+    """Returns the network traffic of control per node, in KB per second."""
     config = data["config_node_10x"]
     stream = config["sent"] + config["received"]
     followers = 1 + SIDECARS
@@ -161,13 +165,13 @@
 
 
 def control(data: dict[str, Any]) -> list[Line]:
-    """Returns what one of the control instances carries."""
+    """Returns the load and memory of one control instance."""
     pair = data["pair_by_callers"][-1][1]
-    turns = REQUESTS / CONTROL
+    turns = REQUEST_RATE / CONTROLS
     record = data["record_bytes"]["slope"]
-    each = PROGRAMS * REPLICAS / CONTROL
+    each = PROGRAMS * REPLICAS / CONTROLS
     begin, finish = data["bytes"]["BeginCall"], data["bytes"]["FinishCall"]
-    served = NODES * (1 + SIDECARS) / CONTROL
+    served = NODES * (1 + SIDECARS) / CONTROLS
     per_node = 3 * data["config_leader_10x"]["slope"]
     stream = 3 * data["node_stream"]["slope"]
     return [
@@ -224,34 +228,34 @@
 
 def data_path(data: dict[str, Any]) -> list[Line]:
     """Returns the processor time of the calls themselves, per node."""
-    found = []
+    lines = []
     for role in ("entry", "sidecar"):
         slope = data[f"{role}_call"]
-        found.append(
+        lines.append(
             Line(
                 f"{role}: calls",
-                f"{slope['base']:.0f} us x {CALLS:.1f} calls/s",
-                slope["base"] * CALLS / 1e4,
+                f"{slope['base']:.0f} us x {CALL_RATE:.1f} calls/s",
+                slope["base"] * CALL_RATE / 1e4,
                 "%",
                 "tokens_per_call",
                 "roles/entry/entry.py, roles/sidecar/sidecar.py",
             )
         )
-        found.append(
+        lines.append(
             Line(
                 f"{role}: token frames",
-                f"{slope['slope']:.1f} us x {FRAMES:.0f} tokens/s",
-                slope["slope"] * FRAMES / 1e4,
+                f"{slope['slope']:.1f} us x {FRAME_RATE:.0f} tokens/s",
+                slope["slope"] * FRAME_RATE / 1e4,
                 "%",
                 "tokens_per_call",
                 "adapters/streams_connection.py gathers frames",
             )
         )
-    return found
+    return lines
 
 
 def spread_line(data: dict[str, Any]) -> str:
-    """Returns the time for a change to reach all, from the line."""
+    """Returns the time for a change to reach all nodes, by the line."""
     worst = data["spread_worst"]
     seconds = worst["base"] + worst["slope"] * NODES
     return (
@@ -262,18 +266,18 @@
 
 
 def table(lines: list[Line], limit: float = 0.0) -> str:
-    """Returns a Markdown table, with its sum against the limit if given."""
+    """Returns a Markdown table; with a limit, also the sum against it."""
     rows = [
         "| what | slope x size | at the planned size | source | carried by |",
         "|---|---|---|---|---|",
     ]
     rows.extend(
-        f"| {one.what} | {one.arithmetic} | {one.value:.2f} {one.unit} "
-        f"| {one.source} | {one.mechanism} |"
-        for one in lines
+        f"| {line.what} | {line.arithmetic} | {line.value:.2f} {line.unit} "
+        f"| {line.source} | {line.mechanism} |"
+        for line in lines
     )
     if limit:
-        total = sum(one.value for one in lines)
+        total = sum(line.value for line in lines)
         unit = lines[0].unit
         verdict = "met" if total <= limit else "missed"
         rows.append(
@@ -284,19 +288,19 @@
 
 
 def slopes(data: dict[str, Any]) -> str:
-    """Returns every measured line with its points and its bend."""
+    """Returns a Markdown table of all measured lines and their points."""
     rows = [
         "| line | points (size: value) | slope | at 0 | largest deviation |",
         "|---|---|---|---|---|",
     ]
-    for name, one in sorted(data.items()):
-        if not isinstance(one, dict) or "slope" not in one:
+    for name, slope in sorted(data.items()):
+        if not isinstance(slope, dict) or "slope" not in slope:
             continue
-        points = ", ".join(f"{a:g}: {b:.4g}" for a, b in one["points"])
+        points = ", ".join(f"{a:g}: {b:.4g}" for a, b in slope["points"])
         rows.append(
-            f"| {name} | {points} | {one['slope']:.4g} {one['unit']} "
-            f"for each of: {one['size']} | {one['base']:.4g} "
-            f"| {one['bend']:.0%} |"
+            f"| {name} | {points} | {slope['slope']:.4g} {slope['unit']} "
+            f"for each of: {slope['size']} | {slope['base']:.4g} "
+            f"| {slope['bend']:.0%} |"
         )
     batches = ", ".join(f"{a}: {b:.0f}" for a, b in data["pair_by_callers"])
     rows.append(
@@ -309,9 +313,9 @@
 def blocks(data: dict[str, Any]) -> dict[str, str]:
     """Returns each generated block by the name of its marker."""
     return {
-        "node-cpu": table(node_cpu(data), CPU_LIMIT),
-        "node-bytes": table(node_bytes(data), BYTES_LIMIT),
-        "node-memory": table(node_memory(data), MEMORY_LIMIT),
+        "node-cpu": table(node_cpu(data), CPU_LIMIT_PERCENT),
+        "node-bytes": table(node_bytes(data), BYTES_LIMIT_KB),
+        "node-memory": table(node_memory(data), MEMORY_LIMIT_MB),
         "control": table(control(data)),
         "data-path": table(data_path(data)),
         "spread": spread_line(data),
@@ -320,28 +324,39 @@
 
 
 def page(text: str, data: dict[str, Any]) -> str:
-    """Returns the page with every generated block put in."""
+    """Returns the page with every generated block replaced.
+
+    Raises:
+        SystemExit: The page does not have each block once.
+    """
     for name, block in blocks(data).items():
         pattern = rf"(<!-- {name} -->\n).*?(\n<!-- end -->)"
-        text, found = re.subn(
+        text, count = re.subn(
             pattern,
             lambda match, block=block: match[1] + block + match[2],
             text,
             flags=re.DOTALL,
         )
-        if found != 1:
-            raise SystemExit(f"The page has {found} blocks {name!r}, not 1.")
+        if count != 1:
+            raise SystemExit(f"The page has {count} blocks {name!r}, not 1.")
     return text
 
 
 def main(check: bool = False) -> None:
-    """Writes the page, or fails when it differs from the data."""
+    """Writes the page.
+
+    Args:
+        check: Write nothing; fail if the page differs from the data.
+    """
     text = PAGE.read_text()
-    made = page(text, json.loads(DATA.read_text()))
+    generated = page(text, json.loads(DATA.read_text()))
     if not check:
-        PAGE.write_text(made)
-    elif made != text:
-        sys.exit("docs/CAPACITY.md differs from docs/capacity.json.")
+        PAGE.write_text(generated)
+    elif generated != text:
+        sys.exit(
+            "docs/CAPACITY.md differs from docs/capacity.json;"
+            " run `python -m bench.capacity`."
+        )
 
 
 if __name__ == "__main__":
