--- a/src/mintcleat/configuration/fencing.py
+++ b/src/mintcleat/configuration/fencing.py
@@ -3,7 +3,7 @@
 from mintcleat.domain import errors
 
 
-class Gate:
+class FencingGate:
     """Admits orders, except those older than one that was seen before.
 
     Some engines ignore fencing tokens, so the sidecar, which is the only
--- a/src/mintcleat/main/cli_bench.py
+++ b/src/mintcleat/main/cli_bench.py
@@ -12,7 +12,7 @@
 from mintcleat.load import plan as plan_module
 from mintcleat.load import report
 
-_PATIENCE_SECONDS = 60.0
+_DRAIN_TIMEOUT_SECONDS = 60.0
 _MAX_CONNECTIONS = 4096
 
 
@@ -24,7 +24,7 @@
     urllib3.disable_warnings()
     client = client_module.Client(entries.split(","), timers, _MAX_CONNECTIONS)
     driver = driver_module.Driver(client, timers)
-    driver.run(programs, _PATIENCE_SECONDS)
+    driver.run(programs, _DRAIN_TIMEOUT_SECONDS)
     results = report.summary(driver)
     print(json.dumps(results) if as_json else report.table(results))
     if folder:
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -299,8 +299,8 @@
         evacuator = self.leader.evacuation
         instance = evacuator.find(message.label)
         state = self.leader.machine
-        if message.start and instance not in state.emptied():
-            evacuator.check(instance, state.emptied())
+        if message.start and instance not in state.drained_control_instances():
+            evacuator.check(instance, state.drained_control_instances())
             self.leader.propose(
                 commands.SetDrain(
                     machine.CONTROL_SCOPE,
@@ -312,7 +312,7 @@
                 )
             )
         return operator_messages.EvacuationStatus(
-            evacuator.is_complete(instance, state.emptied())
+            evacuator.is_complete(instance, state.drained_control_instances())
         )
 
     def _audit_refusal(
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -328,7 +328,7 @@
             self.relay.stream.report()
 
     def _on_applied(self) -> None:
-        self.log.evacuate(self.machine.emptied())
+        self.log.evacuate(self.machine.drained_control_instances())
         if not self.leads():
             return
         versions = (
--- a/src/mintcleat/roles/entry/authentication.py
+++ b/src/mintcleat/roles/entry/authentication.py
@@ -40,7 +40,7 @@
     def known_until(self) -> float:
         """Returns the time up to which all accepted pushes are applied."""
 
-    def word_seconds(self) -> float:
+    def push_propagation_seconds(self) -> float:
         """Returns the seconds in which a connected node gets every push."""
 
 
@@ -139,7 +139,9 @@
     def _poll_updates(self, arrived: float) -> bool:
         if self.unconfirmed >= MAX_UNCONFIRMED:
             return False
-        until = self.timers.now() + self.configuration.word_seconds()
+        until = (
+            self.timers.now() + self.configuration.push_propagation_seconds()
+        )
         self.unconfirmed += 1
         try:
             while self.configuration.known_until() < arrived:
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -76,7 +76,7 @@
     def known_until(self) -> float:
         """Returns the time up to which all accepted pushes are applied."""
 
-    def word_seconds(self) -> float:
+    def push_propagation_seconds(self) -> float:
         """Returns the seconds in which a connected node gets every push."""
 
 
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -142,7 +142,7 @@
         """
         return self.lease.expires - self.times.max_lease
 
-    def word_seconds(self) -> float:
+    def push_propagation_seconds(self) -> float:
         """Returns the seconds within which a connected node gets a push."""
         return _LATE_PUSH_ROUNDS * (self.times.renew + self.times.relay_renew)
 
--- a/src/mintcleat/roles/orders.py
+++ b/src/mintcleat/roles/orders.py
@@ -201,7 +201,7 @@
         self.upstream = upstream
         self.timers = timers
         self.read_fencing_token = read_fencing_token
-        self.gate = fencing.Gate()
+        self.gate = fencing.FencingGate()
         self.lock = semaphore.Semaphore()
 
     def handle(
--- a/testing/test_authentication.py
+++ b/testing/test_authentication.py
@@ -107,7 +107,7 @@
     def key_seconds(self) -> float:
         return self.keys_left
 
-    def word_seconds(self) -> float:
+    def push_propagation_seconds(self) -> float:
         return 0.7
 
     def known_until(self) -> float:
--- a/testing/test_cold_start.py
+++ b/testing/test_cold_start.py
@@ -117,7 +117,7 @@
     def known_until(self) -> float:
         return 0.0
 
-    def word_seconds(self) -> float:
+    def push_propagation_seconds(self) -> float:
         return 0.7
 
     def subscribe(self, callback: Callable[[], None]) -> None:
--- a/testing/test_load_outcomes.py
+++ b/testing/test_load_outcomes.py
@@ -48,7 +48,7 @@
 
     Attributes:
         naive: Whether calls go to the upstreams in turn, without deadlines.
-        patience: Refusals of a first call after which its caller gives up.
+        max_refusals: Refusals of a first call after which its caller gives up.
         speeds: Factor on the time of each call, by upstream.
         resident: Upstream of each program's last call.
         late: Answers after their deadline.
@@ -59,11 +59,11 @@
         options: queue.Options,
         speeds: list[float],
         naive: bool = False,
-        patience: int = 10**9,
+        max_refusals: int = 10**9,
     ) -> None:
         self.now = 0.0
         self.naive = naive
-        self.patience = patience
+        self.max_refusals = max_refusals
         self.speeds = {f"u{n}": speed for n, speed in enumerate(speeds)}
         self.gates = {name: queue.Gate(options, SLOTS) for name in self.speeds}
         self.fleet = placement.Fleet()
@@ -152,7 +152,7 @@
         self, program: str, turn: int, answer: admission.Refuse
     ) -> None:
         self.refusals[program] = self.refusals.get(program, 0) + 1
-        if turn or self.refusals[program] < self.patience:
+        if turn or self.refusals[program] < self.max_refusals:
             self.at(self.now + answer.retry_after, "send", program)
 
     def start(self, name: str, call: calls.Call) -> None:
@@ -269,7 +269,7 @@
             ProgramSpec(f"p{n}", f"customer{n % 4}", n * 0.14, [100] * 4)
             for n in range(600)
         ]
-        run = Deployment(FULL, [1.0] * 2, patience=1)
+        run = Deployment(FULL, [1.0] * 2, max_refusals=1)
         found = run.run(specs)
         done = len(found) * 4 * 100 * TOKEN_TIME
         refused = sum(not run.answers[spec.name] for spec in specs)
--- a/testing/test_orders.py
+++ b/testing/test_orders.py
@@ -154,10 +154,10 @@
 
 class GateTest(testtools.TestCase):
     def test_order_with_the_learned_token_is_admitted(self) -> None:
-        gate = fencing.Gate()
+        gate = fencing.FencingGate()
         gate.learn(4)
         self.assertTrue(gate.admit(4))
         self.assertRaises(errors.FencedOff, gate.admit, 3)
 
     def test_gate_admits_nothing_before_it_learned_a_token(self) -> None:
-        self.assertRaises(errors.FencedOff, fencing.Gate().admit, 1)
+        self.assertRaises(errors.FencedOff, fencing.FencingGate().admit, 1)
