--- a/bench/faults.py
+++ b/bench/faults.py
@@ -42,7 +42,7 @@
     Columns: `n`, injections of the fault; `calls` of the callers; `wrong`
     answers; `doubled`, bookings that ran twice; `untrue`, refusals that say
     "not run" of a call that had run; `refused` and `unknown`, calls that
-    finally got no answer, by the outcome that they were told; `resent`
+    finally got no answer, by the outcome in the reply; `resent`
     requests; `left`, tokens in the engines after all programs ended; latency
     of a call with its retries. Then follow the kinds of the last refusals.
 
--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -228,11 +228,11 @@
     as a precaution.
     """
     promised = replica.promised_to
-    emptied = (
+    is_newer_incarnation = (
         sender.instance == promised.instance and sender.epoch > promised.epoch
     )
     if (
-        not emptied
+        not is_newer_incarnation
         or not replica.no_leader_heard
         or replica.role == types.LEADER
     ):
--- a/src/mintcleat/consensus/membership.py
+++ b/src/mintcleat/consensus/membership.py
@@ -141,9 +141,9 @@
 
 
 def _clear_replaces(
-    peers: list[types.Peer], gone: identities.Incarnation
+    peers: list[types.Peer], replaced: identities.Incarnation
 ) -> list[types.Peer]:
-    """Clears the `replaces` field of the peer that replaced `gone`.
+    """Clears the `replaces` field of the peer that replaced `replaced`.
 
     A replaced replica may come back with its disk and replace another voter.
     If the old field remained, it would remove the returned replica again
@@ -151,7 +151,7 @@
     """
     return [
         peer._replace(replaces=types.NO_REPLICA)
-        if peer.replaces == gone
+        if peer.replaces == replaced
         else peer
         for peer in peers
     ]
--- a/src/mintcleat/consensus/replication.py
+++ b/src/mintcleat/consensus/replication.py
@@ -24,11 +24,11 @@
     """Makes `progress` match the peers of the current configuration."""
     wanted = {p.replica for p in replica.configuration.peers()}
     wanted.discard(replica.me)
-    for gone in set(replica.progress) - wanted:
-        del replica.progress[gone]
-    for new in sorted(wanted - set(replica.progress)):
+    for removed in set(replica.progress) - wanted:
+        del replica.progress[removed]
+    for added in sorted(wanted - set(replica.progress)):
         start = replica.log.last_index + 1
-        replica.progress[new] = state.Progress(start, now)
+        replica.progress[added] = state.Progress(start, now)
 
 
 def send_all(replica: state.State, now: float) -> None:
--- a/src/mintcleat/emulator/entry.py
+++ b/src/mintcleat/emulator/entry.py
@@ -82,8 +82,8 @@
 
         Args:
             name: Id of the upstream.
-            start_count: Number of its starts, which tells its incarnations
-                apart.
+            start_count: Number of its starts, which distinguishes its
+                incarnations.
         """
         self.sequence += 1
         service = MODEL_SERVICE if name in self.engines else PLAIN_SERVICE
--- a/src/mintcleat/platform/machine_settings.py
+++ b/src/mintcleat/platform/machine_settings.py
@@ -26,8 +26,8 @@
 _ELECTION_TIMEOUT = 0.35
 _MAX_LEASE = 1.2
 # Fraction of the platform's bound on key revocation after which an entry that
-# hears nothing from control rejects all keys. The rest allows for clock drift
-# and for stalls of the process.
+# receives nothing from control rejects all keys. The rest allows for clock
+# drift and for stalls of the process.
 _KEY_REVOCATION_FRACTION = 0.85
 _RENEW_INTERVAL = 0.3
 _RELAY_RENEW_INTERVAL = 0.15
--- a/src/mintcleat/programs/calls.py
+++ b/src/mintcleat/programs/calls.py
@@ -130,9 +130,9 @@
 
     Such a request carries the same nonce, which only its sender knows, and is
     granted the same attempt again: it was resent because the reply was lost.
-    Otherwise the sender would be told that an attempt is already under way,
-    and nobody would run the call. Once the attempt is over, a late copy gets
-    no new one, because nobody waits for it.
+    Otherwise the sender would be refused because an attempt is under way, and
+    the call would never run. Once the attempt is over, a late copy gets no new
+    one, because no caller waits for it.
     """
     return bool(request.nonce) and (call.nonce, call.sidecar) == (
         request.nonce,
@@ -192,7 +192,7 @@
         )
     if request.nonce and request.nonce == program.released_nonce:
         # This is a late copy of a request whose attempt was settled as not run.
-        # Nobody waits for it, so a new attempt would only block the turn.
+        # No caller waits for it, so a new attempt would only block the turn.
         return errors.CallRunning(
             "The attempt of this request was already settled as not run."
         )
--- a/src/mintcleat/programs/retention.py
+++ b/src/mintcleat/programs/retention.py
@@ -1,6 +1,6 @@
 """Expiry of programs and deletion of old records.
 
-Without deletion, records that nobody asks for any more would fill the memory of
+Without deletion, records that are never read again would fill the memory of
 every replica. Each key is kept for the configured retention, so that a resend
 within that time never runs twice.
 """
--- a/src/mintcleat/roles/control/configuration/membership.py
+++ b/src/mintcleat/roles/control/configuration/membership.py
@@ -36,8 +36,8 @@
         """Keeps the members received from the former leader for a while.
 
         The relays report their members to the new leader meanwhile. A new
-        leader that began with an empty table would tell the nodes that almost
-        every upstream had left.
+        leader that began with an empty table would announce to the nodes that
+        almost every upstream had left.
         """
         grace = 2 * lease.MEMBER_LEASE
         self.table.expire_source(config_relay.LEADER, self.timers.now(), grace)
--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -297,7 +297,7 @@
     def _replace(self) -> None:
         """Removes an instance for good; an empty one joins as a new one."""
         for one in self._victims(1):
-            self.cluster.note(f"{one.name} gone for good")
+            self.cluster.note(f"{one.name} removed for good")
             # It counts as lost until the new instance has caught up.
             self._lose(one, 1.0)
             self._remove(one)
@@ -311,7 +311,7 @@
     def _evacuate(self, one: control_cluster.Instance) -> None:
         """Evacuates an instance; once that is done, its disk is lost too."""
         cluster = self.cluster
-        cluster.note(f"{one.name} to be emptied")
+        cluster.note(f"{one.name} to be evacuated")
         end = cluster.now() + 10.0
         start = True
         while cluster.now() < end and cluster.running:
@@ -321,7 +321,7 @@
             answer = cluster.any_instance().call(message)
             start = start and answer is None
             if answer is not None and answer.done:
-                cluster.note(f"{one.name} emptied")
+                cluster.note(f"{one.name} evacuated")
                 one.lost_until = 0.0
                 if one.name in cluster.instances:
                     self._remove(one)
@@ -371,7 +371,7 @@
         self._until(
             lambda: cluster.leader() is not None,
             RECOVERY_SECONDS,
-            "nobody leads",
+            "no instance leads",
         )
         for _ in range(40):
             cluster.check()
--- a/testing/test_own_customers.py
+++ b/testing/test_own_customers.py
@@ -109,7 +109,7 @@
     def test_unknown_and_another_customers_program_are_answered_alike(
         self,
     ) -> None:
-        # Any difference would tell a customer that the program exists.
+        # Any difference would reveal to a customer that the program exists.
         self.create_program(FARMERS_KEY, id="the-farmers-own")
         for method, path in (
             ("GET", "/v1/programs/{}"),
--- a/testing/test_programs_machine.py
+++ b/testing/test_programs_machine.py
@@ -119,8 +119,8 @@
         """The entry's BeginCall is committed, but its reply is lost.
 
         The resend carries the same nonce and gets the same grant; a BeginCall
-        of another entry with the same key is told where the attempt runs. If
-        the resend were told the same, nobody would run the call.
+        of another entry with the same key gets the address of the attempt. If
+        the resend got that reply too, the call would never run.
         """
         self.create()
         first = self.apply(begin(1, "a", nonce=7))
@@ -135,7 +135,7 @@
     def test_late_copy_of_a_settled_call_is_not_granted(self) -> None:
         """A copy of a BeginCall commits after its attempt settled as not run.
 
-        Nobody waits for it. A grant would block the turn, and the caller's
+        No caller waits for it. A grant would block the turn, and the caller's
         next try with another key would be refused.
         """
         self.create()
