--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -96,7 +96,7 @@
         self.assertGreater(len(list(self.folder.glob("*.segment"))), 3)
         self.assertEqual([b[0] for b in batches], self.opened(size=200)[1])
 
-    def test_torn_tail_is_cut_and_the_log_goes_on(self) -> None:
+    def test_torn_tail_is_truncated_and_later_records_are_kept(self) -> None:
         """The process is killed during a write.
 
         The incomplete last record was not acknowledged, so it is dropped, and
@@ -112,7 +112,7 @@
         log.close()
         self.assertEqual([b"whole", b"next"], self.opened()[1])
 
-    def test_unsynced_batch_with_a_hole_is_cut(self) -> None:
+    def test_unsynced_batch_with_a_hole_is_truncated(self) -> None:
         """The disk wrote the second block of a batch but not the first.
 
         The batch was not synced, so this is a torn write although an intact
@@ -158,7 +158,7 @@
         (self.folder / "identity").unlink()
         self.assertRaises(errors.StorageDamaged, self.opened)
 
-    def test_failed_sync_ends_the_log_for_good(self) -> None:
+    def test_log_fails_all_calls_after_a_failed_sync(self) -> None:
         """A sync fails once, and the kernel drops the dirty pages.
 
         A second sync would report success although the data is lost, so all
@@ -173,7 +173,7 @@
         self.assertRaises(errors.StorageFailed, log.append, [b"more"])
         self.assertEqual(syncs, self.disk.syncs)
 
-    def test_restart_on_new_inodes_keeps_the_log_where_that_is_usual(
+    def test_restart_on_new_inodes_keeps_the_log_without_copy_detection(
         self,
     ) -> None:
         # If volumes are remounted with new inode numbers after a power loss,
@@ -220,7 +220,7 @@
         self.disk.fail_write = 0
         self.assertEqual([b"kept"], self.opened()[1])
 
-    def test_full_disk_goes_on_in_the_segment_that_it_has(self) -> None:
+    def test_full_disk_continues_in_the_current_segment(self) -> None:
         log, _ = self.opened(size=100)
         log.append([b"x" * 200])
         full = OSError(errno.ENOSPC, "injected")
@@ -235,7 +235,7 @@
         log.close()
         self.assertEqual([b"x" * 200, b"more"], self.opened()[1])
 
-    def test_snapshot_on_a_full_disk_leaves_no_draft(self) -> None:
+    def test_snapshot_on_a_full_disk_leaves_no_temporary_file(self) -> None:
         log, _ = self.opened()
         self.disk.fail_write = errno.ENOSPC
         self.assertRaises(errors.StorageFull, log.save_snapshot, "g", 5, b"new")
@@ -244,7 +244,9 @@
         log.append([b"more"])
         log.sync()
 
-    def test_failed_write_ends_the_log_and_its_half_record_is_cut(self) -> None:
+    def test_log_fails_after_a_failed_write_and_drops_the_half_record(
+        self,
+    ) -> None:
         log, _ = self.opened()
         log.append([b"kept"])
         log.sync()
@@ -268,7 +270,7 @@
         self.assertEqual(1, len(list(self.folder.glob("*.segment"))))
         self.assertEqual([b"live", b"later"], self.opened()[1])
 
-    def test_snapshot_is_checked_and_older_ones_go(self) -> None:
+    def test_snapshot_is_verified_and_older_ones_are_removed(self) -> None:
         log, _ = self.opened()
         log.save_snapshot("g", 5, b"old")
         log.save_snapshot("g", 9, b"new")
