--- a/src/mintcleat/configuration/fencing.py
+++ b/src/mintcleat/configuration/fencing.py
@@ -43,8 +43,8 @@
             )
         if fencing_token < self.highest:
             raise errors.FencedOff(
-                f"The order has the fencing token {fencing_token}; an order "
-                f"with the higher token {self.highest} was seen before."
+                f"The order has the fencing token {fencing_token}; expected "
+                f"at least {self.highest}, the highest known token."
             )
         self.highest = fencing_token
         return fencing_token > self.finished
--- a/src/mintcleat/configuration/lease.py
+++ b/src/mintcleat/configuration/lease.py
@@ -75,7 +75,7 @@
     def renew(self, echo: float, seconds: float) -> None:
         """Applies the grant of a request that was sent at `echo`.
 
-        A grant of 0 seconds renews nothing: the granter has no lease itself.
+        A grant of 0 seconds renews nothing.
         """
         if seconds <= 0:
             return
--- a/src/mintcleat/decisions/admission.py
+++ b/src/mintcleat/decisions/admission.py
@@ -84,10 +84,11 @@
 class FairClock:
     """Start-time fair queueing among flows (customers or priority classes).
 
-    Each backlogged flow gets service in proportion to its weight; the share
-    of idle flows goes to the others. A flow that becomes backlogged again
-    starts at the current virtual time: it isn't charged for idle shares that
-    it used, and gathers no credit while idle.
+    This is a published form of weighted fair queueing. Each backlogged flow
+    gets service in proportion to its weight; the share of idle flows goes to
+    the others. A flow that becomes backlogged again starts at the current
+    virtual time: it isn't charged for idle shares that it used, and gathers no
+    credit while idle.
 
     Attributes:
         virtual_time: Start tag of the flow served last.
--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -6,7 +6,7 @@
 take the memory. And eviction by age drops the caches that are about to be used.
 
 So each cache is held, exported or dropped by expected cost, based on the
-learned duration of tool pauses.
+learned duration of tool pauses. This is a published retention policy.
 """
 
 import dataclasses
@@ -182,7 +182,8 @@
 
         The time to recompute a cache and the memory it takes both grow with
         its tokens. So its value is the probability of use divided by the
-        expected time until then.
+        expected time until then: the cache that will be used furthest in the
+        future goes first.
         """
         ranked = sorted(
             self.held.values(), key=lambda paused: self._value(paused, now)
--- a/src/mintcleat/decisions/cold_start.py
+++ b/src/mintcleat/decisions/cold_start.py
@@ -3,9 +3,10 @@
 After a power loss of all machines, entries start within a second of each other
 and receive calls immediately, while control needs some tenths of a second more
 to elect its leaders. If these calls were refused, their retries would come
-after service is available again, some would be refused twice, and programs
-would be late by more than the outage. If they were held without limit, callers
-would wait at an entry that is disconnected while other entries serve.
+after service is available again, and those sent shortly before that would be
+refused twice. A program with a second to spare would be late although service
+was back in time. If calls were held without limit, callers would wait at an
+entry that is disconnected while other entries serve.
 """
 
 # Seconds after its start within which an entry gets its configuration, even if
--- a/src/mintcleat/decisions/evidence.py
+++ b/src/mintcleat/decisions/evidence.py
@@ -14,7 +14,7 @@
 # Answers with this status or a higher one are failures of the upstream.
 MIN_FAILURE_STATUS = 500
 # The status of a request whose deadline passed while it ran. The caller set the
-# deadline, and no other upstream could have met it either.
+# deadline, and no time is left to try another upstream.
 TIMEOUT_STATUS = 504
 
 
--- a/src/mintcleat/decisions/load_balancing.py
+++ b/src/mintcleat/decisions/load_balancing.py
@@ -1,10 +1,11 @@
 """Load balancing of routed requests among the upstreams of a service.
 
-Several entries share the upstreams and exchange what they have running. An
-upstream that is much slower than its peers is avoided. The next turn of a
-program goes to the upstream that has its cache, unless that one is busier than
-another by a whole batch. All other requests go to the least loaded of a few
-upstreams that a hash of the request id selects.
+Several entries share the upstreams and exchange what they have running. They
+don't exchange speeds: an upstream that is much slower than its peers is avoided
+by the entries that have noticed it themselves. The next turn of a program goes
+to the upstream that has its cache, unless that one is busier than another by a
+whole batch. All other requests go to the least loaded of a few upstreams that a
+hash of the request id selects.
 """
 
 from collections.abc import Sequence
--- a/src/mintcleat/decisions/pauses.py
+++ b/src/mintcleat/decisions/pauses.py
@@ -1,4 +1,4 @@
-"""Duration of the pauses between the calls of a program, by tool."""
+"""Pauses between the calls of a program, by tool: duration and return."""
 
 import math
 
--- a/src/mintcleat/decisions/placement.py
+++ b/src/mintcleat/decisions/placement.py
@@ -15,7 +15,8 @@
 from mintcleat.domain import call_messages
 
 # Seconds that a load report takes to arrive. Calls sent this shortly before it
-# came had not reached the sidecar, so the report doesn't include them.
+# came had not reached the sidecar, so the report doesn't include them and they
+# still count as sent since then.
 REPORT_LAG = 0.01
 # A full batch slows down the generation of each call by about this fraction.
 FULL_BATCH_SLOWDOWN = 0.5
--- a/src/mintcleat/decisions/workingset.py
+++ b/src/mintcleat/decisions/workingset.py
@@ -52,7 +52,7 @@
         interval: Moving average of the seconds that a new program waits at
             the head of the queue.
         last_admission: When a new program last started.
-        blocked_at: When `wait` was last asked with an empty queue.
+        blocked_at: When `wait` was last called with nobody ahead.
         mean_context: Moving average of the contexts of new programs.
     """
 
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -80,8 +80,9 @@
     """An engine restarts under the same id and counts from 1 again.
 
     If only the id and the sequence number were compared, its registrations
-    would be ignored as late ones until the number had caught up. Callers would
-    wait although the engine is ready.
+    would be ignored as late ones until the number had caught up or, if the
+    incarnation before had left, for as long as that is remembered. Callers
+    would wait although the engine is ready.
     """
 
     def test_new_incarnation_is_in_force_at_once(self) -> None:
--- a/testing/test_evidence.py
+++ b/testing/test_evidence.py
@@ -63,7 +63,8 @@
 
     Each stream reaches its last event, but the turn can't be recorded and the
     answer is cut short. If that counted as a failure of the engines, all of
-    them would be excluded at once.
+    them would be excluded at once, and the next turns would all go to the one
+    engine that is left.
     """
 
     def setUp(self) -> None:
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -96,8 +96,9 @@
     def test_leaving_upstream_gets_no_new_work_after_two_seconds(self) -> None:
         """A sidecar announces that it drains while all entries send work.
 
-        The news goes over a relay, the leader and other relays; it must reach
-        all entries within 0.7 s of virtual time.
+        The sidecar refuses calls from then on. The news goes over a relay, the
+        leader and other relays; it must reach all entries within 0.7 s of
+        virtual time.
         """
         self.sidecars[0].set_state("draining")
         self.assertTrue(self.last_choice("sidecar-0", 10.0) <= 0.7)
--- a/testing/test_workingset.py
+++ b/testing/test_workingset.py
@@ -82,8 +82,8 @@
     def test_idle_upstream_accepts_a_program_beyond_its_memory(self) -> None:
         """Paused programs fill the memory and no call runs.
 
-        Guards against refusing a new program while the engine is idle, because
-        memory counts as taken.
+        Guards against refusing a new program with `deadline_unmet` while the
+        engine is idle, because it is predicted to wait for memory.
         """
         gate = queue.Gate(slots.Options(memory=100), capacity=4)
         for number in range(3):
