--- a/src/mintcleat/decisions/cache_retention.py
+++ b/src/mintcleat/decisions/cache_retention.py
@@ -80,7 +80,6 @@
     """A program between two calls whose cache is held.
 
     Attributes:
-        program: Program id.
         tool: Key of the pause histogram, as `agent/tool`.
         tokens: Size of the cache.
         since: When its last call ended.
--- a/src/mintcleat/decisions/calls.py
+++ b/src/mintcleat/decisions/calls.py
@@ -19,9 +19,7 @@
 
     Attributes:
         call_id: Id, unique among the calls that wait or run at a gate.
-        program: Program that the call belongs to.
         root: Root program; a sub-agent inherits its attained service.
-        customer: Customer of the program.
         agent: Name of the agent program in the manifest.
         klass: Priority class, `interactive` or `batch`.
         deadline_at: Time by which the answer must be complete.
--- a/src/mintcleat/decisions/class_queue.py
+++ b/src/mintcleat/decisions/class_queue.py
@@ -24,7 +24,6 @@
 
     Attributes:
         key: Sort key within the customer's calls; see `order.key`.
-        call: The call.
         flow: Customer, or empty when customers share one queue.
         klass: Priority class, `calls.INTERACTIVE` or `calls.BATCH`.
         arrived: When the call was offered.
--- a/src/mintcleat/decisions/load_balancing.py
+++ b/src/mintcleat/decisions/load_balancing.py
@@ -50,7 +50,6 @@
     """An upstream that could take the request.
 
     Attributes:
-        upstream: Its name.
         running: Requests running there, as far as this entry knows.
         slots: Requests that it can run at once.
         slowdown: Latency divided by the median of its peers; at least 1.
--- a/src/mintcleat/decisions/migration.py
+++ b/src/mintcleat/decisions/migration.py
@@ -24,7 +24,6 @@
     """A paused program at the source.
 
     Attributes:
-        program: Program id.
         tokens: Size of its cache.
         remaining_pause: Expected remaining seconds of its pause.
         moved_at: When it came from another upstream; 0 if it did not.
@@ -54,7 +53,6 @@
     """An upstream that programs could move to.
 
     Attributes:
-        name: Its name.
         wait: Predicted wait in seconds.
         free_memory: Free memory in tokens.
         prefill_rate: Prompt tokens per second.
@@ -70,7 +68,6 @@
     """A program to move.
 
     Attributes:
-        program: Program id.
         target: Name of the upstream to move to.
         export: Whether to transfer its cache rather than recompute it.
     """
