--- a/src/mintcleat/domain/call_messages.py
+++ b/src/mintcleat/domain/call_messages.py
@@ -14,7 +14,7 @@
 
     Attributes:
         key: Idempotency key of the call.
-        attempt: Number of the attempt within the call.
+        attempt: Number of the attempt, unique within the program group.
         sidecar: Incarnation that the attempt is bound to.
         base_turn: Number of turns that precede `messages`.
         base_digest: Digest of the history up to `base_turn`.
--- a/src/mintcleat/domain/config_messages.py
+++ b/src/mintcleat/domain/config_messages.py
@@ -52,8 +52,8 @@
     Attributes:
         whole: Whether `sections` holds all sections.
         sections: JSON text by section name; empty text removes a section.
-        lease: Seconds for which the node may act on `revision`. They count
-            from `echo`.
+        lease: Seconds for which the node may act on `revision`, counted from
+            the time when it sent the message that `echo` repeats.
         echo: Clock value of the node's last message, repeated to the node.
         base: Revision that the changes apply to if `whole` is false. A node
             below this revision could not read an earlier update and must not
--- a/src/mintcleat/domain/errors.py
+++ b/src/mintcleat/domain/errors.py
@@ -137,7 +137,7 @@
 
 
 class TooFewInstances(MintcleatError):
-    """Without this control instance no group would survive a failure."""
+    """Without this control instance the groups could not survive a failure."""
 
     kind = "too_few_instances"
     status = 409
@@ -295,7 +295,7 @@
 
 
 class LimitNear(LimitReached):
-    """A new program can't start: running ones need the rest of the limit."""
+    """A new program can't begin: active ones need the rest of the limit."""
 
     kind = "limit_near"
 
--- a/src/mintcleat/domain/keys.py
+++ b/src/mintcleat/domain/keys.py
@@ -8,6 +8,7 @@
 import hashlib
 
 PREFIX = "digest:"
+# Characters; a request with a longer key counts as one without a key.
 MAX_KEY_LENGTH = 256
 _DIGEST_BYTES = 16
 _SHORT_DIGITS = 8
--- a/src/mintcleat/domain/manifest.py
+++ b/src/mintcleat/domain/manifest.py
@@ -202,20 +202,20 @@
         require_keys: Whether callers must present a customer's key.
         limit_window: Length of the sliding window in which a customer may
             send `rate` times the length plus `burst` requests.
-        limit_overage: Further requests of running programs in a window, as a
+        limit_overage: Further requests of active programs in a window, as a
             fraction of its limit.
-        limit_slack: Further requests of running programs in a window, as a
+        limit_slack: Further requests of active programs in a window, as a
             number.
         deadline: Deadline of calls that give none.
         max_wait: Longest predicted wait at which an interactive call is
             admitted; batch calls may wait longer.
         program_idle: Time without a call after which a program expires.
-        record_retention: Time for which the records of an ended program are
-            kept.
+        record_retention: Time for which the records of ended programs and
+            of calls are kept.
         quarantine_seconds: Time after which a quarantine expires.
-        stale_lease: Whether an entry whose configuration lease has expired
-            refuses or serves idempotent calls of plain services. It always
-            refuses other calls.
+        stale_lease: Whether entries and sidecars whose configuration lease
+            has expired refuse or serve idempotent calls of plain services.
+            They always refuse other calls.
         rollout_pause: Pause between the steps of a rollout.
         loads_per_minute: Maximum rate of model loads.
         load_burst: Maximum number of model loads at once.
--- a/src/mintcleat/domain/program_messages.py
+++ b/src/mintcleat/domain/program_messages.py
@@ -30,9 +30,9 @@
         rate: Requests per second.
         burst: Further requests in any window.
         window: Length of the sliding window in seconds.
-        overage: Further requests of running programs in a window, as a
+        overage: Further requests of active programs in a window, as a
             fraction of the window's limit.
-        slack: Further requests of running programs in a window, as a number.
+        slack: Further requests of active programs in a window, as a number.
     """
 
     rate: float
@@ -46,7 +46,7 @@
         return max(1.0, self.rate * self.window + self.burst)
 
     def tolerance(self) -> float:
-        """Returns how many requests of running programs may exceed it."""
+        """Returns how many requests of active programs may exceed it."""
         return self.window_limit() * self.overage + self.slack
 
 
@@ -405,7 +405,7 @@
 
 
 class RenewResidency(NamedTuple):
-    """Asks which of these programs are closed; sent in batches.
+    """Asks which of these programs are no longer open; sent in batches.
 
     Attributes:
         programs: Programs whose cache the sidecar keeps resident.
--- a/src/mintcleat/programs/branches.py
+++ b/src/mintcleat/programs/branches.py
@@ -5,7 +5,7 @@
 sub-agents and alternative continuations of one turn share the turns before it.
 
 Budgets count the tokens that were delivered to callers. An open turn reserves
-the most tokens that it can deliver, from before it runs until it is closed. A
+the most tokens that it can deliver, from before it runs until it is settled. A
 crash in between can thus leave too many tokens reserved, but never too few.
 
 Programs and turns belong to a customer. Callers choose their ids, so two
@@ -27,9 +27,9 @@
 # Added to the retention that an entry asks for: a caller counts it from the
 # arrival of the answer, and a new leader's clock starts at the last command.
 RETENTION_SLACK_SECONDS = 15.0
-# Closed turns that an account remembers, in case the OpenTurn arrives after the
-# CloseTurn. Both are sent within the deadline of one request, and a program has
-# few turns in that time.
+# Settled turns that an account remembers, in case the OpenTurn arrives after
+# the CloseTurn. Both are sent within the deadline of one request, and a program
+# has few turns in that time.
 MAX_SETTLED_TURNS = 64
 # Index of the limits in `Branches.state`; releases without limits end before.
 _LIMITS_INDEX = 3
--- a/src/mintcleat/programs/calls.py
+++ b/src/mintcleat/programs/calls.py
@@ -1,4 +1,7 @@
-"""Beginning of calls: order of turns, at-most-once execution, attempts."""
+"""Beginning of calls: order of turns, at-most-once execution, attempts.
+
+The attempt numbers of a group only increase.
+"""
 
 from typing import Any
 
@@ -19,7 +22,8 @@
     """Grants an attempt for a new key, or returns the state of a known one.
 
     Returns:
-        A Granted, Recorded or Underway, or the error that refuses the call.
+        An AttemptGranted, CallRecorded or AttemptRunning, or the error that
+        refuses the call.
     """
     table = tables.key_table(group, request)
     if isinstance(table, errors.MintcleatError):
@@ -46,8 +50,8 @@
     Entries that must not accept new work answer resends in this way.
 
     Returns:
-        A Recorded or Underway, the error of the call, or Done with `absent`
-        if the key is not known.
+        A CallRecorded or AttemptRunning, the error of the call, or Done with
+        `absent` if the key is not known.
     """
     table = tables.key_table(group, request)
     if isinstance(table, errors.MintcleatError):
--- a/src/mintcleat/programs/checks.py
+++ b/src/mintcleat/programs/checks.py
@@ -1,7 +1,7 @@
 """Validation of requests before they are proposed to the log.
 
-Every replica applies what is in the log, so values that are out of range, such
-as a negative reservation, must be refused before.
+Every replica applies what is in the log, so values that no correct peer sends,
+such as a negative reservation, must be refused before they get there.
 """
 
 import re
--- a/src/mintcleat/programs/commands.py
+++ b/src/mintcleat/programs/commands.py
@@ -64,7 +64,7 @@
     """Decodes a command that `encode` has encoded.
 
     Raises:
-        errors.BadRequest: The data is not valid msgpack.
+        errors.BadRequest: The data is not msgpack of a command's fields.
     """
     try:
         clock, wall, requests = msgpack.unpackb(data, strict_map_key=False)
--- a/src/mintcleat/programs/outcomes.py
+++ b/src/mintcleat/programs/outcomes.py
@@ -83,7 +83,11 @@
 
 
 def discard(group: state.Group, call: records.Call) -> None:
-    """Deletes a call and its answer; a call not settled counts as run."""
+    """Deletes a call and its answer at the end of its retention.
+
+    A call without an outcome may have run, so the tokens reserved for it count
+    as used.
+    """
     if call.state in (records.RUNNING, records.UNKNOWN):
         budgets.write_off(tables.lineage(group, call), call)
         tables.release_turn(group, call)
--- a/src/mintcleat/programs/placement.py
+++ b/src/mintcleat/programs/placement.py
@@ -22,7 +22,8 @@
     Args:
         scope: A program id, or the `call_scope` of a call without a program.
             Only the root of a program id counts, so that a call and all
-            budgets that it draws on are in one group.
+            budgets that it draws on are in one group and change in one
+            commit.
         count: Number of program groups.
     """
     root = records.root_of(scope) if "/" not in scope else scope
--- a/src/mintcleat/programs/retention.py
+++ b/src/mintcleat/programs/retention.py
@@ -31,10 +31,10 @@
 def is_due(group: state.Group, clock: float, tick: commands.Tick) -> bool:
     """Returns whether a Tick at `clock` should be proposed to the log.
 
-    This is the case if it would delete anything. A group with records also
-    logs its clock every CLOCK_STEP_SECONDS, because a new leader continues at
-    the last logged clock: without it, frequent changes of the leader would stop
-    the clock of an idle group.
+    This is the case if it would expire or delete anything. A group with
+    records also logs its clock every CLOCK_STEP_SECONDS, because a new leader
+    continues at the last logged clock: without it, frequent changes of the
+    leader would stop the clock of an idle group. An empty group logs nothing.
     """
     if group.branches.is_due(clock):
         return True
--- a/src/mintcleat/programs/tables.py
+++ b/src/mintcleat/programs/tables.py
@@ -24,7 +24,10 @@
 
 
 def lineage(group: state.Group, call: records.Call) -> list[records.Program]:
-    """Returns a call's program and its ancestors, the root last."""
+    """Returns the programs whose budgets a call draws on, the root last.
+
+    They are its program and all ancestors; none for a call without a program.
+    """
     if not call.program:
         return []
     return group.lineage(group.programs[call.program])
--- a/testing/histories.py
+++ b/testing/histories.py
@@ -206,7 +206,8 @@
             digest = digests.chain(digest, turn.messages)
             if turn.turn != number or turn.digest != digest:
                 yield Violation(
-                    "history", f"{name} has a wrong digest at turn {number}"
+                    "history",
+                    f"{name} has a wrong number or digest at turn {number}",
                 )
             if (name, number, turn.messages[0]) not in sent:
                 yield Violation(
--- a/testing/test_program_service.py
+++ b/testing/test_program_service.py
@@ -116,7 +116,7 @@
         )
         self.assertEqual("call_running", replies[2].kind)
 
-    def test_lost_proposal_is_reported(self) -> None:
+    def test_lost_proposal_is_reported_as_lost(self) -> None:
         self.cluster.lose_next = 1
         (reply,) = self.service.answer([create("p")])
         self.assertThat(reply, matchers.IsInstance(errors.ProposalLost))
@@ -139,7 +139,9 @@
             self.assertThat(reply, matchers.IsInstance(errors.BadRequest))
         self.assertEqual(0, self.commands())
 
-    def test_only_groups_with_records_log_their_clock(self) -> None:
+    def test_idle_groups_log_their_clock_rarely_and_empty_ones_never(
+        self,
+    ) -> None:
         self.service.answer([create("p")])
         self.timers.advance(65.0)
         self.assertEqual(2, self.commands())
--- a/testing/test_programs_histories.py
+++ b/testing/test_programs_histories.py
@@ -62,7 +62,8 @@
 ) -> None:
     """A byte of the file changes on the disk.
 
-    The read must not return other text as the program's history.
+    The read must not return other text as the program's history. It raises
+    the error whose remedy names the repair.
     """
     store = histories.FileHistoryStore(tmp_path)
     store.append("p", b"a long enough record")
