--- a/src/mintcleat/roles/control_client.py
+++ b/src/mintcleat/roles/control_client.py
@@ -167,7 +167,7 @@
         for pending in waiting:
             pending.reply.send_exception(
                 errors.StreamClosed(
-                    f"{self.address} did not answer an earlier request.",
+                    f"An earlier request to {self.address} failed.",
                     outcome=errors.NOT_RUN,
                 )
             )
@@ -315,8 +315,8 @@
         """Returns the known leader, or the next instance to try.
 
         Instances that recently did not answer come last. Those that have just
-        timed out are left out, since each try of an unreachable instance costs
-        another `try_timeout`.
+        failed to answer are left out, since each try of an unreachable
+        instance costs another `try_timeout`.
 
         Returns:
             An address; empty if all instances were tried in this round.
@@ -325,7 +325,7 @@
         if leader:
             return leader
         candidates = [
-            one for one in self.addresses if not self._timed_out_just_now(one)
+            one for one in self.addresses if not self._failed_just_now(one)
         ]
         candidates = candidates or self.addresses
         left = [one for one in candidates if one not in tried]
@@ -336,7 +336,7 @@
             key=lambda one: self._is_unresponsive(one, UNRESPONSIVE_SECONDS),
         )
 
-    def _timed_out_just_now(self, address: str) -> bool:
+    def _failed_just_now(self, address: str) -> bool:
         """Returns whether an instance has just failed to answer.
 
         If a leader hangs, the other instances redirect to it until the next
@@ -365,11 +365,7 @@
         """
         if self.leaders.get(group, address) != address:
             return
-        if (
-            leader
-            and leader != address
-            and not self._timed_out_just_now(leader)
-        ):
+        if leader and leader != address and not self._failed_just_now(leader):
             self.leaders[group] = leader
         else:
             self.leaders.pop(group, None)
--- a/src/mintcleat/roles/entry/authentication.py
+++ b/src/mintcleat/roles/entry/authentication.py
@@ -20,7 +20,7 @@
 _POLL_SECONDS = 0.02
 # Requests with unknown keys that may wait for updates at the same time. Any
 # beyond that, such as those of somebody who guesses keys, are refused at once
-# with outcome `not_run`.
+# with outcome `not_run`, so that they don't take resources from other callers.
 MAX_UNCONFIRMED = 64
 RETRY_SECONDS = 0.5
 
--- a/src/mintcleat/roles/entry/gateway.py
+++ b/src/mintcleat/roles/entry/gateway.py
@@ -134,8 +134,8 @@
             if not configuration.has_lease():
                 # The route may have been added since.
                 raise errors.LeaseExpired(
-                    f"No route matches {call.host}{call.path}, but the "
-                    "configuration may be out of date.",
+                    "No route matches the request, but the configuration may "
+                    "be out of date.",
                     retry_after=routed_run.RETRY_SECONDS,
                 )
             raise errors.UnknownRoute(
--- a/src/mintcleat/roles/entry/routed_run.py
+++ b/src/mintcleat/roles/entry/routed_run.py
@@ -200,7 +200,7 @@
             if program.previous:
                 raise errors.UnknownTurn(
                     f"Route {self.match.name!r} doesn't retain turns, but the "
-                    f"request names the previous turn {program.previous!r}."
+                    "request names a previous turn."
                 )
             self.context.turns.rate_limiter.admit(
                 self.call.customer, program.program, self.call.request
--- a/src/mintcleat/roles/entry/turn_client.py
+++ b/src/mintcleat/roles/entry/turn_client.py
@@ -27,7 +27,7 @@
 
 
 class ChainCache:
-    """LRU cache of finished turns by customer and id.
+    """Finished turns by customer and id; those added first are dropped first.
 
     Attributes:
         limit: Maximum size of the content, in bytes.
--- a/src/mintcleat/roles/entry/upstream_loads.py
+++ b/src/mintcleat/roles/entry/upstream_loads.py
@@ -18,7 +18,8 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import timers as timer_ports
 
-# Age from which on a load report of other entries counts as missing.
+# Age from which on `others_age` gives no figure for the other entries' report.
+# Placement ignores a report much earlier; see `decisions.shared_load`.
 MAX_REPORT_AGE_SECONDS = 60.0
 
 
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -175,7 +175,10 @@
         return digest in self.quarantine
 
     def is_suspect(self, digest: bytes) -> bool:
-        """Returns whether a request is suspected of crashing upstreams."""
+        """Returns whether a request is suspected of crashing upstreams.
+
+        A suspect may run beside other requests, but not beside other suspects.
+        """
         return digest in self.suspects
 
     # --- Asking control -------------------------------------------------------
--- a/src/mintcleat/roles/sidecar/execution.py
+++ b/src/mintcleat/roles/sidecar/execution.py
@@ -109,7 +109,10 @@
                 self.timers.spawn(self.runner.cancel, attempt)
 
     def expire(self) -> None:
-        """Cancels attempts past their deadline; called periodically."""
+        """Cancels attempts past their deadline; call it several times a second.
+
+        It also refuses queued attempts that can't meet their deadline any more.
+        """
         self.admission.expire()
         now = self.timers.now()
         for deadline_at, _, attempt in list(self.deadlines):
--- a/src/mintcleat/roles/sidecar/memory.py
+++ b/src/mintcleat/roles/sidecar/memory.py
@@ -233,7 +233,10 @@
             self.release(ended)
 
     def release(self, programs: list[str]) -> None:
-        """Evicts programs; after a failure the next renewal tries again."""
+        """Evicts programs; after a failure they stay in the ledger.
+
+        The next renewal then finds those that have ended again.
+        """
         if not programs:
             return
         try:
--- a/src/mintcleat/roles/sidecar/monitor.py
+++ b/src/mintcleat/roles/sidecar/monitor.py
@@ -40,7 +40,8 @@
         kind: `model` for a model engine, `plain` for a plain service.
         capacity: Calls that the upstream runs concurrently; 0 to use what the
             engine announces.
-        history_bytes: Maximum size of the stored histories.
+        history_bytes: Maximum size of the stored histories; counted in
+            characters.
         export_bytes: Maximum size of the exported prefixes.
         retention: Time for which the state of an ended attempt is kept.
         answer_retention: Time for which a caller can attach to an ended
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -169,7 +169,7 @@
     def run_turn(
         self, exchange: streams_port.Exchange, request: call_messages.RunTurn
     ) -> None:
-        """Serves RunTurn; see `domain.messages`."""
+        """Serves RunTurn; see `domain.call_messages`."""
         if self._answer_without_running(exchange, request):
             return
         base = (request.program, request.base_turn, request.base_digest)
@@ -190,7 +190,7 @@
     def run_tool(
         self, exchange: streams_port.Exchange, request: call_messages.RunTool
     ) -> None:
-        """Serves RunTool; see `domain.messages`."""
+        """Serves RunTool; see `domain.call_messages`."""
         if not self._answer_without_running(exchange, request):
             self._start(exchange, request, [])
 
--- a/testing/fakes/service_system.py
+++ b/testing/fakes/service_system.py
@@ -145,9 +145,10 @@
             eventlet.spawn_after(0.02, self._start_control, number)
 
     def _kill_leader(self) -> None:
-        """Kills the leader of the first group.
+        """Kills the leader of the first group; a lone instance restarts.
 
-        Waits for the end of an election that is in progress after a restart.
+        Right after a restart an election may be in progress. Waits for its
+        end, since until then there is no leader to kill.
         """
         for _ in range(_LEADER_TRIES):
             for number, process in enumerate(self.controls):
--- a/testing/test_follower.py
+++ b/testing/test_follower.py
@@ -71,7 +71,7 @@
     def test_node_of_an_unreachable_relay_moves_before_its_lease_ends(
         self,
     ) -> None:
-        """One control instance becomes unreachable.
+        """One control instance becomes unreachable; connections stay open.
 
         Its nodes get no renewals and move to another instance before their
         leases expire, so that no caller is refused.
--- a/testing/test_hosted_customers.py
+++ b/testing/test_hosted_customers.py
@@ -211,9 +211,10 @@
             self.assertEqual(held, "connection" not in headers)
 
     def test_call_at_startup_is_held_until_the_lease_arrives(self) -> None:
-        # A newly elected leader sends the configuration some hundredths of a
-        # second before a lease. If held calls are released in between, they
-        # are refused with a retry delay of half a second.
+        # After a power failure of all machines, a newly elected leader sends
+        # the configuration some hundredths of a second before a lease. If held
+        # calls are released in between, they are refused with a retry delay of
+        # half a second.
         entry = self.system.entry
         follower, gateway = entry.follower, entry.gateway
         now = follower.timers.now()
--- a/testing/test_hosted_lives.py
+++ b/testing/test_hosted_lives.py
@@ -91,7 +91,7 @@
         """The engine restarts elsewhere while it runs a request.
 
         The lost answer must not count against the new process. The request may
-        have run, so nothing else may run it and the caller must get that.
+        have run, so no other upstream may run it, and the caller must get 504.
         """
         restarted: list[platform_engine.Engine] = []
 
--- a/testing/test_sidecar.py
+++ b/testing/test_sidecar.py
@@ -87,7 +87,8 @@
         """A request arrives after its attempt was sealed.
 
         The entry lost its connection, sealed the attempt and reported "not
-        run" to the caller. Then the request arrives that it had sent before.
+        run" to the caller. Then the request arrives that it had sent before;
+        the engine must not get it.
         """
         seal = call_messages.SealAttempt("p", "", "k1", 1, service_rig.NODE)
         _, sealed = self.rig.call(seal)
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -43,7 +43,7 @@
         """A token is lost between the engine and the sidecar.
 
         The stream ends as usual. Only the length that the engine reports shows
-        the loss.
+        the loss. The caller must not get the answer as a complete one.
         """
         self.engine.skips = 1
         _, end = self.rig.call(service_rig.turn())
@@ -178,7 +178,8 @@
         """An earlier leader's order arrives late at a restarted sidecar.
 
         The engine does not check fencing tokens. The sidecar has seen no order
-        yet, so it reads the highest committed token first.
+        yet, so it reads the highest committed token first and rejects orders
+        with a lower one.
         """
         self.rig.directory.fencing_token = 9
         self.assertRaises(errors.FencedOff, self.order, 8)
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -42,7 +42,7 @@
         """The stored history of a queued call is dropped for other programs.
 
         The engine must get the conversation as it was checked when the call
-        arrived.
+        arrived, not only the part that is still stored.
         """
         added = [service_rig.user("old"), batch.answer_message("yes")]
         digest = digests.chain(b"", added)
