--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -208,7 +208,8 @@
         while not self.attempts.state(scope, request.attempt):
             if self.timers.now() >= give_up_at:
                 # The request to run it has not arrived. Once sealed, a copy
-                # that arrives later is refused, so "not run" is safe to say.
+                # that arrives later is refused, so "not run" is safe to say
+                # and the caller need not wait.
                 self.attempts.seal(scope, request.attempt)
                 break
             self.timers.sleep(_ATTACH_POLL_SECONDS)
