--- a/src/mintcleat/adapters/admin_http.py
+++ b/src/mintcleat/adapters/admin_http.py
@@ -21,7 +21,8 @@
 from mintcleat.domain import registrations
 
 PREFIX = "/admin/v1/"
-# Manifests have up to 5 MB. The limit bounds the memory that a request uses.
+# Manifests have up to 5 MB; twice that leaves a margin, and bounds the memory
+# that a request uses.
 MAX_BODY_BYTES = 10 * 1024 * 1024
 PROGRAM_TIMEOUT_SECONDS = 10.0
 PAGE_SIZE = 100
@@ -45,7 +46,7 @@
     """Operators' actions on the control instances and their logs."""
 
     def status(self) -> list[dict[str, Any]]:
-        """Returns the status of each group, with its name and leader."""
+        """Returns one row for each group: `group`, `leader` and more."""
 
     def replace(
         self, old: str, new: str, address: str, failure_domain: str
@@ -82,7 +83,7 @@
         value = self.query.get(name, str(default))
         if not value.isdecimal():
             raise errors.BadRequest(
-                f"{name!r} must be a non-negative integer, not {value!r}."
+                f"{name!r} must be a non-negative integer, not {value[:40]!r}."
             )
         return int(value)
 
@@ -132,7 +133,7 @@
     def _authorize(self, environ: dict[str, Any]) -> None:
         given = environ.get("HTTP_AUTHORIZATION", "")
         expected = f"Bearer {self.token}"
-        # Compares in constant time.
+        # Constant time, so that the duration does not show how much matches.
         if not self.token or not hmac.compare_digest(
             given.encode("latin-1", "replace"), expected.encode()
         ):
@@ -364,7 +365,7 @@
     path = environ.get("PATH_INFO", "")
     if not path.startswith(PREFIX):
         raise errors.BadRequest(
-            f"The path {path!r} does not start with {PREFIX}."
+            f"The path {path[:80]!r} does not start with {PREFIX}."
         )
     query = url.parse_qsl(environ.get("QUERY_STRING", ""))
     return Request(
@@ -380,7 +381,7 @@
     length = environ.get("CONTENT_LENGTH") or "0"
     if not length.isdecimal():
         raise errors.BadRequest(
-            f"Content-Length must be a number, not {length!r}."
+            f"Content-Length must be a number, not {length[:20]!r}."
         )
     if int(length) > MAX_BODY_BYTES:
         raise errors.TooLarge(
--- a/src/mintcleat/adapters/admin_token.py
+++ b/src/mintcleat/adapters/admin_token.py
@@ -1,4 +1,4 @@
-"""The bearer token of the operators' interface."""
+"""The operators' bearer token, which has a file of its own."""
 
 import pathlib
 import secrets
@@ -33,8 +33,8 @@
 def load_or_create(folder: pathlib.Path, disk: wal.Disk | None = None) -> str:
     """Returns the token in the data folder; creates it on first use.
 
-    The file gets mode 0600 and is replaced atomically: if it were empty after
-    a power loss, an empty token would be accepted.
+    The file gets mode 0600, and is synced before it gets its name: if it were
+    empty after a power loss, an empty token would be accepted.
     """
     path = folder / TOKEN_FILE
     disk = disk or wal_disk.SystemDisk()
--- a/src/mintcleat/adapters/admin_views.py
+++ b/src/mintcleat/adapters/admin_views.py
@@ -36,8 +36,8 @@
 ) -> dict[str, Any]:
     """Returns the status overview for operators.
 
-    `in_force` is the number of live nodes that have applied the current
-    revision; `late` lists the live nodes with an older one.
+    `in_force` is the number of live nodes, those that hold a lease, that have
+    applied the current revision; `late` lists the live nodes with an older one.
     """
     revision = instances.revision
     live = [node for node in instances.nodes if node.lease > 0]
--- a/src/mintcleat/adapters/engine_http.py
+++ b/src/mintcleat/adapters/engine_http.py
@@ -273,7 +273,7 @@
 
 
 def request_body(call: upstream.EngineCall) -> bytes:
-    """Returns the request body in OpenAI's format."""
+    """Returns the body in OpenAI's format; the messages are JSON already."""
     fields = msgspec.json.decode(call.parameters) if call.parameters else {}
     fields["stream"] = True
     fields["stream_options"] = {"include_usage": True}
--- a/src/mintcleat/adapters/event_metrics.py
+++ b/src/mintcleat/adapters/event_metrics.py
@@ -6,12 +6,16 @@
 from mintcleat.ports import events as event_ports
 from mintcleat.ports import metrics as metric_ports
 
-# Limits the number of time series; later customers share the label `other`.
+# Later customers share the label `other`: a scrape with time series of
+# thousands of customers would be of no use.
 MAX_CUSTOMER_LABELS = 200
 
 
 class EventMetrics:
-    """Updates metrics for each event and forwards it to the event log."""
+    """Updates metrics for each event and forwards it to the event log.
+
+    Implements `ports.events.EventReporter`.
+    """
 
     def __init__(
         self, metrics: metric_ports.Metrics, log: event_ports.EventReporter
--- a/src/mintcleat/adapters/histories.py
+++ b/src/mintcleat/adapters/histories.py
@@ -2,7 +2,8 @@
 
 Records are appended to the newest segment file. The kernel's page cache serves
 as the cache: recent records are read from memory, old ones from disk. Nothing
-is synced, because the store is refilled from snapshot and log on a restart.
+is synced: the store is refilled from snapshot and log on a restart, so a lost
+end of a file does no harm and a torn record is never read.
 """
 
 import array
@@ -15,8 +16,8 @@
 
 from mintcleat.domain import errors
 
-# Compacting one segment takes milliseconds, and a group of some gigabytes has
-# hundreds of files.
+# Small enough that compacting a segment takes milliseconds, large enough that a
+# group of some gigabytes has hundreds of files, not millions.
 SEGMENT_BYTES = 8 * 1024 * 1024
 # A segment whose share of live bytes falls below this is compacted. Files are
 # thus at most four times as large as the live records.
--- a/src/mintcleat/adapters/http1_client.py
+++ b/src/mintcleat/adapters/http1_client.py
@@ -28,7 +28,7 @@
 _KEEPALIVE_SECONDS = 1
 _KEEPALIVE_PROBES = 2
 # Larger requests are sent concurrently with reading, because an upstream may
-# respond before it has read the whole body.
+# respond before it has read the whole body, and read the rest later.
 _INLINE_REQUEST_BYTES = 16 * 1024
 # Maximum number of idle connections of one upstream.
 _MAX_IDLE = 64
--- a/src/mintcleat/adapters/http_errors.py
+++ b/src/mintcleat/adapters/http_errors.py
@@ -1,4 +1,4 @@
-"""Requests over urllib3, whose failures raise `domain.errors`."""
+"""Requests over urllib3, with errors that show what may have been delivered."""
 
 import urllib3
 from urllib3 import exceptions
--- a/src/mintcleat/adapters/settings.py
+++ b/src/mintcleat/adapters/settings.py
@@ -41,8 +41,8 @@
         election: Minimum election timeout; the maximum is twice as long.
         replace_after: Time without contact after which a spare instance
             replaces a control instance in its groups; 0 disables this.
-        balance_after: Time after which a group's leadership is transferred to
-            its preferred leader; 0 disables this.
+        balance_after: Time that an instance leads a group before leadership is
+            transferred to the preferred leader; 0 disables this.
         stream_heartbeat: Time without sending after which a stream connection
             carries a heartbeat.
         stream_silence: Time without receiving a byte after which a stream
--- a/src/mintcleat/adapters/streams_connection.py
+++ b/src/mintcleat/adapters/streams_connection.py
@@ -29,9 +29,10 @@
     Attributes:
         message: Maximum message size, sent or received.
         window: Flow control window: bytes on one exchange that its reader has
-            not consumed. The last message may exceed it.
+            not consumed. A message may be larger than what is left of it.
         queued: Bytes in a connection's send queue from which senders block.
-        exchanges: Maximum number of open exchanges of one connection.
+        exchanges: Open exchanges of one connection, of both sides, at which the
+            peer may not open another.
         connections: Maximum number of accepted connections.
         heartbeat: Time without sending after which a heartbeat is sent.
         silence_timeout: Time without receiving a byte after which the
@@ -271,7 +272,10 @@
         return self.queued >= self.limits.queued
 
     def enqueue(self, frame: bytes) -> None:
-        """Writes or queues a frame; never blocks, even if the queue is full."""
+        """Writes or queues a frame, even if the queue is full.
+
+        Never blocks, because the reading green thread uses it.
+        """
         if self.lost:
             return
         if not self.queued:
@@ -431,7 +435,8 @@
             )
         if len(self.exchanges) >= self.limits.exchanges:
             raise errors.BadRequest(
-                f"The peer has {self.limits.exchanges} exchanges open already."
+                f"The connection has {len(self.exchanges)} open exchanges; the "
+                f"limit is {self.limits.exchanges}."
             )
         message = codec.decode(frame.body)
         exchange = TcpExchange(self, frame.exchange)
--- a/src/mintcleat/adapters/wal.py
+++ b/src/mintcleat/adapters/wal.py
@@ -92,7 +92,7 @@
             self.offset += len(data)
 
     def sync(self) -> None:
-        """Writes the batch and syncs it.
+        """Writes the batch and syncs it once for all of its records.
 
         Raises:
             errors.StorageFull: The disk is full. The batch is kept in memory
--- a/src/mintcleat/adapters/wal_disk.py
+++ b/src/mintcleat/adapters/wal_disk.py
@@ -6,7 +6,7 @@
 
 from mintcleat.ports import wal
 
-# Syncing this many bytes takes a few milliseconds.
+# Syncing this many bytes delays other calls by a few milliseconds only.
 STEP_BYTES = 1024 * 1024
 
 
@@ -37,7 +37,8 @@
 
     Syncing a file makes its content durable, but not the directory entries on
     the path to it. If a power loss removed such an entry, the instance would
-    restart with an empty disk.
+    restart with an empty disk, in addition to the disks that the failure itself
+    destroyed.
     """
     created = []
     ancestor = folder
@@ -62,7 +63,8 @@
         disk: The disk to write to.
         path: Path of the file.
         data: Content, written in steps of STEP_BYTES.
-        pause: Called after each step; each step is then synced.
+        pause: Called after each step, which is synced first. If it is None,
+            the file is synced once, at the end.
         head: Bytes that precede `data`. Given separately, so that `data` is
             not copied.
     """
--- a/src/mintcleat/platform/callers.py
+++ b/src/mintcleat/platform/callers.py
@@ -186,12 +186,12 @@
         value = float(text)
     except ValueError:
         raise errors.BadRequest(
-            f"Expected a number in a header, but found {text!r}."
+            f"Expected a number in a header, but found {text[:40]!r}."
         ) from None
     if not 0.0 <= value < 2.0**53:
         raise errors.BadRequest(
             "Expected a number from 0 to below 2**53 in a header, but found "
-            f"{text!r}."
+            f"{text[:40]!r}."
         )
     return value
 
--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Iterator
 import contextlib
+import reprlib
 from typing import Any
 
 from mintcleat.adapters import http1_client
@@ -95,7 +96,11 @@
         return b"".join(self.chunks())
 
     def chunks(self) -> Iterator[bytes]:
-        """Yields the body as it arrives and returns at its end."""
+        """Yields the body as it arrives; returns only at its proper end.
+
+        Raises:
+            errors.StreamClosed: The body was cut off.
+        """
         connection = self.connection
         while True:
             data = connection.read_data()
@@ -140,7 +145,7 @@
             raise errors.StreamClosed(
                 f"Expected a response of {self.upstream.upstream} without "
                 "content-encoding, but found "
-                f"{self.fields['content-encoding']!r}."
+                f"{reprlib.repr(self.fields['content-encoding'])}."
             )
         if status in _SUCCESS and _SIGNATURE not in self.fields:
             raise errors.StreamClosed(
@@ -167,7 +172,7 @@
     return headers
 
 
-def _read_head(connection: http1_client.Connection, request: str) -> Any:
+def _read_head(connection: http1_client.Connection, request_id: str) -> Any:
     """Returns the head of the response to a request.
 
     An upstream may respond again to an earlier request on the connection.
@@ -176,13 +181,13 @@
     for _ in range(_MAX_SKIPPED_RESPONSES):
         head = connection.read_head()
         echoed_id = dict(head.headers).get(callers.REQUEST_ID.encode())
-        if echoed_id is None or echoed_id.decode("latin-1") == request:
+        if echoed_id is None or echoed_id.decode("latin-1") == request_id:
             return head
         connection.skip_response()
     raise errors.StreamClosed(
-        f"Expected a response of {connection.address} to request "
-        f"{request!r}, but found {_MAX_SKIPPED_RESPONSES} responses with "
-        f"another {callers.REQUEST_ID}."
+        f"Expected a response of {connection.address} to the current request, "
+        f"but found {_MAX_SKIPPED_RESPONSES} responses with another "
+        f"{callers.REQUEST_ID}."
     )
 
 
--- a/testing/fakes/virtual_net.py
+++ b/testing/fakes/virtual_net.py
@@ -76,7 +76,7 @@
     """One connection; side 0 opened it.
 
     Attributes:
-        silent: Seconds since when one direction has been blocked.
+        silent: Seconds for which a direction has been blocked.
         pending: For each sender, deliveries that are blocked.
         last: For each sender, the arrival time of its last transmission.
     """
--- a/testing/test_admin_http.py
+++ b/testing/test_admin_http.py
@@ -80,7 +80,7 @@
         return "started"
 
     def snapshot(self) -> str:
-        """Does nothing."""
+        """Returns a description without taking snapshots."""
         return "1 group"
 
 
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -198,7 +198,7 @@
         self.assertIs(before, self.client.dialled.get(server.address))
 
     def test_hanging_dial_does_not_block_other_addresses(self) -> None:
-        """A dial to a host that is down takes seconds.
+        """A host that is down drops all packets, so a dial to it takes seconds.
 
         Meanwhile a request to another address must be served.
         """
--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -357,9 +357,11 @@
     def test_state_is_sent_to_all_followers_from_one_copy(self) -> None:
         """A leader sends its state to two followers and runs out of memory.
 
-        This happens after a power loss that destroyed the disks of both. Each
-        transfer held three copies of the state for a moment and one until its
-        end: 80 MB for two transfers of 16 MB.
+        This happens after a power loss that destroyed the disks of both: in the
+        second after its start, the leader replays the entries after its
+        snapshot and sends the state to both. Each transfer held three copies of
+        the state for a moment and one until its end: 80 MB for two transfers of
+        16 MB.
         """
         log = self.opened()
         state = os.urandom(16_000_000)
