--- a/src/mintcleat/adapters/caller_http.py
+++ b/src/mintcleat/adapters/caller_http.py
@@ -207,12 +207,12 @@
         service: str,
     ) -> Iterable[bytes]:
         call = parse_service(environ, request_id, service)
-        answer = calls.service(call)
-        headers = [(name, value) for name, value in answer.headers]
-        if answer.replayed:
+        response = calls.service(call)
+        headers = [(name, value) for name, value in response.headers]
+        if response.replayed:
             headers.append(("Mintcleat-Replayed", "true"))
-        start(problems.status_line(answer.status), headers)
-        return [answer.body]
+        start(problems.status_line(response.status), headers)
+        return [response.body]
 
 
 def key_digest(environ: http_request.Environ) -> str:
--- a/src/mintcleat/adapters/engine_http.py
+++ b/src/mintcleat/adapters/engine_http.py
@@ -106,7 +106,7 @@
         return self._events(response, offset)
 
     def cancel(self, request: str) -> None:
-        """Cancels a call."""
+        """Cancels the call with the given request id."""
         self._call("DELETE", f"streams/{request}")
 
     def events(self, after: int, wait: float) -> upstream.CacheEvents:
@@ -140,7 +140,11 @@
         self._call("POST", "import", exported)
 
     def order(self, fencing_token: int, action: str, model: str) -> None:
-        """Executes an order."""
+        """Executes an order; loading a model may take minutes.
+
+        Raises:
+            errors.FencedOff: The engine has seen a higher fencing token.
+        """
         body = {"fence": fencing_token, "action": action, "model": model}
         self._post("orders", body, _ORDER_TIMEOUT_SECONDS)
 
--- a/src/mintcleat/adapters/http1_server.py
+++ b/src/mintcleat/adapters/http1_server.py
@@ -98,7 +98,7 @@
         self.connection.write(data)
 
     def end(self) -> None:
-        """Ends the response."""
+        """Ends the body, so that the caller sees a complete response."""
         self.connection.end()
         self.ended = True
 
@@ -333,7 +333,7 @@
         self._send_event(h11.Data(data=data))
 
     def end(self) -> None:
-        """Ends the response."""
+        """Sends the end of the body."""
         self._send_event(h11.EndOfMessage())
 
     def _send_event(self, event: Any) -> None:
--- a/src/mintcleat/adapters/plain_http.py
+++ b/src/mintcleat/adapters/plain_http.py
@@ -7,7 +7,7 @@
 from mintcleat.domain import errors
 from mintcleat.ports import upstream
 
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -74,4 +74,6 @@
 
 def end_to_end(headers: list[list[str]]) -> list[list[str]]:
     """Returns the headers without hop-by-hop headers."""
-    return [pair for pair in headers if pair[0].lower() not in _HOP_HEADERS]
+    return [
+        pair for pair in headers if pair[0].lower() not in _HOP_BY_HOP_HEADERS
+    ]
--- a/src/mintcleat/adapters/timers.py
+++ b/src/mintcleat/adapters/timers.py
@@ -130,7 +130,7 @@
         return self.clock
 
     def wall_time(self) -> float:
-        """Returns the virtual time in seconds."""
+        """Returns the virtual time as Unix time in seconds."""
         return self.clock
 
     def after(
--- a/testing/fakes/virtual_net.py
+++ b/testing/fakes/virtual_net.py
@@ -76,7 +76,7 @@
     """One connection; side 0 opened it.
 
     Attributes:
-        silent: Seconds for which a direction has been blocked.
+        blocked_seconds: Time for which a direction has been blocked.
         pending: For each sender, deliveries that are blocked.
         last: For each sender, the arrival time of its last transmission.
     """
@@ -90,7 +90,7 @@
         self.network = network
         self.sides = (dialler, other)
         self.lost = False
-        self.silent = 0.0
+        self.blocked_seconds = 0.0
         self.pending: tuple[
             collections.deque[Callable[[], None]],
             collections.deque[Callable[[], None]],
@@ -134,8 +134,8 @@
 
     def watch(self, step: float) -> None:
         connected = not self.blocked(0) and not self.blocked(1)
-        self.silent = 0.0 if connected else self.silent + step
-        if self.silent > SILENCE_TIMEOUT:
+        self.blocked_seconds = 0.0 if connected else self.blocked_seconds + step
+        if self.blocked_seconds > SILENCE_TIMEOUT:
             self.abort()
 
     def abort(self) -> None:
