--- a/src/mintcleat/consensus/election.py
+++ b/src/mintcleat/consensus/election.py
@@ -12,8 +12,8 @@
 from mintcleat.domain import identities
 
 # Number of election timeouts after its start for which a replica that knows
-# that its group has no leader retries about once per heartbeat. Processes
-# that stop together restart within about 2 s of each other.
+# that its group has no leader retries every heartbeat or two. Processes that
+# stop together restart within about 2 s of each other.
 _STARTUP_TIMEOUTS = 6
 
 
--- a/src/mintcleat/consensus/entries.py
+++ b/src/mintcleat/consensus/entries.py
@@ -77,7 +77,7 @@
         Raises:
             ValueError: `first` is not after the base. Its negative offset
                 would count from the end of the list and return the wrong
-                entries.
+                entries, which would then be applied.
         """
         if last < first:
             return []
--- a/src/mintcleat/consensus/repair.py
+++ b/src/mintcleat/consensus/repair.py
@@ -28,7 +28,7 @@
     for voter in configuration.voters:
         if (
             voter.replica == replica.me
-            and voter.replica.instance not in roster.retired
+            and voter.replica.instance not in roster.evacuated
         ):
             continue
         successor = _find_successor(replica, roster, voter, now)
@@ -69,7 +69,7 @@
     nothing: only after `replace_after` does a spare instance replace the
     voter, so that a restart moves no data.
     """
-    if voter.replica.instance in roster.retired:
+    if voter.replica.instance in roster.evacuated:
         return _find_spare(replica, roster, voter, now)
     observed = roster.observed.get(voter.replica.instance)
     if observed and observed.peer.replica.epoch > voter.replica.epoch:
@@ -97,7 +97,7 @@
         observed.peer
         for name, observed in roster.observed.items()
         if name not in inside
-        and name not in roster.retired
+        and name not in roster.evacuated
         and _is_alive(replica, observed, now)
     ]
     found.sort(key=lambda p: (p.failure_domain in used, p.replica))
--- a/src/mintcleat/consensus/roster.py
+++ b/src/mintcleat/consensus/roster.py
@@ -49,7 +49,7 @@
         own: The member that describes this instance.
         observed: By instance name, what was last heard from it; without this
             instance.
-        retired: Instances that an operator is retiring. Their replicas are
+        evacuated: Instances that an operator evacuates. Their replicas are
             replaced, and they receive no new ones.
         leader_claims: By group, the announced leader of the highest term.
     """
@@ -68,7 +68,7 @@
         )
         self.members[me.instance] = self.own
         self.observed: dict[str, ObservedPeer] = {}
-        self.retired: frozenset[str] = frozenset()
+        self.evacuated: frozenset[str] = frozenset()
         self.leader_claims: dict[str, LeaderClaim] = {}
 
     def add_members(self, members: Iterable[types.Member]) -> None:
--- a/src/mintcleat/consensus/state.py
+++ b/src/mintcleat/consensus/state.py
@@ -101,8 +101,8 @@
         self.leader = types.NO_REPLICA
         self.promised_to = stored.leader
         # A restarted voter may have answered a heartbeat just before it
-        # stopped. Counting its start as contact keeps that leader's lease
-        # valid.
+        # stopped. Counting its start as contact keeps it from voting for
+        # another replica while that leader may still hold its lease.
         self.leader_heard_at = now
         if self.promised_to == me:
             # This replica led before, and its lease ended with its process.
--- a/src/mintcleat/roles/control/configuration/feed.py
+++ b/src/mintcleat/roles/control/configuration/feed.py
@@ -237,7 +237,7 @@
     # --- Reading --------------------------------------------------------------
 
     def handle_message(self, peer: Peer, message: Any) -> None:
-        """Handles a message of the peer."""
+        """Handles a report, an announcement or the members of a relay."""
         table = self.source.table
         now = self.timers.now()
         match message:
@@ -302,7 +302,7 @@
         messages: list[Any] = []
         # The directory goes first, so that the lease sent with the
         # configuration covers both: a node must not hold a lease without
-        # knowing which upstreams drain.
+        # knowing which upstreams are leaving.
         registered = self.source.directory()
         if peer.directory_sent < registered.version:
             messages.extend(self._directory_update(peer, registered))
--- a/src/mintcleat/roles/control/configuration/registrar.py
+++ b/src/mintcleat/roles/control/configuration/registrar.py
@@ -17,7 +17,7 @@
 
 # An upstream that does not renew its registration for this time is removed.
 # Renewals can be seconds late, and entries detect a dead upstream by
-# themselves at the first failed request, so a long timeout costs nothing.
+# themselves at the first failed request, so this only cleans up.
 SILENCE_SECONDS = 8.0
 # Length at which a name is cut in an error message.
 _MAX_NAME_CHARACTERS = 80
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -39,7 +39,8 @@
 # Interval at which a change of leadership is checked for. A leader that lost
 # its lease stops granting at once; this only bounds how soon a new one starts.
 TICK_SECONDS = 0.1
-# The restrictions change far fewer times than this within one leader epoch.
+# The restrictions and the control instances change far fewer times than this
+# within one leader epoch.
 LEADER_EPOCH_STEP = 10**9
 
 
@@ -145,8 +146,8 @@
     def steady_time(self) -> float:
         """Returns seconds since 1970, unaffected by clock steps.
 
-        It is the wall time at the start of the leader epoch, advanced by the
-        monotonic clock, and never goes back from one leader to the next.
+        It is the wall time at the start of the leader epoch, or the start of
+        the previous epoch if that is later, advanced by the monotonic clock.
         Expiry, pauses and permits in the group's state are measured with it.
         With a wall clock that steps by minutes, a quarantine would end early,
         or an order in progress would count as stuck.
--- a/src/mintcleat/roles/control/configuration/stream.py
+++ b/src/mintcleat/roles/control/configuration/stream.py
@@ -22,8 +22,9 @@
 # time. If all of them reconnected at once, the next instance would have to
 # send many whole updates at the same moment.
 RECONNECT_JITTER_SECONDS = 0.5
-# The same for a node without a configuration. It refuses its callers until it
-# has one, and its previous attempts cost no instance an update.
+# The same for a node without a configuration, which refuses its callers until
+# it has one. It has received nothing yet, so trying another instance makes none
+# send an update a second time.
 START_JITTER_SECONDS = 0.03
 # A starting node that skipped its preferred instance, because that had no
 # configuration, returns to it after this time, plus or minus a random half. By
--- a/src/mintcleat/roles/control/replication/links.py
+++ b/src/mintcleat/roles/control/replication/links.py
@@ -17,8 +17,8 @@
 from mintcleat.ports import streams as stream_ports
 from mintcleat.ports import timers as timer_ports
 
-# Frames are sent in parts of this size, so that a heartbeat never waits behind
-# a long frame.
+# Frames are sent in parts of this size, so that a heartbeat waits only briefly
+# while a long frame is sent.
 PART_BYTES = 1024 * 1024
 # Length of a peer's queue. Frames that don't fit are dropped; the consensus
 # core sends them again.
--- a/src/mintcleat/roles/control/replication/replication.py
+++ b/src/mintcleat/roles/control/replication/replication.py
@@ -32,8 +32,8 @@
 
 _TRANSFER_POLL_SECONDS = 0.02
 _RECOVERY_POLL_SECONDS = 0.002
-# An instance counts as live for this many hello periods after it was last
-# heard.
+# An instance counts as live for this many hello intervals after it was last
+# heard from.
 _LIVE_PERIODS = 5
 
 
@@ -285,7 +285,7 @@
     def evacuate(self, instances: frozenset[str]) -> None:
         """Moves replicas off these instances and places no others there."""
         if self.driver is not None:
-            self.driver.core.roster.retired = instances
+            self.driver.core.roster.evacuated = instances
 
     def transfer_leadership(self, timeout: float) -> None:
         """Transfers every leadership before a planned stop.
@@ -321,8 +321,8 @@
 
         Raises:
             errors.NotLeader: This instance does not lead the group.
-            errors.BadRequest: `new` was never heard, or the change is not
-                possible in `group`.
+            errors.BadRequest: `new` was never heard from, or the change is
+                not possible in `group`.
         """
         driver = self._running(group or self.group_names[0])
         observed = driver.core.roster.observed.get(new)
@@ -415,13 +415,13 @@
             replica.transfer(max(voters)[2], self.timers.now())
 
     def _replace(
-        self, replica: replicas.Replica, old: str, newcomer: types.Peer
+        self, replica: replicas.Replica, old: str, successor: types.Peer
     ) -> bool:
         if replica.state.role != types.LEADER:
             return False
         for voter in replica.state.configuration.voters:
             if voter.replica.instance == old:
                 return repair.replace(
-                    replica.state, voter.replica, newcomer, self.timers.now()
+                    replica.state, voter.replica, successor, self.timers.now()
                 )
         return False
--- a/src/mintcleat/roles/control/replication/snapshots.py
+++ b/src/mintcleat/roles/control/replication/snapshots.py
@@ -28,7 +28,7 @@
             unless they are small compared with the last snapshot.
         bytes: Size of the applied entries after which a snapshot is due. The
             size of the last snapshot counts instead if it is larger, so that
-            snapshots write at most as much as the entries do.
+            snapshots are a bounded share of all writes.
         kept: Entries kept in the log behind a snapshot, for slow followers.
     """
 
--- a/testing/control_explorer.py
+++ b/testing/control_explorer.py
@@ -37,7 +37,9 @@
 
     def run(self, seconds: float) -> None:
         cluster = self.cluster
-        self._until(cluster.is_healthy, 12.0, "the groups were not founded")
+        self._until(
+            cluster.is_healthy, 12.0, "the groups were not bootstrapped"
+        )
         cluster.push()
         cluster.spawn(cluster.read_forever, 0.05)
         cluster.spawn(cluster.write_forever, self.rng.choice((0.01, 0.05)))
@@ -126,7 +128,7 @@
                 self._all_power,
                 self._all_killed,
                 self._replace,
-                self._retire,
+                self._start_evacuation,
                 self._degrade_network,
             )
         )
@@ -303,7 +305,7 @@
             self._remove(one)
             eventlet.spawn_after(1.0, self._add_replacement)
 
-    def _retire(self) -> None:
+    def _start_evacuation(self) -> None:
         for one in self._victims(1):
             self._lose(one, 10.0)
             self.cluster.spawn(self._evacuate, one)
@@ -357,7 +359,10 @@
         eventlet.sleep(2.0)
 
     def _settle(self) -> None:
-        """Ends all faults; every instance must then answer reads."""
+        """Ends all faults; every instance must then answer reads.
+
+        Each answer must have at least the acknowledged version.
+        """
         cluster = self.cluster
         cluster.network.heal()
         cluster.network.loss = 0.0
--- a/testing/fakes/control_cluster.py
+++ b/testing/fakes/control_cluster.py
@@ -79,7 +79,7 @@
 
     Attributes:
         domain: Its failure domain.
-        life: The lifetime of the current process.
+        process: The current process, or the last one if none runs.
         skew: Offset of its wall clock in seconds.
         busy: Longest time in seconds that other work blocks a loop turn.
         lost_until: Time until which the schedule counts it as lost.
--- a/testing/test_consensus.py
+++ b/testing/test_consensus.py
@@ -60,7 +60,8 @@
         """A replica has applied entry 4 and is restoring a snapshot up to 5.
 
         The range from the first entry of the log, 6, to 4 is empty. With a
-        negative offset the log would return entry 6, which was not applied.
+        negative offset the log would return entry 6, which was not applied,
+        and a check would find the state machine behind its replica.
         """
         log = entries.EntryLog()
         log.reset(5, 1)
--- a/testing/test_control_instances.py
+++ b/testing/test_control_instances.py
@@ -131,9 +131,9 @@
         self.assertTrue(run_scenario(scenario))
 
 
-class RetiredLeaderTest(testtools.TestCase):
+class EvacuatedLeaderTest(testtools.TestCase):
     def test_leader_in_transfer_is_replaced_once(self) -> None:
-        """A retired leader's successor is a voter before the leader leaves.
+        """An evacuated leader's successor is a voter before it leaves.
 
         The leader must transfer its leadership before it can be removed. If
         it still counted as to be replaced meanwhile, a second spare would be
@@ -154,7 +154,7 @@
             successor = spare._replace(replaces=state.me)
             promoted = types.Configuration([*voters, successor], [])
             state.configurations.append((state.commit, promoted))
-            core.roster.retired = frozenset({leader.name})
+            core.roster.evacuated = frozenset({leader.name})
             repair.tick(state, core.roster, leader.log.timers.now())
             return state.configuration.learners
 
--- a/testing/test_driver.py
+++ b/testing/test_driver.py
@@ -202,9 +202,10 @@
         """A former leader is elected again after another instance led.
 
         The other leader acknowledged a change, which this replica holds in
-        its log but has not applied. Green threads that run between the message
-        that commits its first entry and the loop's next turn must not find it
-        leading, or they would answer from stale state.
+        its log but has not applied. Its state machine still holds its old
+        leader epoch. Green threads that run between the message that commits
+        its first entry and the loop's next turn must not find it leading in
+        that epoch, or they would answer from stale state.
         """
 
         def play() -> list[tuple[bool, list[bytes]]]:
@@ -221,8 +222,8 @@
     def test_past_changes_of_voters_are_not_reported_again(self) -> None:
         """At a start only the newest of the old changes is reported.
 
-        Reporting every change in the log would repeat the group's history in
-        the event log at each start.
+        Otherwise each voter would repeat the group's whole history in the
+        event log at each start, in one case eight lines per voter.
         """
         folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
@@ -284,7 +285,11 @@
         self.assertEqual([b"2", b"3", b"4", b"5", b"6", b"7"], commands)
 
     def test_memory_usage_counts_what_waits_for_a_slow_disk(self) -> None:
-        """Unsynced entries and bytes show up in the memory usage report."""
+        """Effects queue up in memory while the disk stalls.
+
+        If the process runs out of memory, its last usage reports must show
+        what grew.
+        """
 
         def play() -> tuple[dict[str, int], dict[str, int]]:
             follower = Follower(self.folder)
--- a/testing/test_links.py
+++ b/testing/test_links.py
@@ -66,7 +66,7 @@
         """All processes restart, each at a different time.
 
         A link that can't connect pauses, longer each time, and drops the
-        queued frames. Its peer starts during the pause and sends a greeting.
+        queued frames. Its peer starts during the pause and sends a Hello.
         An election needs the frames in the other direction without delay.
         """
         reserved = streams.TcpStreams("127.0.0.1:0")
