--- a/src/mintcleat/consensus/lease.py
+++ b/src/mintcleat/consensus/lease.py
@@ -29,7 +29,7 @@
 
 
 def held(replica: state.State, now: float) -> bool:
-    """Returns whether this leader may answer reads without a quorum.
+    """Returns whether this leader may answer reads without asking a quorum.
 
     It needs a committed entry of its own term: only then does it know
     everything that earlier leaders committed.
