--- a/src/mintcleat/domain/messages.py
+++ b/src/mintcleat/domain/messages.py
@@ -40,7 +40,7 @@
             program_messages.FinishCall,
             identities.Done,
             program_messages.RenewResidency,
-            program_messages.ClosedPrograms,
+            program_messages.EndedPrograms,
             identities.Batch,
             call_messages.RunTurn,
             call_messages.RunTool,
--- a/src/mintcleat/domain/program_messages.py
+++ b/src/mintcleat/domain/program_messages.py
@@ -415,7 +415,7 @@
     programs: list[str]
 
 
-class ClosedPrograms(NamedTuple):
+class EndedPrograms(NamedTuple):
     """Programs that are no longer open; the sidecar must release their cache.
 
     It answers RenewResidency.
--- a/src/mintcleat/programs/machine.py
+++ b/src/mintcleat/programs/machine.py
@@ -164,13 +164,13 @@
 
     def _ended(
         self, request: program_messages.RenewResidency
-    ) -> program_messages.ClosedPrograms:
+    ) -> program_messages.EndedPrograms:
         ended = []
         for name in request.programs:
             program = self.programs.get(name)
             if program is None or program.state != records.OPEN:
                 ended.append(name)
-        return program_messages.ClosedPrograms(ended)
+        return program_messages.EndedPrograms(ended)
 
 
 def _creation_request(
--- a/testing/test_control_client.py
+++ b/testing/test_control_client.py
@@ -263,7 +263,7 @@
             self.assertEqual(1, len(groups))
             if silent in groups:
                 raise UNREACHABLE
-            return [program_messages.ClosedPrograms(request.programs)]
+            return [program_messages.EndedPrograms(request.programs)]
 
         client = self.client(script)
         expected = {n for n in names if placement.group_of(n, 4) != silent}
