--- a/src/mintcleat/programs/checks.py
+++ b/src/mintcleat/programs/checks.py
@@ -10,7 +10,7 @@
 from mintcleat.domain import errors
 from mintcleat.domain import program_messages
 
-MAX_KEY_LENGTH = 256
+MAX_ID_LENGTH = 256
 _ID = re.compile(r"[A-Za-z0-9_~-][A-Za-z0-9_.~-]{0,199}")
 _DIGEST_BYTES = 16
 
@@ -77,17 +77,17 @@
 
 
 def _check_key(key: str) -> None:
-    if not 0 < len(key) <= MAX_KEY_LENGTH:
+    if not 0 < len(key) <= MAX_ID_LENGTH:
         raise errors.BadRequest(
-            f"A key or an id must have 1 to {MAX_KEY_LENGTH} characters, but"
+            f"A key or an id must have 1 to {MAX_ID_LENGTH} characters, but"
             f" has {len(key)}."
         )
 
 
 def _check_customer(customer: str) -> None:
-    if len(customer) > MAX_KEY_LENGTH:
+    if len(customer) > MAX_ID_LENGTH:
         raise errors.BadRequest(
-            f"A customer's name must have {MAX_KEY_LENGTH} characters at most,"
+            f"A customer's name must have {MAX_ID_LENGTH} characters at most,"
             f" but has {len(customer)}."
         )
 
