--- a/src/mintcleat/main/assembly.py
+++ b/src/mintcleat/main/assembly.py
@@ -155,7 +155,7 @@
 
     def in_flight(self) -> int:
         """Returns the calls that are queued or running."""
-        return len(self.sidecar.under_way())
+        return len(self.sidecar.in_flight())
 
     def stop(self) -> None:
         """Ends the remaining calls, each with its correct outcome."""
--- a/src/mintcleat/roles/sidecar/attempts.py
+++ b/src/mintcleat/roles/sidecar/attempts.py
@@ -183,7 +183,7 @@
         self.kept_answers.append(expiry)
         self.kept_states.append(expiry)
 
-    def under_way(self) -> list[Attempt]:
+    def in_flight(self) -> list[Attempt]:
         """Returns the attempts without an outcome."""
         return [
             attempt
--- a/src/mintcleat/roles/sidecar/execution.py
+++ b/src/mintcleat/roles/sidecar/execution.py
@@ -87,9 +87,9 @@
             self.unnumbered.add(attempt)
         self.timers.spawn(self._execute, attempt)
 
-    def under_way(self) -> list[sidecar_attempts.Attempt]:
+    def in_flight(self) -> list[sidecar_attempts.Attempt]:
         """Returns the attempts without an outcome."""
-        return [*self.table.under_way(), *self.unnumbered]
+        return [*self.table.in_flight(), *self.unnumbered]
 
     def cancel(
         self,
--- a/src/mintcleat/roles/sidecar/orders.py
+++ b/src/mintcleat/roles/sidecar/orders.py
@@ -22,18 +22,18 @@
     """Implements `roles.orders.Upstream` for the engine of a sidecar.
 
     Attributes:
-        under_way: Returns the attempts that wait or run at the sidecar.
+        in_flight: Returns the attempts that wait or run at the sidecar.
     """
 
     def __init__(
         self,
         engine: upstream_port.ModelEngine,
         monitor: sidecar_monitor.UpstreamMonitor,
-        under_way: Callable[[], list[Any]],
+        in_flight: Callable[[], list[Any]],
     ) -> None:
         self.engine = engine
         self.monitor = monitor
-        self.under_way = under_way
+        self.in_flight = in_flight
 
     def pause_admission(self, paused: bool) -> None:
         """Refuses new work, or accepts it again."""
@@ -44,7 +44,7 @@
 
     def is_busy(self) -> bool:
         """Returns whether calls wait or run."""
-        return bool(self.under_way())
+        return bool(self.in_flight())
 
     def execute_order(self, number: int, action: str, model: str) -> None:
         """Sends the order to the engine and waits until it is done."""
--- a/src/mintcleat/roles/sidecar/sidecar.py
+++ b/src/mintcleat/roles/sidecar/sidecar.py
@@ -117,7 +117,7 @@
             self._count,
         )
         target = sidecar_orders.OrderTarget(
-            upstream, self.monitor, self.under_way
+            upstream, self.monitor, self.in_flight
         )
         self.orders = sidecar_orders.new_receiver(
             node, target, timers, directory
@@ -317,9 +317,9 @@
         """
         self.drain()
         until = self.timers.now() + limit
-        while self.under_way() and self.timers.now() < until:
+        while self.in_flight() and self.timers.now() < until:
             self.timers.sleep(_STOP_POLL_SECONDS)
-        unfinished = self.under_way()
+        unfinished = self.in_flight()
         self.reporter.stopped = True
         for attempt in unfinished:
             failure = errors.OutcomeUnknown(
@@ -335,9 +335,9 @@
             self.cache_manager.release_all()
         return len(unfinished)
 
-    def under_way(self) -> list[sidecar_attempts.Attempt]:
+    def in_flight(self) -> list[sidecar_attempts.Attempt]:
         """Returns the attempts that wait or run here."""
-        return self.executor.under_way()
+        return self.executor.in_flight()
 
     # --- Helpers --------------------------------------------------------------
 
@@ -458,7 +458,7 @@
 
     def _refuse_queued(self) -> None:
         """Refuses queued attempts, so that entries place them elsewhere."""
-        for attempt in self.under_way():
+        for attempt in self.in_flight():
             if attempt.state == sidecar_attempts.QUEUED:
                 draining = errors.Draining("This sidecar is draining.")
                 self.executor.cancel(attempt, draining)
@@ -466,7 +466,7 @@
     def _on_program_ended(self, program: str) -> None:
         """Drops the state of a program that its group no longer has."""
         self.histories.drop(program)
-        for attempt in self.under_way():
+        for attempt in self.in_flight():
             if attempt.program == program:
                 closed = errors.ProgramClosed(
                     "The program was closed while the call ran.",
--- a/testing/test_sidecar_faults.py
+++ b/testing/test_sidecar_faults.py
@@ -77,7 +77,7 @@
         (report,) = self.rig.wait_until(lambda: self.rig.directory.asked)
         self.assertEqual([b"b" * 16, b"o" * 16], report.digests)
         self.rig.sleep()
-        running = self.rig.sidecar.under_way()
+        running = self.rig.sidecar.in_flight()
         self.assertThat(running, matchers.HasLength(2))
         self.rig.directory.held.send()
         for exchange in (poison, other):
--- a/testing/test_sidecar_queue.py
+++ b/testing/test_sidecar_queue.py
@@ -207,7 +207,7 @@
             service_rig.turn(parameters=LONG, deadline=30.0)
         )
         exchange.receive(5.0)
-        (running,) = self.rig.sidecar.under_way()
+        (running,) = self.rig.sidecar.in_flight()
         self.rig.sidecar.timers.now = lambda: running.deadline_at
         _, end = service_rig.read_rest(exchange)
         self.assertEqual("deadline_unmet", end.failure.kind)
