--- a/src/mintcleat/roles/entry/entry.py
+++ b/src/mintcleat/roles/entry/entry.py
@@ -228,7 +228,7 @@
         key = call.key
         if generated_key and not idempotent:
             key = attempts_module.new_key()
-        context = service_calls_module.RequestContext(
+        context = service_calls_module.ServiceContext(
             call=call,
             name=attempts_module.CallName(
                 call.program, customer, key, generated_key
--- a/src/mintcleat/roles/entry/service_calls.py
+++ b/src/mintcleat/roles/entry/service_calls.py
@@ -19,7 +19,7 @@
 _MIN_WAIT_SECONDS = 0.05
 
 
-class RequestContext(NamedTuple):
+class ServiceContext(NamedTuple):
     """What all attempts of one call have in common.
 
     Attributes:
@@ -57,7 +57,7 @@
         self.timers = timers
         self.metrics = metrics
 
-    def run(self, context: RequestContext) -> requests.ServiceAnswer:
+    def run(self, context: ServiceContext) -> requests.ServiceAnswer:
         """Returns the service's answer.
 
         Raises:
@@ -81,7 +81,7 @@
 
     def _attempt(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         tried: set[identities.Incarnation],
         sealed: int,
     ) -> requests.ServiceAnswer | attempts_module.Retry:
@@ -105,7 +105,7 @@
 
     def _use_earlier(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         reply: program_messages.CallRecorded | program_messages.AttemptRunning,
     ) -> requests.ServiceAnswer | attempts_module.Retry:
         """Returns the recorded answer, or attaches to the running attempt."""
@@ -115,7 +115,7 @@
 
     def _place(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         tried: set[identities.Incarnation],
         sealed: int,
     ) -> placement_module.Placed:
@@ -134,7 +134,7 @@
 
     def _begin(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         placed: placement_module.Placed,
         sealed: int,
     ) -> (
@@ -161,7 +161,7 @@
 
     def _run(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         placed: placement_module.Placed,
         attempt: int,
     ) -> requests.ServiceAnswer | attempts_module.Retry:
@@ -199,7 +199,7 @@
 
     def _answer(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         attempt: int,
         reply: call_messages.ToolAnswer
         | call_messages.AttemptRefused
@@ -228,7 +228,7 @@
                 )
 
     def _attempt_failed(
-        self, context: RequestContext, attempt: int, failure: errors.Failure
+        self, context: ServiceContext, attempt: int, failure: errors.Failure
     ) -> attempts_module.Retry:
         """Returns a retry, unless the attempt may have taken effect.
 
@@ -242,7 +242,7 @@
         raise cause
 
     def _attach(
-        self, context: RequestContext, underway: program_messages.AttemptRunning
+        self, context: ServiceContext, underway: program_messages.AttemptRunning
     ) -> requests.ServiceAnswer | attempts_module.Retry:
         name = context.name
         attach = call_messages.AttachAttempt(
@@ -265,7 +265,7 @@
 
     def _resolve_lost(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         attempt: int,
         placed: placement_module.Placed,
     ) -> attempts_module.Retry:
@@ -292,7 +292,7 @@
 
     def _give_up(
         self,
-        context: RequestContext,
+        context: ServiceContext,
         sealed: int,
         cause: errors.MintcleatError,
     ) -> None:
@@ -300,11 +300,11 @@
             self.attempts.settle(context.name, sealed, cause)
         raise cause
 
-    def _left(self, context: RequestContext) -> float:
+    def _left(self, context: ServiceContext) -> float:
         return max(context.deadline_at - self.timers.now(), _MIN_WAIT_SECONDS)
 
 
-def place_call(context: RequestContext) -> calls.Call:
+def place_call(context: ServiceContext) -> calls.Call:
     """Returns the call as input of the placement decision."""
     return calls.Call(
         call_id=f"{context.name.scope}/{context.call.request}",
