--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -264,7 +264,7 @@
         self._audit(command, "push", subject, outcome)
         return result
 
-    def drained_control_instances(self) -> frozenset[str]:
+    def evacuated_control_instances(self) -> frozenset[str]:
         """Returns the control instances that must hold no replica.
 
         Those are the ones that are drained in `CONTROL_SCOPE`; some of their
--- a/src/mintcleat/ports/log.py
+++ b/src/mintcleat/ports/log.py
@@ -115,7 +115,7 @@
         """Moves all replicas off these instances and places no more there.
 
         Args:
-            instances: Names of all instances to be kept empty; replaces the
+            instances: Names of all instances to be evacuated; replaces the
                 set of the call before.
         """
 
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -299,8 +299,11 @@
         evacuator = self.leader.evacuation
         instance = evacuator.find(message.label)
         state = self.leader.machine
-        if message.start and instance not in state.drained_control_instances():
-            evacuator.check(instance, state.drained_control_instances())
+        if (
+            message.start
+            and instance not in state.evacuated_control_instances()
+        ):
+            evacuator.check(instance, state.evacuated_control_instances())
             self.leader.propose(
                 commands.SetDrain(
                     machine.CONTROL_SCOPE,
@@ -312,7 +315,7 @@
                 )
             )
         return operator_messages.EvacuationStatus(
-            evacuator.is_complete(instance, state.drained_control_instances())
+            evacuator.is_complete(instance, state.evacuated_control_instances())
         )
 
     def _audit_refusal(
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -329,7 +329,7 @@
             self.relay.stream.report()
 
     def _on_applied(self) -> None:
-        self.log.evacuate(self.machine.drained_control_instances())
+        self.log.evacuate(self.machine.evacuated_control_instances())
         if not self.leads():
             return
         versions = (
--- a/src/mintcleat/roles/control/replication/evacuation.py
+++ b/src/mintcleat/roles/control/replication/evacuation.py
@@ -41,31 +41,31 @@
                 return name
         raise errors.UnknownInstance(f"No control instance {label}.")
 
-    def check(self, instance: str, drained: frozenset[str]) -> None:
+    def check(self, instance: str, evacuated: frozenset[str]) -> None:
         """Refuses an evacuation that would leave too few instances.
 
         Args:
             instance: The instance to evacuate.
-            drained: Control instances that are drained already.
+            evacuated: Control instances that are evacuated already.
 
         Raises:
             errors.TooFewInstances: The remaining instances could not tolerate
                 the loss of one more.
         """
-        left = set(self.log.live_instances()) - drained - {instance}
+        left = set(self.log.live_instances()) - evacuated - {instance}
         if len(left) < MIN_INSTANCES:
             raise errors.TooFewInstances(
                 f"Without {instance} only {len(left)} instances are left, "
                 f"and the groups need {MIN_INSTANCES}."
             )
 
-    def is_complete(self, instance: str, drained: frozenset[str]) -> bool:
+    def is_complete(self, instance: str, evacuated: frozenset[str]) -> bool:
         """Returns whether an evacuated instance has no replica any more.
 
         The leader of each group is asked, because another replica may not
         know yet that the group has moved, or moved back.
         """
-        if instance not in drained:
+        if instance not in evacuated:
             return False
         missing = set(self.log.groups())
         for address in self.log.addresses():
