--- a/src/mintcleat/configuration/machine.py
+++ b/src/mintcleat/configuration/machine.py
@@ -168,7 +168,7 @@
         for callback in self.subscribers:
             callback()
 
-    def draining(self, instance: str, failure_domain: str) -> bool:
+    def is_draining(self, instance: str, failure_domain: str) -> bool:
         """Returns whether the instance or its failure domain is drained."""
         return (
             f"instance/{instance}" in self.drains
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -96,7 +96,9 @@
                 return self._instances()
             case operator_messages.ShowUpstreams():
                 return operator_messages.Upstreams(
-                    self.leader.membership.views(self.leader.machine.draining)
+                    self.leader.membership.views(
+                        self.leader.machine.is_draining
+                    )
                 )
             case config_messages.ReadFencingToken(instance=instance):
                 return config_messages.FencingToken(
--- a/src/mintcleat/roles/control/configuration/rollout.py
+++ b/src/mintcleat/roles/control/configuration/rollout.py
@@ -122,7 +122,7 @@
                 item.failure_domain,
                 item.state,
                 item.model,
-                state.draining(item.sidecar.instance, item.failure_domain),
+                state.is_draining(item.sidecar.instance, item.failure_domain),
                 state.ledger.orders.get(item.sidecar.instance),
                 self._observed_since(item),
             )
