--- a/src/mintcleat/platform/upstreams.py
+++ b/src/mintcleat/platform/upstreams.py
@@ -161,7 +161,7 @@
 ) -> list[tuple[str, str]]:
     headers = [
         *call.headers,
-        (callers.DEADLINE, str(int(request.deadline * 1000))),
+        (callers.DEADLINE, str(int(request.remaining_seconds * 1000))),
         (_EXPECT_UPSTREAM, upstream.upstream),
         (_URGENCY, str(request.urgency)),
     ]
