--- a/src/mintcleat/configuration/lease.py
+++ b/src/mintcleat/configuration/lease.py
@@ -8,26 +8,27 @@
 # Longest lease that the config leader grants. Within this time of an accepted
 # push, every node has applied it or is out of lease, so the push is in force
 # everywhere in under 5 s, as required.
-MAX_LEASE = 4.0
+MAX_LEASE_SECONDS = 4.0
 # Interval of a node's renewals. Three may be lost before the lease expires.
-RENEW = 1.0
+RENEW_SECONDS = 1.0
 # Interval of a control instance's renewals. It is shorter, so that the nodes
-# connected to it get leases of at least MAX_LEASE - RELAY_RENEW, which survive
-# two lost renewals.
-RELAY_RENEW = 0.5
+# connected to it get leases of at least MAX_LEASE_SECONDS -
+# RELAY_RENEW_SECONDS, which survive two lost renewals.
+RELAY_RENEW_SECONDS = 0.5
 # Silence after which a node turns to another control instance. Half of its
 # lease is then left to find one.
-MOVE_AFTER = 2.0
+MOVE_AFTER_SECONDS = 2.0
 # The same for a node without a configuration, which can't serve anybody. After
 # a restart of all processes, a control instance that lost its disk has no
 # configuration to give for about a second, while another one already leads.
-UNCONFIGURED_MOVE_AFTER = 0.15
-# Control instances that such a node tries before it waits for MOVE_AFTER as
-# well. A configuration that takes long to transfer then has time to arrive, and
-# nodes don't reconnect all the time while the quorum is lost.
+UNCONFIGURED_MOVE_AFTER_SECONDS = 0.15
+# Control instances that such a node tries before it waits for
+# MOVE_AFTER_SECONDS as well. A configuration that takes long to transfer then
+# has time to arrive, and nodes don't reconnect all the time while the quorum is
+# lost.
 UNCONFIGURED_ATTEMPTS = 9
 # Lease of a sidecar's announcement.
-MEMBER_LEASE = 4.0
+MEMBER_LEASE_SECONDS = 4.0
 
 
 class Times(NamedTuple):
@@ -44,11 +45,11 @@
             about that long.
     """
 
-    max_lease: float = MAX_LEASE
-    renew: float = RENEW
-    relay_renew: float = RELAY_RENEW
-    move_after: float = MOVE_AFTER
-    member_lease: float = MEMBER_LEASE
+    max_lease: float = MAX_LEASE_SECONDS
+    renew: float = RENEW_SECONDS
+    relay_renew: float = RELAY_RENEW_SECONDS
+    move_after: float = MOVE_AFTER_SECONDS
+    member_lease: float = MEMBER_LEASE_SECONDS
     key_grace: float = 0.0
 
 
@@ -102,4 +103,4 @@
     """
     if revision or attempt >= UNCONFIGURED_ATTEMPTS:
         return move_after
-    return min(move_after, UNCONFIGURED_MOVE_AFTER)
+    return min(move_after, UNCONFIGURED_MOVE_AFTER_SECONDS)
--- a/src/mintcleat/configuration/members.py
+++ b/src/mintcleat/configuration/members.py
@@ -67,7 +67,7 @@
         self, announcement: member_messages.Announcement, now: float
     ) -> None:
         """Stores a direct announcement and renews its lease."""
-        expires = now + lease.MEMBER_LEASE
+        expires = now + lease.MEMBER_LEASE_SECONDS
         self._put(DIRECT, Record(announcement, now, expires), now)
 
     def renew(self, sidecar: identities.Incarnation, now: float) -> None:
@@ -75,7 +75,7 @@
         records = self.sources.get(DIRECT, {})
         record = records.get(sidecar)
         if record is not None:
-            expires = now + lease.MEMBER_LEASE
+            expires = now + lease.MEMBER_LEASE_SECONDS
             records[sidecar] = Record(record.announcement, now, expires)
 
     def apply_update(
@@ -187,10 +187,10 @@
         """
         record = self.sources[source][sidecar]
         if source == DIRECT:
-            return record.renewed > since + lease.RENEW
+            return record.renewed > since + lease.RENEW_SECONDS
         return (
             record.expires == float("inf")
-            and now > since + lease.MEMBER_LEASE + lease.RENEW
+            and now > since + lease.MEMBER_LEASE_SECONDS + lease.RENEW_SECONDS
         )
 
     def _put(self, source: str, record: Record, now: float) -> None:
--- a/src/mintcleat/roles/control/configuration/membership.py
+++ b/src/mintcleat/roles/control/configuration/membership.py
@@ -39,7 +39,7 @@
         leader that began with an empty table would announce to the nodes that
         almost every upstream had left.
         """
-        grace = 2 * lease.MEMBER_LEASE
+        grace = 2 * lease.MEMBER_LEASE_SECONDS
         self.table.expire_source(config_relay.LEADER, self.timers.now(), grace)
 
     def views(
--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -367,7 +367,9 @@
             return None
         try:
             return self.leader.streams.ask(
-                control.address, operator_messages.ShowNodes(), lease.RENEW
+                control.address,
+                operator_messages.ShowNodes(),
+                lease.RENEW_SECONDS,
             )
         except errors.MintcleatError:
             return None
--- a/src/mintcleat/roles/control/configuration/service.py
+++ b/src/mintcleat/roles/control/configuration/service.py
@@ -34,7 +34,7 @@
 # can wait `max_lease` for the leases of an earlier leader to end. A leader
 # that is cut off never answers; after that time the next one is asked.
 ATTEMPT_MARGIN_SECONDS = 1.0
-ASK_SECONDS = 3 * (lease.MAX_LEASE + ATTEMPT_MARGIN_SECONDS)
+ASK_SECONDS = 3 * (lease.MAX_LEASE_SECONDS + ATTEMPT_MARGIN_SECONDS)
 RETRY_SECONDS = 0.1
 # Interval at which a change of leadership is checked for. A leader that lost
 # its lease stops granting at once; this only bounds how soon a new one starts.
--- a/src/mintcleat/roles/control/configuration/stream.py
+++ b/src/mintcleat/roles/control/configuration/stream.py
@@ -79,8 +79,8 @@
         owner: Owner,
         streams: stream_ports.Streams,
         timers: timer_ports.Timers,
-        renew: float = lease.RENEW,
-        move_after: float = lease.MOVE_AFTER,
+        renew: float = lease.RENEW_SECONDS,
+        move_after: float = lease.MOVE_AFTER_SECONDS,
     ) -> None:
         self.owner = owner
         self.streams = streams
--- a/src/mintcleat/roles/follower.py
+++ b/src/mintcleat/roles/follower.py
@@ -27,7 +27,7 @@
 # After a failover, a control instance may not know every upstream yet.
 # Upstreams that are missing from its first list are kept for this time. This
 # is safe: one that has really left accepts no calls.
-MISSING_GRACE_SECONDS = lease.MEMBER_LEASE
+MISSING_GRACE_SECONDS = lease.MEMBER_LEASE_SECONDS
 # Number of renewal rounds within which a connected node receives a push, with
 # half a round of margin.
 _LATE_PUSH_ROUNDS = 1.5
--- a/testing/fakes/config_links.py
+++ b/testing/fakes/config_links.py
@@ -154,7 +154,7 @@
                     self.owner.handle_message(update)
         since = max(self.opened, self.owner.lease.echo)
         ended = self.peer.exchange.closed
-        if ended or self.timers.now() - since > lease.MOVE_AFTER:
+        if ended or self.timers.now() - since > lease.MOVE_AFTER_SECONDS:
             service.feed.detach(self.peer)
             self.peer = None
             self.address = ""
@@ -225,7 +225,7 @@
         )
         self.network.services[name] = service
         service.relay.stream = self._link(
-            service.relay, name, lease.RELAY_RENEW
+            service.relay, name, lease.RELAY_RENEW_SECONDS
         )
         service.start()
         return service
@@ -259,7 +259,7 @@
             control_addresses=control or list(self.network.services),
             announcer=announcer,
         )
-        node.stream = self._link(node, address, lease.RENEW)
+        node.stream = self._link(node, address, lease.RENEW_SECONDS)
         node.start()
         self.nodes.append(node)
         return node
--- a/testing/test_config_history.py
+++ b/testing/test_config_history.py
@@ -15,7 +15,7 @@
 # Seconds after the accepted push within which a removed customer key must stop
 # working everywhere.
 KEY_BOUND = 6.0
-KEY_GRACE = KEY_BOUND - lease.MAX_LEASE
+KEY_GRACE = KEY_BOUND - lease.MAX_LEASE_SECONDS
 
 
 class History:
@@ -177,7 +177,7 @@
             self.check_keys(name, node, newer)
             if not node.has_lease():
                 continue
-            if now > newer + lease.MAX_LEASE + config_links.STEP:
+            if now > newer + lease.MAX_LEASE_SECONDS + config_links.STEP:
                 late = now - newer
                 self.faults.append(
                     f"{name} acts on revision {revision} {late} s after the "
--- a/testing/test_follower.py
+++ b/testing/test_follower.py
@@ -100,7 +100,7 @@
         self.timers.advance(3.3)
         self.cluster.network.cut_off = {"control-2", "entry-1/1"}
         self.cluster.push(0, 1, "2")
-        self.timers.advance(lease.MAX_LEASE - 1.0)
+        self.timers.advance(lease.MAX_LEASE_SECONDS - 1.0)
         self.assertTrue(node.lease.expires > 0)
         self.timers.advance(1.0)
         self.assertFalse(node.has_lease())
@@ -121,7 +121,7 @@
         leader = self.cluster.control[0]
         answer = leader.ask(operator_messages.ShowInstances())
         self.assertEqual(["control-2"], answer.missing)
-        self.timers.advance(lease.MAX_LEASE)
+        self.timers.advance(lease.MAX_LEASE_SECONDS)
         answer = leader.ask(operator_messages.ShowInstances())
         self.assertEqual([], answer.missing)
         self.assertEqual([2], [n.revision for n in answer.nodes if n.lease > 0])
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -112,7 +112,7 @@
         self.sidecars[0].node.stop()
         self.cluster.network.cut_off = {"sidecar-0/1"}
         last = self.last_choice("sidecar-0", 10.0)
-        self.assertTrue(last <= lease.MEMBER_LEASE + 0.8, last)
+        self.assertTrue(last <= lease.MEMBER_LEASE_SECONDS + 0.8, last)
         self.assertEqual(11, len(self.names(self.entries[0], "ready")))
 
     def test_drained_failure_domain_gets_no_new_work(self) -> None:
@@ -201,7 +201,7 @@
         entry = self.entries[0]
         entry.stream.stop()
         entry.handle_message(member_messages.MembersUpdate(True, [], []))
-        self.timers.advance(lease.MEMBER_LEASE - 1.0)
+        self.timers.advance(lease.MEMBER_LEASE_SECONDS - 1.0)
         self.assertEqual(12, len(entry.members("chat")))
         self.timers.advance(2.0)
         self.assertEqual([], entry.members("chat"))
