--- a/src/mintcleat/decisions/migration.py
+++ b/src/mintcleat/decisions/migration.py
@@ -8,9 +8,8 @@
 
 from typing import NamedTuple
 
-# Predicted wait in seconds below which nothing moves: a move costs about as
-# much.
-MIN_WAIT = 1.0
+# Predicted wait below which nothing moves: a move costs about as much.
+MIN_WAIT_SECONDS = 1.0
 # Maximum wait at the target as a fraction of that at the source, so that a move
 # isn't undone once it has balanced the two.
 MAX_WAIT_RATIO = 0.5
@@ -99,7 +98,7 @@
         now: float,
     ) -> list[Move]:
         """Returns the moves to start now; call it about once a second."""
-        if not source.leaving and source.wait < MIN_WAIT:
+        if not source.leaving and source.wait < MIN_WAIT_SECONDS:
             return []
         free_memory = {target.name: target.free_memory for target in targets}
         moves = []
--- a/src/mintcleat/decisions/order.py
+++ b/src/mintcleat/decisions/order.py
@@ -10,9 +10,9 @@
 from mintcleat.decisions import calls
 from mintcleat.decisions import remaining_work
 
-# Maximum seconds by which a later call can overtake, so that none starves. The
+# Maximum time by which a later call can overtake, so that none starves. The
 # key of a call doesn't change while it waits, so the queue is never re-sorted.
-MAX_DELAY = 30.0
+MAX_DELAY_SECONDS = 30.0
 # Added delay in seconds of a call that its program doesn't wait for.
 NOT_GATING_DELAY = 5.0
 
@@ -43,9 +43,9 @@
 ) -> float:
     """Returns the sort key of a call: its arrival time plus a delay.
 
-    A program with `mean_tokens` remaining is delayed by half of `MAX_DELAY`.
-    The delay approaches the maximum as the tokens grow, so that long and very
-    long programs still differ.
+    A program with `mean_tokens` remaining is delayed by half of
+    `MAX_DELAY_SECONDS`. The delay approaches the maximum as the tokens grow, so
+    that long and very long programs still differ.
 
     Args:
         call: The call.
@@ -59,7 +59,7 @@
         tokens = call.attained
         if switches.learned and remaining.known:
             tokens = remaining.tokens
-        delay = MAX_DELAY * tokens / (tokens + max(mean_tokens, 1.0))
+        delay = MAX_DELAY_SECONDS * tokens / (tokens + max(mean_tokens, 1.0))
     if switches.gating and not call.gating:
         delay += NOT_GATING_DELAY
-    return now + min(delay, MAX_DELAY)
+    return now + min(delay, MAX_DELAY_SECONDS)
--- a/src/mintcleat/decisions/outliers.py
+++ b/src/mintcleat/decisions/outliers.py
@@ -46,8 +46,8 @@
 
 
 _NEW_RECORD = Record()
-# A probe without a result after this many seconds counts as lost.
-PROBE_TIMEOUT = 30.0
+# A probe without a result after this time counts as lost.
+PROBE_TIMEOUT_SECONDS = 30.0
 
 
 class Outliers:
@@ -105,7 +105,7 @@
         """Returns an ejected upstream to probe with one call, or None."""
         for name in sorted(self.ejected):
             record = self.records[name]
-            timed_out = now - record.probe_started_at >= PROBE_TIMEOUT
+            timed_out = now - record.probe_started_at >= PROBE_TIMEOUT_SECONDS
             if now >= record.ejected_until and (
                 not record.probe_started_at or timed_out
             ):
--- a/src/mintcleat/decisions/placement.py
+++ b/src/mintcleat/decisions/placement.py
@@ -14,10 +14,10 @@
 from mintcleat.decisions import outliers
 from mintcleat.domain import call_messages
 
-# Seconds that a load report takes to arrive. Calls sent this shortly before it
+# Time that a load report takes to arrive. Calls sent this shortly before it
 # came had not reached the sidecar, so the report doesn't include them and they
 # still count as sent since then.
-REPORT_LAG = 0.01
+REPORT_LAG_SECONDS = 0.01
 # A full batch slows down the generation of each call by about this fraction.
 FULL_BATCH_SLOWDOWN = 0.5
 # With equal weights, moving a program must save this many times the duration of
@@ -112,7 +112,9 @@
             return False
         self.report = report
         self.received_at = now
-        self.sent = [item for item in self.sent if item[0] > now - REPORT_LAG]
+        self.sent = [
+            item for item in self.sent if item[0] > now - REPORT_LAG_SECONDS
+        ]
         return True
 
     def wait(self, first: bool, lag: bool) -> float:
