--- a/src/mintcleat/adapters/http1_client.py
+++ b/src/mintcleat/adapters/http1_client.py
@@ -21,7 +21,7 @@
 
 _READ_BYTES = 64 * 1024
 # Connecting takes one round trip; an upstream that is down may never answer.
-CONNECT_SECONDS = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 # Unacknowledged data and keepalive probes detect an upstream that lost power,
 # which never closes its connections.
 _USER_TIMEOUT_MS = 1500
@@ -53,7 +53,7 @@
         self.sender: Any = None
         self.closed = False
         try:
-            with eventlet.Timeout(CONNECT_SECONDS, TimeoutError):
+            with eventlet.Timeout(CONNECT_TIMEOUT_SECONDS, TimeoutError):
                 self.sock = eventlet.connect(streams.split_address(address))
         except (OSError, TimeoutError) as error:
             raise errors.NoUpstream(
--- a/src/mintcleat/adapters/http_errors.py
+++ b/src/mintcleat/adapters/http_errors.py
@@ -5,7 +5,7 @@
 
 from mintcleat.domain import errors
 
-CONNECT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 _NOT_CONNECTED = (
     exceptions.NewConnectionError,
     exceptions.ConnectTimeoutError,
@@ -42,7 +42,9 @@
         errors.StreamClosed: The connection was lost; the request may have been
             delivered.
     """
-    limit = urllib3.Timeout(connect=CONNECT_SECONDS, read=timeout or None)
+    limit = urllib3.Timeout(
+        connect=CONNECT_TIMEOUT_SECONDS, read=timeout or None
+    )
     try:
         return pool.request(
             method,
--- a/src/mintcleat/adapters/plain_http.py
+++ b/src/mintcleat/adapters/plain_http.py
@@ -33,7 +33,9 @@
         """Returns whether the service accepts connections."""
         host, _, port = self.address.rpartition(":")
         try:
-            with eventlet.Timeout(http_errors.CONNECT_SECONDS, TimeoutError):
+            with eventlet.Timeout(
+                http_errors.CONNECT_TIMEOUT_SECONDS, TimeoutError
+            ):
                 eventlet.connect((host, int(port))).close()
         except (OSError, TimeoutError):
             return False
