--- a/src/mintcleat/roles/control/configuration/requests.py
+++ b/src/mintcleat/roles/control/configuration/requests.py
@@ -96,7 +96,9 @@
                 return self._instances()
             case operator_messages.ShowUpstreams():
                 return operator_messages.Upstreams(
-                    self.leader.membership.views(self.leader.machine.draining)
+                    self.leader.membership.views(
+                        self.leader.machine.is_draining
+                    )
                 )
             case config_messages.ReadFencingToken(instance=instance):
                 return config_messages.FencingToken(
@@ -299,8 +301,11 @@
         evacuator = self.leader.evacuation
         instance = evacuator.find(message.label)
         state = self.leader.machine
-        if message.start and instance not in state.drained_control_instances():
-            evacuator.check(instance, state.drained_control_instances())
+        if (
+            message.start
+            and instance not in state.evacuated_control_instances()
+        ):
+            evacuator.check(instance, state.evacuated_control_instances())
             self.leader.propose(
                 commands.SetDrain(
                     machine.CONTROL_SCOPE,
@@ -312,7 +317,7 @@
                 )
             )
         return operator_messages.EvacuationStatus(
-            evacuator.is_complete(instance, state.drained_control_instances())
+            evacuator.is_complete(instance, state.evacuated_control_instances())
         )
 
     def _audit_refusal(
@@ -362,7 +367,9 @@
             return None
         try:
             return self.leader.streams.ask(
-                control.address, operator_messages.ShowNodes(), lease.RENEW
+                control.address,
+                operator_messages.ShowNodes(),
+                lease.RENEW_SECONDS,
             )
         except errors.MintcleatError:
             return None
