--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -3,7 +3,7 @@
     python bench/configuration.py spread    time until the last node has it
     python bench/configuration.py cost      bytes and CPU, idle and changing
     python bench/configuration.py sizes     bytes against manifest size
-    python bench/configuration.py failover  time lost with a leader
+    python bench/configuration.py failover  time to a push after a lost leader
 
 Three control instances with disks run as processes; nodes share a few more.
 The leader and both relays serve a third of the nodes each. The baseline polls
@@ -147,19 +147,19 @@
         cluster = processes.Cluster(10)
         try:
             text = processes.make_manifest(size, "0")
-            started_at = _received(cluster)
+            received = _received(cluster)
             cluster.push(text)
             cluster.wait_applied()
-            first = (_received(cluster) - started_at) / cluster.count
+            first = (_received(cluster) - received) / cluster.count
             time.sleep(1.0)
             idle = _idle_bytes(cluster, 5.0)
-            started_at, started = _received(cluster), time.monotonic()
+            received, started = _received(cluster), time.monotonic()
             for number in range(1, changes + 1):
                 cluster.push(processes.make_manifest(size, str(number)))
                 cluster.wait_applied()
             elapsed = time.monotonic() - started
             total = (
-                _received(cluster) - started_at
+                _received(cluster) - received
             ) / cluster.count - idle * elapsed
         finally:
             cluster.stop()
@@ -233,9 +233,9 @@
 
 def _idle_bytes(cluster: processes.Cluster, seconds: float) -> float:
     """Returns the bytes per second that a node receives without a change."""
-    started_at = _received(cluster)
+    received = _received(cluster)
     time.sleep(seconds)
-    return (_received(cluster) - started_at) / seconds / cluster.count
+    return (_received(cluster) - received) / seconds / cluster.count
 
 
 def quantile(values: list[float], fraction: float) -> float:
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -10,7 +10,7 @@
 - `shares`: each entry enforces an equal part of the limit on its own.
 - `bucket`: a token bucket in the leader's memory, lost with the leader.
 - `counted`: control counts each request in its replicated state.
-- `ahead`: as `counted`, and a turn prefetches counts for the tool calls that
+- `ahead`: as `counted`, and a turn counts ahead for the tool calls that
   follow it.
 
 `python -m bench.limits cost` measures what one count costs: processor time at
@@ -47,7 +47,8 @@
     """State that one entry holds for a scheme.
 
     Attributes:
-        prefetched: Counts for tool calls, under `ahead`.
+        counted_ahead: Requests that control has counted in advance, for tool
+            calls, under `ahead`.
         sent_at: Times of the requests sent on within the last window, by
             customer, under `shares`.
     """
@@ -153,8 +154,8 @@
         if self.scheme == "bucket":
             self.asked_alone += not is_turn
             return self._from_bucket(now, customer)
-        may_prefetch = self.scheme == "ahead" and not is_turn
-        if may_prefetch and entry.counted_ahead.take(customer, now):
+        may_be_counted = self.scheme == "ahead" and not is_turn
+        if may_be_counted and entry.counted_ahead.take(customer, now):
             return True
         self.asked_alone += not is_turn
         if self.counters.admit(customer, program, LIMIT, now) is not None:
--- a/src/mintcleat/emulator/plan.py
+++ b/src/mintcleat/emulator/plan.py
@@ -33,7 +33,7 @@
         memory: Tokens that the running requests and the cache share.
         step: Time of one step, which generates a token for each request.
         read_per_ms: Prompt tokens processed per millisecond.
-        queue: Maximum number of waiting requests.
+        queue: Maximum number of waiting requests; more are refused.
         step_per_request: Time that each request in the batch adds to a step.
         step_per_thousand: Time that each 1,000 tokens of context add to a
             step.
@@ -147,7 +147,8 @@
         seconds: Time during which programs are started.
         plains: Number of instances of the plain service.
         plain_slots: Maximum number of requests that an instance runs.
-        plain_queue: Maximum number of requests that wait at an instance.
+        plain_queue: Maximum number of requests that wait at an instance, which
+            refuses more.
         faults: Faults that are injected.
         seeds: Seeds; every variant and load runs with each.
         loads: Factors on the rates of all kinds; every variant runs with
--- a/src/mintcleat/load/report.py
+++ b/src/mintcleat/load/report.py
@@ -49,13 +49,13 @@
     return result
 
 
-def table(figures: dict[str, Any]) -> str:
+def table(results: dict[str, Any]) -> str:
     """Returns the results of `summary` as a text table."""
     lines = [
         f"{'kind':16} {'done/started':>14} {'measure':>15} "
         f"{'p50':>9} {'p95':>9} {'p99':>9} {'p99.9':>9}  (ms)"
     ]
-    for name, kind in figures.items():
+    for name, kind in results.items():
         finished = f"{kind['finished']}/{kind['programs']}"
         for measure in ("program", "turn", "first_token", "token_gap"):
             values = kind[f"{measure}_ms"]
--- a/src/mintcleat/main/__init__.py
+++ b/src/mintcleat/main/__init__.py
@@ -8,7 +8,7 @@
 import warnings
 
 # All addresses are numeric, so eventlet's DNS resolver isn't needed. Without it
-# the imports of a process take 0.29 s instead of 0.40 s.
+# the imports take 0.29 s instead of 0.40 s at each restart of a process.
 os.environ.setdefault("EVENTLET_NO_GREENDNS", "yes")
 
 # eventlet warns at each import that it is deprecated. The risk is discussed in
--- a/src/mintcleat/main/assembly.py
+++ b/src/mintcleat/main/assembly.py
@@ -79,7 +79,8 @@
         """Fails /readyz first and refuses new requests after a delay.
 
         The load balancer polls /readyz. Until it has seen the change it still
-        sends requests, which are served.
+        sends requests. They are served, because a refusal would make them fail
+        at their callers.
         """
         self.entry.leaving = True
         self.notice_elapsed = False
--- a/src/mintcleat/main/cli.py
+++ b/src/mintcleat/main/cli.py
@@ -136,7 +136,7 @@
             plan: JSON file with comments; see docs/reference/experiments.md.
             save: File for the results; none when empty.
             against: Results of an earlier run, to show the differences.
-            plot: File for a plot of value over load; none when empty.
+            plot: File for a plot of worth over load; none when empty.
         """
         # Imported here because the other commands don't need the emulator.
         from mintcleat.main import cli_experiment
--- a/src/mintcleat/main/cli_explain.py
+++ b/src/mintcleat/main/cli_explain.py
@@ -57,10 +57,8 @@
         head = ("SECONDS", "INSTANCE", "EVENT", "INPUTS AND OUTCOME")
         parts.append(cli_tables.format_table(head, rows))
     parts.extend(f"gap: {gap}" for gap in trace.gaps)
-    reservation = (
-        "" if trace.certain else " (missing lines could say otherwise)"
-    )
-    parts.append(f"verdict: {trace.verdict}{reservation}")
+    caveat = "" if trace.certain else " (missing lines could say otherwise)"
+    parts.append(f"verdict: {trace.verdict}{caveat}")
     return "\n".join(parts)
 
 
--- a/src/mintcleat/main/control_role.py
+++ b/src/mintcleat/main/control_role.py
@@ -128,7 +128,7 @@
         return 0
 
     def stop(self) -> None:
-        """Stops the admin listener, the services and the logs."""
+        """Stops the listener and the services; syncs and closes the logs."""
         self.admin.stop()
         self.config.stop()
         self.log.stop()
--- a/src/mintcleat/standins/cache.py
+++ b/src/mintcleat/standins/cache.py
@@ -103,7 +103,10 @@
         self._evict()
 
     def release(self, program: str) -> int:
-        """Removes a program's blocks; returns the number of tokens freed."""
+        """Removes a program; returns the tokens freed.
+
+        Blocks that other programs share with it stay.
+        """
         before = self.used_tokens
         self.pinned.discard(program)
         for address, block in list(self.blocks.items()):
--- a/testing/test_load.py
+++ b/testing/test_load.py
@@ -76,9 +76,9 @@
         driver = driver_module.Driver(SlowClient(clock), clock)
         turn = arrivals.Turn(5, 8, 0.0, sub_agent=False, tool=None)
         driver.run([arrivals.Program(0.0, kind(), [turn, turn])], 10.0)
-        figures = report.summary(driver)["triage"]
+        results = report.summary(driver)["triage"]
         # The context was 110 tokens, of which the engine had cached 40.
-        self.assertEqual(70, figures["wasted_tokens"])
+        self.assertEqual(70, results["wasted_tokens"])
         self.assertThat(
-            report.table(figures={"t": figures}), matchers.Contains("wasted")
+            report.table(results={"t": results}), matchers.Contains("wasted")
         )
--- a/testing/test_own_customers.py
+++ b/testing/test_own_customers.py
@@ -32,8 +32,8 @@
         self.system = local.Local(ANY_PORT, ANY_PORT, pathlib.Path(folder))
         self.system.start()
         self.addCleanup(self.system.stop, lambda: True)
-        self.part = self.system.entry.roles[0]
-        self.http = self.part.server.address
+        self.entry_role = self.system.entry.roles[0]
+        self.http = self.entry_role.server.address
         self.pool = urllib3.PoolManager(retries=False)
         self.push(limited={"rate": 0.2, "burst": 1.0})
 
@@ -61,7 +61,7 @@
             TIMEOUT_SECONDS,
         )
         with eventlet.Timeout(TIMEOUT_SECONDS):
-            while self.part.follower.revision() <= revision:
+            while self.entry_role.follower.revision() <= revision:
                 eventlet.sleep(0.01)
 
     def send(
@@ -137,7 +137,8 @@
     def test_customer_far_over_its_limit_does_not_affect_others(
         self,
     ) -> None:
-        # One customer sends many times its rate limit.
+        # The load generator sends the customers' keys; one customer sends many
+        # times its rate limit.
         tools = [plan_module.Tool("dispatch")]
         common = {"model": "triage", "agent": "triage", "tools": tools}
         kinds = [
